--- a/src/directory/engine_subset.c
+++ b/src/directory/engine_subset.c
@@ -30,9 +30,9 @@
             (*model != '\0' && !wb_engine_holds(engine, model, "", now_ms))) {
             continue;
         }
-        wb_ranked_engine_t one = {engine, g_strcmp0(state->zone, zone) == 0,
-                                  XXH64(state->id, strlen(state->id), seed)};
-        g_array_append_val(ranked, one);
+        wb_ranked_engine_t entry = {engine, g_strcmp0(state->zone, zone) == 0,
+                                    XXH64(state->id, strlen(state->id), seed)};
+        g_array_append_val(ranked, entry);
     }
     g_array_sort(ranked, best_first);
     GPtrArray *subset = g_ptr_array_new();
--- a/src/directory/table_readers.c
+++ b/src/directory/table_readers.c
@@ -8,7 +8,7 @@
 #define STRONG_SHARE 0.8
 /* A relay of the smallest kind, an eighth of a core, tells 32 gateways of some rows a second each.
  */
-#define GATEWAYS_A_READER 32
+#define GATEWAYS_PER_READER 32
 
 static gint strongest_first(gconstpointer left, gconstpointer right) {
     const wb_table_reader_t *a = left;
@@ -20,14 +20,14 @@
 }
 
 void wb_table_readers_select(GArray *nodes, guint all) {
-    guint least = (all + GATEWAYS_A_READER - 1) / GATEWAYS_A_READER;
+    guint min_count = (all + GATEWAYS_PER_READER - 1) / GATEWAYS_PER_READER;
     guint count = 0;
     g_array_sort(nodes, strongest_first);
     while (count < nodes->len) {
         const wb_table_reader_t *strongest = &g_array_index(nodes, wb_table_reader_t, 0);
         const wb_table_reader_t *node = &g_array_index(nodes, wb_table_reader_t, count);
         gboolean strong = node->processor_share >= STRONG_SHARE * strongest->processor_share;
-        if (count >= least && !strong) {
+        if (count >= min_count && !strong) {
             break;
         }
         count++;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -6,8 +6,8 @@
 
 #define HEAD_LIMIT_BYTES 65536
 #define KEEP_ALIVE_MARGIN_MS 600
-#define KEPT_UNTOLD_MS 250 /* an engine that doesn't tell how long it keeps a connection */
-#define KEPT_PER_ENGINE 6
+#define IDLE_DEFAULT_MS 250 /* an engine that doesn't tell how long it keeps a connection */
+#define IDLE_MAX_PER_ENGINE 6
 
 /* A connection to an engine; an attempt has it, or it rests in its engine's queue. */
 typedef struct wb_upstream_t {
@@ -19,7 +19,7 @@
     wb_list_item_t idle;   /* on its engine's list while it rests */
     int64_t usable_until_ms;
     gboolean feeding; /* the reader runs; freeing waits */
-    gboolean dropped;
+    gboolean closed;
 } wb_upstream_t;
 
 struct wb_attempt_t {
@@ -31,13 +31,13 @@
     gboolean skipping; /* the present answer belongs to another request */
     gboolean tainted;  /* the connection can't be used again */
     gboolean keep_alive;
-    int64_t keep_for_ms; /* as the engine told; 0: it didn't */
-    gboolean whole;
+    int64_t idle_limit_ms; /* as the engine told; 0: it didn't */
+    gboolean complete;
 };
 
-static void upstream_drop(wb_upstream_t *upstream) {
-    if (!upstream->dropped) {
-        upstream->dropped = TRUE;
+static void upstream_close(wb_upstream_t *upstream) {
+    if (!upstream->closed) {
+        upstream->closed = TRUE;
         if (upstream->stream != NULL)
             wb_tcp_stream_close(upstream->stream);
         upstream->stream = NULL;
@@ -65,13 +65,13 @@
 
 void wb_attempt_cancel(wb_attempt_t *attempt) {
     attempt_detach(attempt);
-    upstream_drop(attempt->upstream);
+    upstream_close(attempt->upstream);
     attempt_free(attempt);
 }
 
 static void attempt_end(wb_attempt_t *attempt, const wb_attempt_failure_t *failure) {
     wb_exchange_t *exchange = attempt_detach(attempt);
-    upstream_drop(attempt->upstream);
+    upstream_close(attempt->upstream);
     attempt_free(attempt);
     wb_exchange_attempt_failed(exchange, failure);
 }
@@ -86,18 +86,19 @@
 }
 
 /* Puts the connection into its engine's queue, or closes it. */
-static void upstream_rest(wb_upstream_t *upstream, const wb_attempt_t *attempt) {
+static void upstream_release(wb_upstream_t *upstream, const wb_attempt_t *attempt) {
     gboolean keep = !attempt->tainted && attempt->keep_alive &&
                     wb_tcp_stream_unsent(upstream->stream) == 0 && !upstream->engine->gone &&
                     wb_engine_stays(upstream->engine) &&
-                    upstream->engine->idle.len < KEPT_PER_ENGINE;
-    int64_t keep_for_ms =
-        attempt->keep_for_ms > 0 ? attempt->keep_for_ms - KEEP_ALIVE_MARGIN_MS : KEPT_UNTOLD_MS;
-    if (!keep || keep_for_ms <= 0) {
-        upstream_drop(upstream);
+                    upstream->engine->idle.len < IDLE_MAX_PER_ENGINE;
+    int64_t idle_limit_ms = attempt->idle_limit_ms > 0
+                                ? attempt->idle_limit_ms - KEEP_ALIVE_MARGIN_MS
+                                : IDLE_DEFAULT_MS;
+    if (!keep || idle_limit_ms <= 0) {
+        upstream_close(upstream);
         return;
     }
-    upstream->usable_until_ms = wb_clock_ms() + keep_for_ms;
+    upstream->usable_until_ms = wb_clock_ms() + idle_limit_ms;
     wb_http_reader_next(upstream->reader);
     wb_tcp_stream_set_reading(upstream->stream, TRUE);
     wb_list_add_head(&upstream->engine->idle, &upstream->idle);
@@ -106,12 +107,12 @@
 static void attempt_finish(wb_attempt_t *attempt) {
     wb_upstream_t *upstream = attempt->upstream;
     wb_exchange_t *exchange = attempt_detach(attempt);
-    upstream_rest(upstream, attempt);
+    upstream_release(upstream, attempt);
     attempt_free(attempt);
     wb_exchange_attempt_done(exchange);
 }
 
-static int64_t keep_alive_ms(const wb_http_head_t *head) {
+static int64_t keep_alive_timeout_ms(const wb_http_head_t *head) {
     const char *text = wb_http_head_get(head, "Keep-Alive");
     const char *timeout = text != NULL ? strstr(text, "timeout=") : NULL;
     return timeout != NULL ? g_ascii_strtoll(timeout + strlen("timeout="), NULL, 10) * 1000 : 0;
@@ -119,7 +120,7 @@
 
 /* An answer is this request's when it bears its id. Answers without one count on fresh connections
  * only. */
-static gboolean answer_is_ours(const wb_attempt_t *attempt, const wb_http_head_t *head) {
+static gboolean answer_matches(const wb_attempt_t *attempt, const wb_http_head_t *head) {
     const wb_exchange_t *exchange = attempt->exchange;
     const char *id = wb_http_head_get(head, exchange->edge->dialect->request_id);
     if (id == NULL)
@@ -127,7 +128,7 @@
     return strcmp(id, exchange->id) == 0;
 }
 
-static void engine_hear(const wb_upstream_t *upstream, const wb_http_head_t *head) {
+static void engine_state_apply(const wb_upstream_t *upstream, const wb_http_head_t *head) {
     wb_edge_t *edge = upstream->edge;
     wb_heard_t heard = {edge->dialect,       head,
                         WB_HEARD_ON_REQUEST, upstream->attempt->exchange->written_ms,
@@ -147,7 +148,7 @@
     attempt->skipping = head->status < 200;
     if (attempt->skipping)
         return;
-    if (!answer_is_ours(attempt, head)) {
+    if (!answer_matches(attempt, head)) {
         attempt->skipping = TRUE;
         attempt->tainted = TRUE;
         wb_event("answer-passed-over", ",\"id\":\"%s\",\"engine\":\"%s\",\"status\":%u",
@@ -155,8 +156,8 @@
         return;
     }
     attempt->keep_alive = head->keep_alive && !head->ends_with_connection;
-    attempt->keep_for_ms = keep_alive_ms(head);
-    engine_hear(upstream, head);
+    attempt->idle_limit_ms = keep_alive_timeout_ms(head);
+    engine_state_apply(upstream, head);
     wb_exchange_attempt_head(attempt->exchange, head);
 }
 
@@ -175,7 +176,7 @@
     if (attempt->skipping)
         wb_http_reader_next(reader);
     else
-        attempt->whole = TRUE;
+        attempt->complete = TRUE;
 }
 
 static const wb_http_reader_events_t reader_events = {reader_head, reader_body, reader_complete};
@@ -184,8 +185,8 @@
  * meanwhile; the connection may be freed then. */
 static wb_attempt_t *feeding_end(wb_upstream_t *upstream) {
     upstream->feeding = FALSE;
-    if (upstream->dropped) {
-        upstream_drop(upstream);
+    if (upstream->closed) {
+        upstream_close(upstream);
         return NULL;
     }
     return upstream->attempt;
@@ -195,8 +196,8 @@
  * time. */
 static void upstream_feed(wb_upstream_t *upstream, const char *data, size_t length) {
     upstream->feeding = TRUE;
-    while (length > 0 && !upstream->dropped && upstream->attempt != NULL &&
-           !upstream->attempt->whole) {
+    while (length > 0 && !upstream->closed && upstream->attempt != NULL &&
+           !upstream->attempt->complete) {
         size_t used = wb_http_reader_feed(upstream->reader, data, length);
         data += used;
         length -= used;
@@ -208,15 +209,15 @@
         return;
     if (length > 0)
         attempt->tainted = TRUE; /* bytes beyond the answer */
-    if (attempt->whole)
+    if (attempt->complete)
         attempt_finish(attempt);
     else if (length > 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
         attempt_fail(attempt, FALSE, "not-an-answer");
 }
 
-static void idle_drop(wb_upstream_t *upstream) {
+static void idle_close(wb_upstream_t *upstream) {
     wb_list_remove(&upstream->engine->idle, &upstream->idle);
-    upstream_drop(upstream);
+    upstream_close(upstream);
 }
 
 static void stream_data(wb_tcp_stream_t *stream, const char *data, size_t length, void *context) {
@@ -224,7 +225,7 @@
     wb_upstream_t *upstream = context;
     upstream->engine->unheard_since_ms = 0;
     if (upstream->attempt == NULL)
-        idle_drop(upstream); /* a late answer to an earlier request */
+        idle_close(upstream); /* a late answer to an earlier request */
     else
         upstream_feed(upstream, data, length);
 }
@@ -246,7 +247,7 @@
     (void)stream;
     wb_upstream_t *upstream = context;
     if (upstream->attempt == NULL) {
-        idle_drop(upstream);
+        idle_close(upstream);
         return;
     }
     wb_attempt_t *attempt = upstream->attempt;
@@ -258,7 +259,7 @@
     if (attempt == NULL)
         return;
     attempt->tainted = TRUE;
-    if (attempt->whole)
+    if (attempt->complete)
         attempt_finish(attempt);
     else
         attempt_fail(attempt, TRUE, end_name(how));
@@ -291,7 +292,7 @@
 static const wb_tcp_events_t stream_events = {stream_open, stream_data, stream_end, NULL};
 
 /* Headers that this node sets itself. */
-static gboolean header_is_ours(const wb_exchange_t *exchange, const char *name) {
+static gboolean header_is_reserved(const wb_exchange_t *exchange, const char *name) {
     const wb_dialect_t *dialect = exchange->edge->dialect;
     if (g_ascii_strcasecmp(name, "Content-Length") == 0 ||
         g_ascii_strcasecmp(name, "Expect") == 0 ||
@@ -318,14 +319,14 @@
     g_string_printf(text, "%s %s HTTP/1.1\r\n", head->method, head->target);
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
-        if (wb_http_header_is_hop(head, header->name) || header_is_ours(exchange, header->name))
+        if (wb_http_header_is_hop(head, header->name) || header_is_reserved(exchange, header->name))
             continue;
         g_string_append_printf(text, "%s: %s\r\n", header->name, header->value);
     }
     int64_t left_ms = MAX(exchange->hold_until_ms - now_ms, 1);
     g_string_append_printf(text, "%s: %lld\r\n%s: %s\r\n%s: %d\r\n", dialect->deadline_ms,
                            (long long)left_ms, dialect->expected_engine, engine->state->id,
-                           dialect->urgency, CLAMP(exchange->rank, 0, 9));
+                           dialect->urgency, CLAMP(exchange->priority, 0, 9));
     if (exchange->tenant != NULL)
         g_string_append_printf(text, "%s: %s\r\n", dialect->tenant, exchange->tenant->name);
     if (exchange->resuming && exchange->last_event_id != NULL)
@@ -345,7 +346,7 @@
         wb_upstream_t *upstream = WB_LIST_OF(item, wb_upstream_t, idle);
         if (now_ms < upstream->usable_until_ms && wb_tcp_stream_is_open(upstream->stream))
             return upstream;
-        upstream_drop(upstream);
+        upstream_close(upstream);
     }
     return NULL;
 }
@@ -362,7 +363,7 @@
         edge->metrics.connections_opened++;
         return upstream;
     }
-    upstream_drop(upstream);
+    upstream_close(upstream);
     return NULL;
 }
 
@@ -400,7 +401,7 @@
         wb_upstream_t *upstream = WB_LIST_OF(item, wb_upstream_t, idle);
         if (all || now_ms >= upstream->usable_until_ms) {
             wb_list_remove(&engine->idle, item);
-            upstream_drop(upstream);
+            upstream_close(upstream);
         }
     }
 }
--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -8,22 +8,22 @@
 #include <xxhash.h>
 
 /* What the caller of a request loses by an engine's state, in ms. */
-#define AVOIDED_MS 100000.0
+#define AVOIDED_COST_MS 100000.0
 #define REJECTED_COST_MS 2000.0
-#define LEAVING_MS 1000000.0
-#define OTHER_ZONE_MS 3.0
-#define FAILURE_MS 200.0
+#define DRAINING_COST_MS 1000000.0
+#define OTHER_ZONE_COST_MS 3.0
+#define FAILURE_COST_MS 200.0
 /* What an engine told of its load is 200 ms old and changes with each request. */
-#define REPORT_TRUST_MS 1000.0
-#define READ_KEPT_MS 30000
-#define QUIET_MS 300.0
+#define REPORT_DECAY_MS 1000.0
+#define PREFIX_KEPT_MS 30000
+#define UNRESPONSIVE_MS 300.0
 /* A cold engine is used where no warm one would answer much earlier: it bears few requests. */
-#define COLD_MS 200.0
+#define COLD_COST_MS 200.0
 /* What a limited engine takes is kept for what no other engine holds. */
-#define LIMITED_MS 1000.0
+#define LIMITED_COST_MS 1000.0
 /* Nodes come and go: what they share is dealt out anew after so long. */
-#define SHARED_MS 1000
-#define PREFIXES_LIMIT 512
+#define SHARE_REFRESH_MS 1000
+#define PREFIXES_MAX 512
 /* A key for a part of a prompt: what was read before it counts too, and the model that read it. */
 static uint64_t part_hash(uint64_t before, const char *id) {
     return XXH64(id, strlen(id), before);
@@ -52,7 +52,7 @@
         const wb_prompt_part_t *part = &g_array_index(exchange->parts, wb_prompt_part_t, i);
         hash = part_hash(hash, part->id);
         const int64_t *read_ms = g_hash_table_lookup(engine->prefixes, &hash);
-        if (read_ms == NULL || now_ms - *read_ms > READ_KEPT_MS)
+        if (read_ms == NULL || now_ms - *read_ms > PREFIX_KEPT_MS)
             break;
         unread -= part->tokens;
     }
@@ -62,7 +62,7 @@
 void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms) {
     if (exchange->model == NULL)
         return;
-    if (g_hash_table_size(engine->prefixes) > PREFIXES_LIMIT)
+    if (g_hash_table_size(engine->prefixes) > PREFIXES_MAX)
         g_hash_table_remove_all(engine->prefixes);
     uint64_t hash = prompt_seed(exchange);
     for (guint i = 0; i < exchange->parts->len; i++) {
@@ -82,18 +82,18 @@
     if (engine->reported_ms == 0)
         return own;
     double age_ms = (double)(now_ms - engine->reported_ms);
-    double trust = exp(-age_ms / REPORT_TRUST_MS);
-    double told = engine->reported_running + engine->reported_waiting;
-    return MAX(own, trust * told);
+    double trust = exp(-age_ms / REPORT_DECAY_MS);
+    double reported = engine->reported_running + engine->reported_waiting;
+    return MAX(own, trust * reported);
 }
 
 /* Tokens that the engine is expected to read for this request. Other nodes send the same shared
  * parts to their home, and some of them to other engines. */
 static double expected_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
-                              gboolean is_home, int64_t now_ms) {
+                              gboolean is_preferred, int64_t now_ms) {
     double unread = (double)wb_balancer_unread_tokens(engine, exchange, now_ms);
     guint parts = exchange->parts->len;
-    if (is_home && parts > 1) {
+    if (is_preferred && parts > 1) {
         const wb_prompt_part_t *last = &g_array_index(exchange->parts, wb_prompt_part_t, parts - 1);
         unread = MIN(unread, (double)last->tokens);
     }
@@ -102,31 +102,31 @@
 
 /* Requests were sent and no byte of any has come back, for longer than reading their prompts takes.
  */
-static gboolean is_quiet(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
+static gboolean is_unresponsive(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
     if (engine->unheard_since_ms == 0)
         return FALSE;
     double allowed_ms =
-        QUIET_MS + 2 * (double)engine->prefill_tokens / edge->settings.prefill_tokens_per_ms;
+        UNRESPONSIVE_MS + 2 * (double)engine->prefill_tokens / edge->settings.prefill_tokens_per_ms;
     return (double)(now_ms - engine->unheard_since_ms) > allowed_ms;
 }
 
 /* What is known of an engine beside its load. */
 static double penalty_ms(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
-    double cost = FAILURE_MS * MIN(engine->failures, 8);
+    double cost = FAILURE_COST_MS * MIN(engine->failures, 8);
     if (strcmp(engine->state->zone, edge->settings.zone) != 0)
-        cost += OTHER_ZONE_MS;
-    if (is_quiet(edge, engine, now_ms))
-        cost += AVOIDED_MS;
+        cost += OTHER_ZONE_COST_MS;
+    if (is_unresponsive(edge, engine, now_ms))
+        cost += AVOIDED_COST_MS;
     if (now_ms < engine->avoid_until_ms)
-        cost += AVOIDED_MS;
+        cost += AVOIDED_COST_MS;
     if (now_ms < engine->cold_until_ms)
-        cost += COLD_MS;
+        cost += COLD_COST_MS;
     if (engine->limit.named)
-        cost += LIMITED_MS;
+        cost += LIMITED_COST_MS;
     if (now_ms < engine->rejected_until_ms)
         cost += REJECTED_COST_MS;
     if (!wb_engine_stays(engine))
-        cost += LEAVING_MS;
+        cost += DRAINING_COST_MS;
     return cost;
 }
 
@@ -149,13 +149,13 @@
 }
 
 static wb_choice_engine_t choice_engine(const wb_edge_t *edge, const wb_engine_t *engine,
-                                        const wb_exchange_t *exchange, gboolean is_home,
+                                        const wb_exchange_t *exchange, gboolean is_preferred,
                                         int64_t now_ms) {
     wb_choice_engine_t choice = {.pace = 1,
                                  .slots = MAX(engine->state->slots, 1),
                                  .running = engine_load(engine, now_ms),
                                  .unread_tokens =
-                                     expected_tokens(engine, exchange, is_home, now_ms),
+                                     expected_tokens(engine, exchange, is_preferred, now_ms),
                                  .backlog_tokens = (double)engine->prefill_tokens,
                                  .penalty_ms = penalty_ms(edge, engine, now_ms)};
     if (edge->settings.engine_pace == 0) {
@@ -185,13 +185,13 @@
 }
 
 /* Steady time from which a cold engine takes another request of this node. */
-static int64_t cold_opens_ms(const wb_edge_t *edge, wb_engine_t *engine,
-                             const wb_service_t *service, unsigned ahead, int64_t now_ms) {
+static int64_t cold_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
+                                 const wb_service_t *service, unsigned ahead, int64_t now_ms) {
     const wb_edge_settings_t *settings = &edge->settings;
     if (now_ms >= engine->cold_until_ms || service->cold_per_s <= 0) {
         return now_ms;
     }
-    if (engine->cold_shared_ms == 0 || now_ms - engine->cold_shared_ms > SHARED_MS) {
+    if (engine->cold_shared_ms == 0 || now_ms - engine->cold_shared_ms > SHARE_REFRESH_MS) {
         double per_s = service->cold_per_s * settings->cold_overage + settings->cold_slack;
         engine->cold_shared_ms = now_ms;
         engine->cold_share =
@@ -199,18 +199,18 @@
                           wb_dealt_rank(engine->state->incarnation, settings->id,
                                         wb_equal_share_ids(edge->share)));
     }
-    int64_t opens_ms = wb_send_gate_opens_ms(&engine->cold_gate, engine->cold_share,
-                                             WB_COLD_WINDOW_MS, ahead, now_ms);
-    return MIN(opens_ms, engine->cold_until_ms);
+    int64_t available_ms = wb_send_gate_opens_ms(&engine->cold_gate, engine->cold_share,
+                                                 WB_COLD_WINDOW_MS, ahead, now_ms);
+    return MIN(available_ms, engine->cold_until_ms);
 }
 
 /* Steady time from which an engine that has named a limit takes another request of this node. */
-static int64_t limit_opens_ms(const wb_edge_t *edge, wb_engine_t *engine, unsigned ahead,
-                              int64_t now_ms) {
+static int64_t limit_available_ms(const wb_edge_t *edge, wb_engine_t *engine, unsigned ahead,
+                                  int64_t now_ms) {
     if (!engine->limit.named) {
         return now_ms;
     }
-    if (engine->placed_ms == 0 || now_ms - engine->placed_ms > SHARED_MS) {
+    if (engine->placed_ms == 0 || now_ms - engine->placed_ms > SHARE_REFRESH_MS) {
         engine->placed_ms = now_ms;
         engine->place =
             (wb_limit_place_t){wb_equal_share_listed(edge->share, WB_LIMIT_WINDOW_MS, now_ms),
@@ -221,40 +221,40 @@
 }
 
 /* Steady time from which an engine takes another request of this node, as it has told itself. */
-static int64_t engine_opens_ms(const wb_edge_t *edge, wb_engine_t *engine,
-                               const wb_service_t *service, unsigned ahead, int64_t now_ms) {
-    int64_t cold_ms = cold_opens_ms(edge, engine, service, ahead, now_ms);
-    int64_t limit_ms = limit_opens_ms(edge, engine, ahead, now_ms);
-    int64_t opens_ms = MAX(cold_ms, limit_ms);
-    return MAX(opens_ms, engine->rest_until_ms);
+static int64_t engine_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
+                                   const wb_service_t *service, unsigned ahead, int64_t now_ms) {
+    int64_t cold_ms = cold_available_ms(edge, engine, service, ahead, now_ms);
+    int64_t limit_ms = limit_available_ms(edge, engine, ahead, now_ms);
+    int64_t available_ms = MAX(cold_ms, limit_ms);
+    return MAX(available_ms, engine->rest_until_ms);
 }
 
 /* Regions that a request's tenant names; NULL: none. */
-static const char *const *tenant_homes(const wb_exchange_t *exchange) {
+static const char *const *tenant_regions(const wb_exchange_t *exchange) {
     return exchange->tenant != NULL ? (const char *const *)exchange->tenant->homes : NULL;
 }
 
-static gboolean names_no_home(const wb_exchange_t *exchange) {
-    return exchange->route->homes == NULL && tenant_homes(exchange) == NULL;
+static gboolean any_region_allowed(const wb_exchange_t *exchange) {
+    return exchange->route->homes == NULL && tenant_regions(exchange) == NULL;
 }
 
 /* Whether the request may be served where the engine stands. */
-static gboolean is_home(const wb_exchange_t *exchange, const wb_engine_t *engine) {
-    if (names_no_home(exchange)) {
+static gboolean region_allowed(const wb_exchange_t *exchange, const wb_engine_t *engine) {
+    if (any_region_allowed(exchange)) {
         return TRUE;
     }
     const char *region = g_hash_table_lookup(exchange->edge->regions, engine->state->zone);
     return wb_homes_allow((const char *const *)exchange->route->homes, region) &&
-           wb_homes_allow(tenant_homes(exchange), region);
+           wb_homes_allow(tenant_regions(exchange), region);
 }
 
 gboolean wb_balancer_has_home(const wb_edge_t *edge, const wb_exchange_t *exchange) {
-    if (names_no_home(exchange)) {
+    if (any_region_allowed(exchange)) {
         return TRUE;
     }
     const GPtrArray *engines = wb_fleet_service(edge->fleet, exchange->service->name);
     for (guint i = 0; engines != NULL && i < engines->len; i++) {
-        if (is_home(exchange, g_ptr_array_index(engines, i))) {
+        if (region_allowed(exchange, g_ptr_array_index(engines, i))) {
             return TRUE;
         }
     }
@@ -264,24 +264,24 @@
 /* Whether an engine can serve the request, if not now. */
 static gboolean can_serve(const wb_engine_t *engine, const wb_exchange_t *exchange,
                           int64_t now_ms) {
-    if (!wb_engine_is_open(engine, now_ms) || !is_home(exchange, engine))
+    if (!wb_engine_is_open(engine, now_ms) || !region_allowed(exchange, engine))
         return FALSE;
     return exchange->model == NULL ||
            wb_engine_holds(engine, exchange->model, exchange->adapter, now_ms);
 }
 
 /* Steady time from which an engine that can serve the request may be sent it. */
-static int64_t request_opens_ms(const wb_edge_t *edge, wb_engine_t *engine,
-                                const wb_exchange_t *exchange, unsigned ahead, int64_t now_ms) {
+static int64_t request_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
+                                    const wb_exchange_t *exchange, unsigned ahead, int64_t now_ms) {
     int64_t tried_ms = tried_until_ms(exchange, engine);
-    int64_t opens_ms = engine_opens_ms(edge, engine, exchange->service, ahead, now_ms);
-    return MAX(tried_ms, opens_ms);
+    int64_t available_ms = engine_available_ms(edge, engine, exchange->service, ahead, now_ms);
+    return MAX(tried_ms, available_ms);
 }
 
 static gboolean is_usable(const wb_edge_t *edge, wb_engine_t *engine, const wb_exchange_t *exchange,
                           int64_t now_ms) {
     return can_serve(engine, exchange, now_ms) &&
-           request_opens_ms(edge, engine, exchange, 0, now_ms) <= now_ms;
+           request_available_ms(edge, engine, exchange, 0, now_ms) <= now_ms;
 }
 
 /* Requests that wait for the same engines to open and came before this one. */
@@ -292,7 +292,7 @@
         if (other == exchange) {
             break;
         }
-        ahead += other->awaits_opening && other->service == exchange->service &&
+        ahead += other->awaits_engine && other->service == exchange->service &&
                  g_strcmp0(other->model, exchange->model) == 0;
     }
     return ahead;
@@ -307,16 +307,16 @@
             g_ptr_array_add(able, g_ptr_array_index(engines, i));
         }
     }
-    wb_opening_t opening = {.at_ms = G_MAXINT64};
+    wb_opening_t next = {.at_ms = G_MAXINT64};
     unsigned ahead = able->len > 0 ? waiting_ahead(edge, exchange) / able->len : 0;
     for (guint i = 0; i < able->len; i++) {
         wb_engine_t *engine = g_ptr_array_index(able, i);
-        int64_t opens_ms = request_opens_ms(edge, engine, exchange, ahead, now_ms);
-        if (opens_ms > now_ms && opens_ms < opening.at_ms) {
-            opening = (wb_opening_t){opens_ms, now_ms < engine->cold_until_ms};
+        int64_t available_ms = request_available_ms(edge, engine, exchange, ahead, now_ms);
+        if (available_ms > now_ms && available_ms < next.at_ms) {
+            next = (wb_opening_t){available_ms, now_ms < engine->cold_until_ms};
         }
     }
-    return opening;
+    return next;
 }
 
 gboolean wb_balancer_may_write(const wb_edge_t *edge, const wb_exchange_t *exchange,
@@ -325,10 +325,10 @@
     if (now_ms < engine->rest_until_ms || !wb_engine_is_open(engine, now_ms)) {
         return FALSE;
     }
-    if (exchange->limit_noted || !engine->limit.named) {
+    if (exchange->limit_counted || !engine->limit.named) {
         return TRUE;
     }
-    if (limit_opens_ms(edge, engine, 0, now_ms) > now_ms) {
+    if (limit_available_ms(edge, engine, 0, now_ms) > now_ms) {
         return FALSE;
     }
     wb_engine_limit_note(&engine->limit, now_ms);
@@ -336,25 +336,25 @@
 }
 
 /* The engine that rendezvous hashing gives a shared prompt: every node finds the same one. */
-static const wb_engine_t *home_find(const wb_exchange_t *exchange, const GPtrArray *usable) {
+static const wb_engine_t *preferred_find(const wb_exchange_t *exchange, const GPtrArray *usable) {
     if (exchange->model == NULL)
         return NULL;
     uint64_t shared = shared_hash(exchange);
-    const wb_engine_t *home = NULL;
+    const wb_engine_t *preferred = NULL;
     uint64_t highest = 0;
     for (guint i = 0; i < usable->len; i++) {
         const wb_engine_t *engine = g_ptr_array_index(usable, i);
         uint64_t weight = XXH64(engine->state->id, strlen(engine->state->id), shared);
-        if (home == NULL || weight > highest) {
-            home = engine;
+        if (preferred == NULL || weight > highest) {
+            preferred = engine;
             highest = weight;
         }
     }
-    return home;
+    return preferred;
 }
 
 wb_engine_t *wb_balancer_choose(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                int64_t now_ms, wb_sending_t *sending) {
+                                int64_t now_ms, wb_sending_t *decision) {
     const GPtrArray *engines = wb_fleet_service(edge->fleet, exchange->service->name);
     if (engines == NULL)
         return NULL;
@@ -362,20 +362,21 @@
     for (guint i = 0; i < engines->len; i++)
         if (is_usable(edge, g_ptr_array_index(engines, i), exchange, now_ms))
             g_ptr_array_add(usable, g_ptr_array_index(engines, i));
-    const wb_engine_t *home = home_find(exchange, usable);
+    const wb_engine_t *preferred = preferred_find(exchange, usable);
     wb_choice_setup_t setup = choice_setup(&edge->settings);
     wb_choice_request_t request = wb_balancer_request(exchange, now_ms);
     wb_engine_t *best = NULL;
     double lowest = 0;
     for (guint i = 0; i < usable->len; i++) {
         wb_engine_t *engine = g_ptr_array_index(usable, i);
-        wb_choice_engine_t choice = choice_engine(edge, engine, exchange, engine == home, now_ms);
+        wb_choice_engine_t choice =
+            choice_engine(edge, engine, exchange, engine == preferred, now_ms);
         wb_choice_estimate_t estimate = wb_choice_estimate(&setup, &request, &choice);
         double cost = estimate.cost_ms + estimate.spread_ms * g_random_double();
         if (best == NULL || cost < lowest) {
             best = engine;
             lowest = cost;
-            *sending = (wb_sending_t){choice, estimate};
+            *decision = (wb_sending_t){choice, estimate};
         }
     }
     return best;
--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -11,8 +11,9 @@
     unsigned running;
     unsigned arrivals;
     uint64_t work;
-    int64_t tightest_ms; /* steady time at which the tightest that waits is late */
-    int64_t promised_ms; /* steady time until which a caller that was refused may come back */
+    int64_t earliest_target_ms;      /* steady time at which the tightest that waits is late */
+    int64_t retry_expected_until_ms; /* steady time until which a caller that was refused may come
+                                        back */
 } wb_demand_entry_t;
 
 struct wb_demand_t {
@@ -46,7 +47,7 @@
     entry->service = g_strdup(exchange->service->name);
     entry->model = g_strdup(exchange->model);
     entry->adapter = g_strdup(exchange->adapter);
-    entry->tightest_ms = G_MAXINT64;
+    entry->earliest_target_ms = G_MAXINT64;
     g_hash_table_insert(demand->entries, g_steal_pointer(&key), entry);
     return entry;
 }
@@ -66,19 +67,20 @@
     if (!waiting) {
         entry->waiting--;
         if (entry->waiting == 0)
-            entry->tightest_ms = G_MAXINT64;
+            entry->earliest_target_ms = G_MAXINT64;
         return;
     }
     entry->waiting++;
     int64_t target_ms = exchange->route->target_latency_ms;
-    int64_t late_ms = target_ms > 0 ? exchange->began_ms + target_ms : exchange->hold_until_ms;
-    entry->tightest_ms = MIN(entry->tightest_ms, late_ms);
+    int64_t target_due_ms =
+        target_ms > 0 ? exchange->began_ms + target_ms : exchange->hold_until_ms;
+    entry->earliest_target_ms = MIN(entry->earliest_target_ms, target_due_ms);
 }
 
 void wb_demand_promised(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms) {
     wb_demand_entry_t *entry = entry_of(demand, exchange);
     if (entry != NULL) {
-        entry->promised_ms = MAX(entry->promised_ms, until_ms);
+        entry->retry_expected_until_ms = MAX(entry->retry_expected_until_ms, until_ms);
     }
 }
 
@@ -93,13 +95,13 @@
     (void)context;
     const wb_demand_entry_t *entry = value;
     return entry->waiting == 0 && entry->running == 0 && entry->arrivals == 0 &&
-           entry->promised_ms < wb_clock_ms();
+           entry->retry_expected_until_ms < wb_clock_ms();
 }
 
 /* What was promised counts like one that waits, until an engine holds it. */
 static void entry_write(const wb_demand_entry_t *entry, const wb_fleet_t *fleet, int64_t now_ms,
                         wb_wire_demand_entry *row) {
-    int64_t tightest_ms = entry->tightest_ms;
+    int64_t earliest_target_ms = entry->earliest_target_ms;
     row->service = strdup(entry->service);
     row->model = strdup(entry->model);
     row->adapter = strdup(entry->adapter);
@@ -107,12 +109,13 @@
     row->running = entry->running;
     row->arrivals = entry->arrivals;
     row->work = entry->work;
-    if (entry->waiting == 0 && entry->promised_ms > now_ms &&
+    if (entry->waiting == 0 && entry->retry_expected_until_ms > now_ms &&
         !wb_fleet_holds(fleet, entry->service, entry->model, entry->adapter, now_ms)) {
         row->waiting = 1;
-        tightest_ms = entry->promised_ms;
+        earliest_target_ms = entry->retry_expected_until_ms;
     }
-    row->time_left_ms = row->waiting > 0 ? (unsigned)CLAMP(tightest_ms - now_ms, 0, 600000) : 0;
+    row->time_left_ms =
+        row->waiting > 0 ? (unsigned)CLAMP(earliest_target_ms - now_ms, 0, 600000) : 0;
 }
 
 void wb_demand_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
@@ -122,16 +125,16 @@
     guint count = g_hash_table_size(demand->entries);
     int64_t now_ms = wb_clock_ms();
     message->kind = WB_WIRE_DEMAND;
-    wb_wire_demand *told = &message->wb_wire_message_u.demand;
-    told->node = strdup(node);
-    told->entries.entries_len = count;
-    told->entries.entries_val = calloc(MAX(count, 1), sizeof(wb_wire_demand_entry));
+    wb_wire_demand *report = &message->wb_wire_message_u.demand;
+    report->node = strdup(node);
+    report->entries.entries_len = count;
+    report->entries.entries_val = calloc(MAX(count, 1), sizeof(wb_wire_demand_entry));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, demand->entries);
     for (guint i = 0; i < count && g_hash_table_iter_next(&iter, NULL, &value); i++) {
         wb_demand_entry_t *entry = value;
-        entry_write(entry, fleet, now_ms, &told->entries.entries_val[i]);
+        entry_write(entry, fleet, now_ms, &report->entries.entries_val[i]);
         entry->arrivals = 0;
         entry->work = 0;
     }
--- a/src/request/engine_states.c
+++ b/src/request/engine_states.c
@@ -13,7 +13,7 @@
     }
 }
 
-static gboolean has_nothing_to_tell(gpointer key, gpointer value, gpointer context) {
+static gboolean is_unrestricted(gpointer key, gpointer value, gpointer context) {
     (void)value;
     (void)context;
     const wb_engine_t *engine = key;
@@ -21,5 +21,5 @@
 }
 
 void wb_edge_told_engines_sweep(wb_edge_t *edge) {
-    g_hash_table_foreach_remove(edge->told_engines, has_nothing_to_tell, NULL);
+    g_hash_table_foreach_remove(edge->told_engines, is_unrestricted, NULL);
 }
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -5,21 +5,21 @@
 
 #include <string.h>
 
-#define SENDS_LIMIT 4
+#define SENDS_MAX 4
 /* A repeatable request whose engine is silent for this share of its target is tried elsewhere. */
 #define SILENCE_SHARE 0.6
-#define SILENCE_LEAST_MS 40
+#define SILENCE_MIN_MS 40
 #define AVOID_MS 400
-#define AVOID_LIMIT_MS 6400
+#define AVOID_MAX_MS 6400
 /* An engine that turned a request away is left alone for so long, if there is another. */
-#define REJECTED_MS 100
+#define REJECTED_AVOID_MS 100
 /* The same request may go to it again after this time, and after twice that the next time. */
-#define REJECTED_AGAIN_MS 120
-#define UNREACHED_LIMIT 8
+#define REJECTED_RETRY_MS 120
+#define CONNECT_FAILURES_MAX 8
 /* A caller that was told when to come back for a model may be so much later. */
-#define PROMISE_KEPT_MS 500
+#define RETRY_GRACE_MS 500
 /* An engine that was silent for so long is at fault, not its work. */
-#define SILENT_MS 1000
+#define SILENT_ENGINE_MS 1000
 
 static void tried_clear(gpointer data) {
     g_free(((wb_tried_engine_t *)data)->id);
@@ -60,13 +60,13 @@
 }
 
 /* The sending is over: it no longer counts at its engine. */
-static void sending_release(wb_exchange_t *exchange) {
-    wb_exchange_clear_timer(&exchange->patience_timer);
+static void attempt_release(wb_exchange_t *exchange) {
+    wb_exchange_clear_timer(&exchange->silence_timer);
     wb_exchange_release_prefill(exchange);
     exchange->paused = FALSE;
-    if (!exchange->counted)
+    if (!exchange->running_counted)
         return;
-    exchange->counted = FALSE;
+    exchange->running_counted = FALSE;
     exchange->engine->running--;
     if (exchange->engine->running == 0)
         exchange->engine->unheard_since_ms = 0;
@@ -74,7 +74,7 @@
 }
 
 static void attempt_stop(wb_exchange_t *exchange) {
-    sending_release(exchange);
+    attempt_release(exchange);
     if (exchange->attempt != NULL)
         wb_attempt_cancel(exchange->attempt);
 }
@@ -82,7 +82,7 @@
 static void exchange_free(wb_exchange_t *exchange) {
     wb_exchange_leave_waiting(exchange);
     attempt_stop(exchange);
-    wb_exchange_clear_timer(&exchange->hold_timer);
+    wb_exchange_clear_timer(&exchange->due_timer);
     wb_engine_unref(exchange->engine);
     wb_exchange_clear_reply(&exchange->reply);
     g_hash_table_remove(exchange->edge->open, exchange);
@@ -114,12 +114,12 @@
     g_snprintf(headers, size, "Retry-After: %.2f\r\n", (double)after_ms / 1000.0);
 }
 
-static int64_t come_back_after_ms(wb_exchange_t *exchange, wb_ending_t ending) {
+static int64_t refusal_retry_after_ms(wb_exchange_t *exchange, wb_ending_t ending) {
     switch (ending) {
     case WB_ENDING_POISON:
         return wb_exchange_poison_left_ms(exchange);
     case WB_ENDING_NO_ROOM:
-        return exchange->room_retry_ms;
+        return exchange->overload_retry_ms;
     default:
         return wb_exchange_come_back_ms(exchange);
     }
@@ -137,12 +137,12 @@
         retry_after_write(headers, sizeof(headers), exchange->quota_retry_ms);
     }
     if (status == 503) {
-        int64_t come_back_ms = come_back_after_ms(exchange, ending);
-        retry_after_write(headers, sizeof(headers), come_back_ms);
+        int64_t retry_after_ms = refusal_retry_after_ms(exchange, ending);
+        retry_after_write(headers, sizeof(headers), retry_after_ms);
         /* Who decides on loads knows what waits; while nobody does, it must be kept for later. */
         if (ending == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
             wb_demand_promised(exchange->edge->demand, exchange,
-                               wb_clock_ms() + come_back_ms + PROMISE_KEPT_MS);
+                               wb_clock_ms() + retry_after_ms + RETRY_GRACE_MS);
         }
     }
     if (status == 401) {
@@ -165,7 +165,7 @@
 static void engine_failed(wb_engine_t *engine, const char *reason, const char *request_id) {
     engine->failures++;
     int64_t avoid_ms = AVOID_MS << MIN(engine->failures - 1, 4);
-    avoid_ms = MIN(avoid_ms, AVOID_LIMIT_MS);
+    avoid_ms = MIN(avoid_ms, AVOID_MAX_MS);
     engine->avoid_until_ms = wb_clock_ms() + avoid_ms;
     wb_upstreams_drop(engine);
     wb_event("engine-avoided",
@@ -179,7 +179,7 @@
     const wb_engine_t *engine = exchange->engine;
     return exchange->attempt != NULL && !exchange->first_event_seen &&
            engine->unheard_since_ms != 0 && engine->unheard_since_ms <= exchange->sent_ms &&
-           wb_clock_ms() - exchange->sent_ms > SILENT_MS;
+           wb_clock_ms() - exchange->sent_ms > SILENT_ENGINE_MS;
 }
 
 void wb_exchange_gone(wb_exchange_t *exchange) {
@@ -188,9 +188,9 @@
     wb_exchange_end(exchange, WB_ENDING_CALLER_GONE, 0);
 }
 
-static void hold_expired(void *context) {
+static void due_expired(void *context) {
     wb_exchange_t *exchange = context;
-    exchange->hold_timer = NULL;
+    exchange->due_timer = NULL;
     int64_t now_ms = wb_clock_ms();
     if (wb_list_is_linked(&exchange->waiting) && now_ms < exchange->hold_until_ms) {
         wb_exchange_give_up(exchange,
@@ -203,22 +203,22 @@
 }
 
 void wb_exchange_arm_hold(wb_exchange_t *exchange) {
-    wb_exchange_clear_timer(&exchange->hold_timer);
+    wb_exchange_clear_timer(&exchange->due_timer);
     int64_t due_ms = exchange->hold_until_ms;
     if (wb_list_is_linked(&exchange->waiting))
         due_ms = MIN(due_ms, exchange->wait_until_ms);
-    exchange->hold_timer =
-        wb_loop_after(exchange->edge->loop, MAX(due_ms - wb_clock_ms(), 0), hold_expired, exchange);
+    exchange->due_timer =
+        wb_loop_after(exchange->edge->loop, MAX(due_ms - wb_clock_ms(), 0), due_expired, exchange);
 }
 
 static gboolean resend_allowed(wb_exchange_t *exchange) {
     return exchange->sends == 0 ||
-           (exchange->sends < SENDS_LIMIT && wb_exchange_take_resend(exchange));
+           (exchange->sends < SENDS_MAX && wb_exchange_take_resend(exchange));
 }
 
-static void patience_over(void *context) {
+static void silence_expired(void *context) {
     wb_exchange_t *exchange = context;
-    exchange->patience_timer = NULL;
+    exchange->silence_timer = NULL;
     if (exchange->attempt == NULL || exchange->runs >= (unsigned)exchange->route->max_attempts ||
         wb_exchange_resends_left(exchange) < 2)
         return;
@@ -228,16 +228,16 @@
 }
 
 /* A repeatable request that hears nothing is tried elsewhere. */
-static void patience_arm(wb_exchange_t *exchange) {
-    wb_exchange_clear_timer(&exchange->patience_timer);
+static void silence_arm(wb_exchange_t *exchange) {
+    wb_exchange_clear_timer(&exchange->silence_timer);
     const wb_route_t *route = exchange->route;
     if (route->kind != WB_ROUTE_REPEATABLE || route->target_latency_ms == 0 ||
         exchange->runs >= (unsigned)route->max_attempts)
         return;
-    int64_t patience_ms =
-        MAX(SILENCE_LEAST_MS, (int64_t)(SILENCE_SHARE * (double)route->target_latency_ms));
-    exchange->patience_timer =
-        wb_loop_after(exchange->edge->loop, patience_ms, patience_over, exchange);
+    int64_t silence_ms =
+        MAX(SILENCE_MIN_MS, (int64_t)(SILENCE_SHARE * (double)route->target_latency_ms));
+    exchange->silence_timer =
+        wb_loop_after(exchange->edge->loop, silence_ms, silence_expired, exchange);
 }
 
 static void exchange_send(wb_exchange_t *exchange, wb_engine_t *engine) {
@@ -252,7 +252,7 @@
     exchange->sent_ms = now_ms;
     exchange->sends++;
     exchange->runs++;
-    exchange->limit_noted = engine->limit.named;
+    exchange->limit_counted = engine->limit.named;
     wb_engine_limit_note(&engine->limit, now_ms);
     edge->metrics.sends++;
     if (wb_attempt_start(exchange, engine) == NULL) {
@@ -260,7 +260,7 @@
         wb_exchange_attempt_failed(exchange, &failure);
         return;
     }
-    exchange->counted = TRUE;
+    exchange->running_counted = TRUE;
     engine->running++;
     if (now_ms < engine->cold_until_ms) {
         wb_send_gate_note(&engine->cold_gate, WB_COLD_WINDOW_MS, now_ms);
@@ -272,7 +272,7 @@
     wb_balancer_note_read(engine, exchange, now_ms);
     wb_demand_running(edge->demand, exchange, TRUE);
     wb_exchange_arm_hold(exchange);
-    patience_arm(exchange);
+    silence_arm(exchange);
 }
 
 /* Whether an engine is sent a request that it may answer too late. What was sent before goes on. */
@@ -282,13 +282,13 @@
         return TRUE;
     }
     wb_choice_request_t request = wb_balancer_request(exchange, now_ms);
-    const wb_choice_estimate_t *estimate = &exchange->sending.estimate;
-    double chance = wb_admission_refusal_chance(&request, estimate, exchange->rank,
+    const wb_choice_estimate_t *estimate = &exchange->decision.estimate;
+    double chance = wb_admission_refusal_chance(&request, estimate, exchange->priority,
                                                 (double)wb_exchange_patience_ms(exchange));
     if (chance <= 0 || g_random_double() >= chance) {
         return TRUE;
     }
-    exchange->room_retry_ms = wb_admission_retry_ms(&request, estimate);
+    exchange->overload_retry_ms = wb_admission_retry_ms(&request, estimate);
     return FALSE;
 }
 
@@ -308,9 +308,9 @@
         wb_exchange_wait_for_engines(exchange);
         return;
     }
-    wb_engine_t *engine = wb_balancer_choose(exchange->edge, exchange, now_ms, &exchange->sending);
+    wb_engine_t *engine = wb_balancer_choose(exchange->edge, exchange, now_ms, &exchange->decision);
     if (engine == NULL) {
-        if (exchange->answer_begun && exchange->sends >= SENDS_LIMIT)
+        if (exchange->answer_begun && exchange->sends >= SENDS_MAX)
             wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
         else
             wb_exchange_wait(exchange);
@@ -328,7 +328,7 @@
 }
 
 /* Sends again after a run that failed or may have run, if that is allowed. Returns FALSE if not. */
-static gboolean run_again(wb_exchange_t *exchange) {
+static gboolean resend_run(wb_exchange_t *exchange) {
     const wb_route_t *route = exchange->route;
     gboolean repeatable =
         route->kind == WB_ROUTE_REPEATABLE || (route->kind == WB_ROUTE_STREAM && route->resumable);
@@ -357,12 +357,12 @@
              wb_event_text(exchange->id), engine->state->id, exchange->reply.status,
              exchange->sends, wb_event_text(exchange->model));
     int64_t now_ms = wb_clock_ms();
-    engine->rejected_until_ms = now_ms + REJECTED_MS;
+    engine->rejected_until_ms = now_ms + REJECTED_AVOID_MS;
     if (exchange->reply.status != edge->dialect->wrong_engine_status) {
-        int64_t pause_ms = (int64_t)REJECTED_AGAIN_MS << MIN(exchange->rejections - 1, 4);
+        int64_t pause_ms = (int64_t)REJECTED_RETRY_MS << MIN(exchange->rejections - 1, 4);
         tried_last(exchange)->again_ms = now_ms + pause_ms;
     }
-    if (exchange->sends >= SENDS_LIMIT)
+    if (exchange->sends >= SENDS_MAX)
         wb_exchange_give_up(exchange, WB_ENDING_REJECTED);
     else
         wb_exchange_dispatch(exchange);
@@ -370,7 +370,7 @@
 
 void wb_exchange_attempt_done(wb_exchange_t *exchange) {
     const wb_reply_t *reply = &exchange->reply;
-    sending_release(exchange);
+    attempt_release(exchange);
     if (reply->rejected) {
         rejection_handle(exchange);
         return;
@@ -382,7 +382,7 @@
     }
     wb_exchange_note_survived(exchange);
     gboolean failed = reply->status >= 500;
-    if (failed && run_again(exchange))
+    if (failed && resend_run(exchange))
         return;
     if (exchange->resuming && reply->status / 100 != 2) {
         wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
@@ -393,7 +393,7 @@
 }
 
 /* The digest shows whether the same request broke off at engine after engine. */
-static void send_broken_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
+static void attempt_failure_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (failure->sent) {
         wb_request_digest_write(wb_exchange_digest(exchange), digest);
@@ -407,7 +407,7 @@
 }
 
 /* The engine told, while the connection came up, that it takes no more for now. */
-static void sending_withdraw(wb_exchange_t *exchange) {
+static void attempt_withdraw(wb_exchange_t *exchange) {
     exchange->edge->metrics.sends_withdrawn++;
     wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_text(exchange->id),
              exchange->engine->state->id);
@@ -419,27 +419,27 @@
 
 void wb_exchange_attempt_failed(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     wb_edge_t *edge = exchange->edge;
-    sending_release(exchange);
+    attempt_release(exchange);
     if (failure->withdrawn) {
-        sending_withdraw(exchange);
+        attempt_withdraw(exchange);
         return;
     }
     engine_failed(exchange->engine, failure->reason, exchange->id);
     edge->metrics.broken_sends++;
-    send_broken_log(exchange, failure);
+    attempt_failure_log(exchange, failure);
     if (failure->sent && failure->broke_off) {
         wb_exchange_note_broken(exchange);
     }
     if (!failure->sent) {
         exchange->sends--;
         exchange->runs--;
-        if (++exchange->unreached >= UNREACHED_LIMIT)
+        if (++exchange->connect_failures >= CONNECT_FAILURES_MAX)
             wb_exchange_give_up(exchange, WB_ENDING_NO_ENGINE);
         else
             wb_exchange_dispatch(exchange);
         return;
     }
-    if (!run_again(exchange))
+    if (!resend_run(exchange))
         wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
 }
 
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -5,7 +5,7 @@
 #define OUTPUT_LIMIT_BYTES (256 * 1024)
 
 /* Headers of the engine's answer that are passed on. */
-static GString *headers_passed(const wb_http_head_t *head) {
+static GString *forwarded_headers(const wb_http_head_t *head) {
     GString *text = g_string_sized_new(256);
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
@@ -22,11 +22,11 @@
     wb_reply_t *reply = &exchange->reply;
     gboolean rejected = head->status == dialect->wrong_engine_status ||
                         wb_http_head_get(head, dialect->not_run) != NULL;
-    wb_exchange_clear_timer(&exchange->patience_timer);
+    wb_exchange_clear_timer(&exchange->silence_timer);
     wb_exchange_clear_reply(reply);
     reply->status = head->status;
     reply->reason = g_strdup(head->reason);
-    reply->headers = headers_passed(head);
+    reply->headers = forwarded_headers(head);
     reply->sealed = wb_http_head_get(head, dialect->seal) != NULL;
     reply->rejected = rejected;
     reply->streamed = !rejected && reply->sealed && head->status / 100 == 2 &&
@@ -50,12 +50,12 @@
 
 /* What the first event's time leaves beside reading the prompt was spent waiting for others'
  * prompts. */
-static void wait_learn(const wb_exchange_t *exchange, double took_ms) {
+static void wait_scale_learn(const wb_exchange_t *exchange, double took_ms) {
     const wb_edge_t *edge = exchange->edge;
-    const wb_sending_t *sending = &exchange->sending;
-    double read_ms =
-        sending->engine.unread_tokens * sending->engine.pace / edge->settings.prefill_tokens_per_ms;
-    wb_wait_scale_learn(edge->wait_scale, exchange->route->name, sending->estimate.wait_ms,
+    const wb_sending_t *decision = &exchange->decision;
+    double read_ms = decision->engine.unread_tokens * decision->engine.pace /
+                     edge->settings.prefill_tokens_per_ms;
+    wb_wait_scale_learn(edge->wait_scale, exchange->route->name, decision->estimate.wait_ms,
                         took_ms - read_ms);
 }
 
@@ -71,15 +71,15 @@
     metrics->late_answers += target_ms > 0 && exchange->first_event_ms > target_ms;
     if (exchange->model != NULL) {
         int64_t error_ms =
-            now_ms - exchange->sent_ms - (int64_t)exchange->sending.estimate.first_ms;
+            now_ms - exchange->sent_ms - (int64_t)exchange->decision.estimate.first_ms;
         wb_histogram_add(&metrics->prediction_error_ms, ABS(error_ms));
-        wait_learn(exchange, (double)(now_ms - exchange->sent_ms));
+        wait_scale_learn(exchange, (double)(now_ms - exchange->sent_ms));
     }
     engine_succeeded(exchange->engine);
 }
 
 /* Passes the first `length` bytes of the gathered answer on. */
-static void answer_pass(wb_exchange_t *exchange, size_t length) {
+static void answer_forward(wb_exchange_t *exchange, size_t length) {
     if (length == 0)
         return;
     answer_begin(exchange);
@@ -103,11 +103,11 @@
 static void pause_note(wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
     if (exchange->last_event_ms != 0)
-        exchange->most_pause_ms = MAX(exchange->most_pause_ms, now_ms - exchange->last_event_ms);
+        exchange->max_pause_ms = MAX(exchange->max_pause_ms, now_ms - exchange->last_event_ms);
     exchange->last_event_ms = now_ms;
 }
 
-static void events_pass(wb_exchange_t *exchange) {
+static void events_forward(wb_exchange_t *exchange) {
     const char *text = (const char *)exchange->answer->data;
     size_t length = wb_events_whole(text, exchange->answer->len);
     if (length == 0)
@@ -121,7 +121,7 @@
         g_free(exchange->last_event_id);
         exchange->last_event_id = id;
     }
-    answer_pass(exchange, length);
+    answer_forward(exchange, length);
 }
 
 void wb_exchange_attempt_body(wb_exchange_t *exchange, const char *data, size_t length) {
@@ -130,9 +130,9 @@
         return;
     g_byte_array_append(exchange->answer, (const guint8 *)data, (guint)length);
     if (reply->streamed)
-        events_pass(exchange);
+        events_forward(exchange);
     else if (reply->sealed && exchange->answer->len > exchange->edge->settings.answer_buffer_bytes)
-        answer_pass(exchange, exchange->answer->len);
+        answer_forward(exchange, exchange->answer->len);
 }
 
 /* Passes a whole answer of the engine on. */
@@ -146,7 +146,7 @@
     }
     if (exchange->answer_begun || reply->streamed) {
         answer_begin(exchange);
-        answer_pass(exchange, exchange->answer->len);
+        answer_forward(exchange, exchange->answer->len);
         wb_http_connection_stream_end(wb_exchange_end(exchange, ending, reply->status));
         return;
     }
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_end.c
@@ -41,7 +41,7 @@
     ended_remember(exchange, ending, status, engine);
     edge->metrics.endings[ending]++;
     edge->metrics.long_pauses += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
-                                 exchange->most_pause_ms > exchange->route->target_gap_ms;
+                                 exchange->max_pause_ms > exchange->route->target_gap_ms;
     wb_histogram_add(&edge->metrics.whole_ms, now_ms - exchange->began_ms);
     wb_event(
         "request-ended",
@@ -57,12 +57,12 @@
         wb_event_text(exchange->adapter), engine, exchange->sends, exchange->runs,
         exchange->rejections, (long long)(now_ms - exchange->began_ms),
         (long long)exchange->waited_ms, (long long)exchange->first_event_ms,
-        (long long)exchange->most_pause_ms, (long long)(exchange->deadline_ms - now_ms),
+        (long long)exchange->max_pause_ms, (long long)(exchange->deadline_ms - now_ms),
         exchange->catalog != NULL ? (long long)exchange->catalog->version : 0LL,
         exchange->answer_begun ? "true" : "false",
         exchange->tenant != NULL ? wb_event_text(exchange->tenant->name) : "", exchange->quota_cost,
-        digest, (long long)exchange->out_tokens, exchange->sending.engine.pace,
-        exchange->sending.engine.running, exchange->sending.engine.reading_share,
-        exchange->sending.engine.unread_tokens, exchange->sending.estimate.first_ms,
+        digest, (long long)exchange->out_tokens, exchange->decision.engine.pace,
+        exchange->decision.engine.running, exchange->decision.engine.reading_share,
+        exchange->decision.engine.unread_tokens, exchange->decision.estimate.first_ms,
         exchange->sends > 0 ? (long long)(now_ms - exchange->sent_ms) : 0LL);
 }
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -21,7 +21,7 @@
 
 /* Returns what is held against the request, or NULL. Few requests have a body as long as one that
  * something is held against, so few digests are worked out. */
-static const wb_poison_entry_t *held_against(wb_exchange_t *exchange) {
+static const wb_poison_entry_t *poison_entry_find(wb_exchange_t *exchange) {
     const wb_poison_book_t *book = exchange->edge->poison;
     if (!wb_poison_book_has_length(book, exchange->body->len)) {
         return NULL;
@@ -40,7 +40,8 @@
     uint64_t version = wb_poison_book_version(edge->poison);
     if (exchange->poison_version != version) {
         exchange->poison_version = version;
-        exchange->is_poison = wb_poison_entry_state(held_against(exchange)) == WB_POISON_REFUSED;
+        exchange->is_poison =
+            wb_poison_entry_state(poison_entry_find(exchange)) == WB_POISON_REFUSED;
     }
     if (!exchange->is_poison || exchange->is_trial) {
         return TRUE;
@@ -54,12 +55,12 @@
 }
 
 gboolean wb_exchange_is_suspect(wb_exchange_t *exchange) {
-    const wb_poison_entry_t *entry = held_against(exchange);
+    const wb_poison_entry_t *entry = poison_entry_find(exchange);
     return entry != NULL && wb_poison_entry_engines(entry) + 1 >= WB_POISON_ENGINES;
 }
 
 int64_t wb_exchange_poison_left_ms(wb_exchange_t *exchange) {
-    const wb_poison_entry_t *entry = held_against(exchange);
+    const wb_poison_entry_t *entry = poison_entry_find(exchange);
     return entry != NULL ? MAX(entry->until_ms - wb_clock_ms(), 1) : 1;
 }
 
@@ -75,7 +76,7 @@
                           engine->state->address, &request);
 }
 
-static void book_changed(wb_edge_t *edge) {
+static void poison_changed(wb_edge_t *edge) {
     if (edge->on_poison != NULL) {
         edge->on_poison(edge->need_context);
     }
@@ -86,7 +87,7 @@
     if (exchange->body->len <= WB_SERVED_BODY_BYTES) {
         wb_served_set_add(edge->served, wb_exchange_digest(exchange), wb_clock_ms());
     }
-    if (held_against(exchange) == NULL ||
+    if (poison_entry_find(exchange) == NULL ||
         !wb_poison_book_forgive(edge->poison, wb_exchange_digest(exchange))) {
         return;
     }
@@ -95,14 +96,14 @@
              wb_event_text(exchange->id),
              wb_request_digest_write(wb_exchange_digest(exchange), digest),
              exchange->engine->state->id);
-    book_changed(edge);
+    poison_changed(edge);
 }
 
 /* Whether ending it now may spare an engine: it waits, or its engine may not have begun to run it.
  * One whose answer comes is let go on: its good end would show that it was no more than a
  * bystander.
  */
-static gboolean may_be_stopped(const wb_exchange_t *exchange) {
+static gboolean may_refuse(const wb_exchange_t *exchange) {
     return wb_list_is_linked(&exchange->waiting) ||
            (exchange->attempt != NULL && !exchange->first_event_seen);
 }
@@ -112,7 +113,7 @@
     for (GList *item = open; item != NULL; item = item->next) {
         wb_exchange_t *exchange = item->data;
         /* What ends one request may end others. */
-        if (g_hash_table_contains(edge->open, exchange) && may_be_stopped(exchange) &&
+        if (g_hash_table_contains(edge->open, exchange) && may_refuse(exchange) &&
             !wb_exchange_may_send(exchange)) {
             wb_exchange_give_up(exchange, WB_ENDING_POISON);
         }
@@ -132,7 +133,7 @@
     wb_edge_t *edge = context;
     uint64_t engine = wb_poison_engine_hash(engine_id);
     int64_t now_ms = wb_clock_ms();
-    gboolean news = FALSE;
+    gboolean changed = FALSE;
     for (guint i = 0; i < requests->len; i++) {
         const wb_broken_request_t *request = &g_array_index(requests, wb_broken_request_t, i);
         if (wb_served_set_has(edge->served, &request->digest, now_ms)) {
@@ -140,12 +141,12 @@
         }
         if (wb_poison_book_note(edge->poison, &request->digest, request->body_bytes, engine,
                                 now_ms)) {
-            news = TRUE;
+            changed = TRUE;
             suspicion_log(wb_poison_book_find(edge->poison, &request->digest), engine_id);
         }
     }
-    if (news) {
-        book_changed(edge);
+    if (changed) {
+        poison_changed(edge);
         wb_exchanges_refuse_poison(edge);
     }
 }
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-#define FAR_FUTURE_MS (24 * 3600 * 1000LL)
+#define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
 /* So long into a planned stop every request is still taken. */
-#define STOP_TAKES_MS 2800
+#define STOP_ACCEPT_MS 2800
 /* Time that a short request is given to end, and time kept free before the stop's end. */
 #define STOP_SHORT_MS 1000
 #define STOP_RESERVE_MS 800
@@ -43,20 +43,20 @@
 }
 
 /* Tokens that the answer is expected to have: by hint, kind, and the caller's limit. */
-static void length_read(wb_exchange_t *exchange) {
+static void output_length_read(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const char *usage = wb_http_head_get(exchange->head, edge->dialect->token_usage);
     const char *comma = usage != NULL ? strchr(usage, ',') : NULL;
-    double most = comma != NULL ? (double)g_ascii_strtoull(comma + 1, NULL, 10) : 0;
+    double max_tokens = comma != NULL ? (double)g_ascii_strtoull(comma + 1, NULL, 10) : 0;
     double hint = (double)wb_http_head_number(exchange->head, edge->dialect->length_hint, 0);
     exchange->out_tokens =
-        (int64_t)wb_length_guess_tokens(edge->lengths, exchange->route->name, hint, most);
+        (int64_t)wb_length_guess_tokens(edge->lengths, exchange->route->name, hint, max_tokens);
 }
 
 static void deadline_read(wb_exchange_t *exchange) {
     int64_t deadline_ms =
-        wb_http_head_number(exchange->head, exchange->edge->dialect->deadline_ms, FAR_FUTURE_MS);
-    deadline_ms = CLAMP(deadline_ms, 1, FAR_FUTURE_MS);
+        wb_http_head_number(exchange->head, exchange->edge->dialect->deadline_ms, DEADLINE_MAX_MS);
+    deadline_ms = CLAMP(deadline_ms, 1, DEADLINE_MAX_MS);
     exchange->deadline_ms = exchange->began_ms + deadline_ms;
     exchange->hold_until_ms = exchange->deadline_ms;
     int64_t timeout_ms = exchange->route->timeout_ms;
@@ -75,10 +75,10 @@
 }
 
 /* Late in a planned stop a request is taken only if it will surely end in time. */
-static gboolean comes_too_late(const wb_exchange_t *exchange) {
+static gboolean is_too_late_to_accept(const wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
-    if (edge->drain_began_ms == 0 || now_ms - edge->drain_began_ms < STOP_TAKES_MS)
+    if (edge->drain_began_ms == 0 || now_ms - edge->drain_began_ms < STOP_ACCEPT_MS)
         return FALSE;
     int64_t end_ms = edge->drain_began_ms + (int64_t)(edge->settings.stop_grace_s * 1000);
     return exchange->route->kind == WB_ROUTE_STREAM ||
@@ -95,7 +95,7 @@
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     if (spec == NULL || !adapter_is_known(spec, exchange->adapter))
         return WB_ENDING_UNKNOWN_MODEL;
-    length_read(exchange);
+    output_length_read(exchange);
     return WB_ENDING_COUNT;
 }
 
@@ -113,10 +113,10 @@
         return WB_ENDING_NO_ROUTE;
     exchange->route = route;
     deadline_read(exchange);
-    wb_ending_t ending = wb_exchange_read_tenant(exchange);
-    if (ending != WB_ENDING_COUNT)
-        return ending;
-    if (comes_too_late(exchange))
+    wb_ending_t outcome = wb_exchange_read_tenant(exchange);
+    if (outcome != WB_ENDING_COUNT)
+        return outcome;
+    if (is_too_late_to_accept(exchange))
         return WB_ENDING_STOPPING;
     const char *service = wb_route_pick_service(route);
     exchange->service = service != NULL ? wb_catalog_service(edge->catalog, service) : NULL;
@@ -124,14 +124,14 @@
         return WB_ENDING_NO_ENGINE;
     if (!wb_balancer_has_home(edge, exchange))
         return WB_ENDING_NO_ENGINE;
-    ending = model_find(exchange);
-    if (ending != WB_ENDING_COUNT)
-        return ending;
+    outcome = model_find(exchange);
+    if (outcome != WB_ENDING_COUNT)
+        return outcome;
     return wb_exchange_charge_quota(exchange) ? WB_ENDING_COUNT : WB_ENDING_OVER_QUOTA;
 }
 
-unsigned wb_ending_status(wb_ending_t ending) {
-    switch (ending) {
+unsigned wb_ending_status(wb_ending_t outcome) {
+    switch (outcome) {
     case WB_ENDING_BAD_REQUEST:
         return 400;
     case WB_ENDING_BAD_KEY:
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -15,7 +15,7 @@
 wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const wb_route_t *route = exchange->route;
-    exchange->rank = route->rank;
+    exchange->priority = route->rank;
     if (exchange->catalog->tenants == NULL) {
         return WB_ENDING_COUNT;
     }
@@ -26,7 +26,7 @@
     }
     if (exchange->tenant != NULL) {
         if (exchange->tenant->rank != WB_TENANT_NO_RANK) {
-            exchange->rank = exchange->tenant->rank;
+            exchange->priority = exchange->tenant->rank;
         }
         return WB_ENDING_COUNT;
     }
@@ -37,7 +37,7 @@
 }
 
 /* Prompt tokens and most tokens out, together; -1 when the request names none. */
-static double tokens_named(const wb_exchange_t *exchange) {
+static double requested_tokens(const wb_exchange_t *exchange) {
     const char *text = wb_http_head_get(exchange->head, exchange->edge->dialect->token_usage);
     if (text == NULL || !g_ascii_isdigit(*text)) {
         return -1;
@@ -47,8 +47,8 @@
     return *end == ',' ? tokens + (double)g_ascii_strtoull(end + 1, NULL, 10) : tokens;
 }
 
-static void spent_log(const wb_exchange_t *exchange, double cost,
-                      const wb_quota_verdict_t *verdict) {
+static void over_quota_log(const wb_exchange_t *exchange, double cost,
+                           const wb_quota_verdict_t *verdict) {
     int64_t age_ms = verdict->told_ms != 0 ? wb_clock_ms() - verdict->told_ms : -1;
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
@@ -60,7 +60,7 @@
 
 /* Kinds of request are told apart by their service and their route's rank: a tenant's own rank is
  * the same for all of its requests. */
-static wb_quota_kind_t kind_of(const wb_exchange_t *exchange) {
+static wb_quota_kind_t traffic_class(const wb_exchange_t *exchange) {
     if (exchange->edge->settings.quota_order == 0) {
         return WB_QUOTA_OTHER_KINDS;
     }
@@ -72,21 +72,22 @@
     if (exchange->tenant == NULL) {
         return TRUE;
     }
-    double cost = wb_tenant_cost(exchange->tenant, tokens_named(exchange));
-    wb_quota_verdict_t verdict = wb_quota_gate_ask(edge->quota, exchange->tenant, kind_of(exchange),
-                                                   cost, edge->node_count, wb_clock_ms());
+    double cost = wb_tenant_cost(exchange->tenant, requested_tokens(exchange));
+    wb_quota_verdict_t verdict =
+        wb_quota_gate_ask(edge->quota, exchange->tenant, traffic_class(exchange), cost,
+                          edge->node_count, wb_clock_ms());
     if (verdict.admitted) {
         exchange->quota_cost = cost;
         return TRUE;
     }
     exchange->quota_retry_ms = verdict.retry_ms;
-    spent_log(exchange, cost, &verdict);
+    over_quota_log(exchange, cost, &verdict);
     return FALSE;
 }
 
 void wb_exchange_settle_quota(const wb_exchange_t *exchange) {
     if (exchange->quota_cost > 0 && exchange->runs != 1) {
-        wb_quota_gate_adjust(exchange->edge->quota, exchange->tenant->name, kind_of(exchange),
+        wb_quota_gate_adjust(exchange->edge->quota, exchange->tenant->name, traffic_class(exchange),
                              exchange->quota_cost * ((double)exchange->runs - 1));
     }
 }
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -5,25 +5,25 @@
 
 #include <string.h>
 
-#define RETRY_AFTER_MS 300
+#define DEFAULT_RETRY_AFTER_MS 300
 /* A node that has just started knows no configuration yet: it reads one 0.5 s after a start of the
  * whole system (docs/PLATFORM.md), and callers that come back before are refused again. */
 #define NO_CATALOG_MS 700
-#define COME_BACK_MARGIN_MS 50
+#define RETRY_AFTER_MARGIN_MS 50
 /* An expected load may be so much late before its waiters are refused; then a prompt is read. */
-#define LOAD_LATE_MS 700
+#define LOAD_GRACE_MS 700
 #define SERVE_MS 150
 /* Who decides on loads answers a new need within some ms, at 1,000 engines within some tens; the
  * news pass one link. Who has heard nothing after so long won't. An adapter is there by then, too,
  * unless its engine is loading a model. */
-#define DECIDED_MS 600
+#define DECISION_MS 600
 /* Who waits for an engine that opens is sent at the next tick or, on a slow machine, the one after.
  */
-#define OPENS_MARGIN_MS 100
+#define AVAILABLE_MARGIN_MS 100
 /* A caller of a stream leaves after the longest of a fixed time, some targets, and some gaps. */
-#define STREAM_PATIENCE_MS 2000
-#define STREAM_PATIENCE_TARGETS 4
-#define STREAM_PATIENCE_GAPS 8
+#define STREAM_TIMEOUT_MS 2000
+#define STREAM_TIMEOUT_TARGETS 4
+#define STREAM_TIMEOUT_GAPS 8
 
 void wb_exchange_leave_waiting(wb_exchange_t *exchange) {
     if (!wb_list_is_linked(&exchange->waiting)) {
@@ -33,7 +33,7 @@
     int64_t waited_ms = wb_clock_ms() - exchange->waiting_since_ms;
     exchange->waited_ms += waited_ms;
     wb_histogram_add(&exchange->edge->metrics.wait_ms, waited_ms);
-    if (exchange->wants_load) {
+    if (exchange->awaits_load) {
         wb_demand_waiting(exchange->edge->demand, exchange, FALSE);
     }
 }
@@ -59,14 +59,14 @@
 }
 
 /* What loading the model takes at the engine that has it nearest at hand. */
-static int64_t quickest_load_ms(const wb_exchange_t *exchange, const wb_model_spec_t *spec) {
+static int64_t min_load_ms(const wb_exchange_t *exchange, const wb_model_spec_t *spec) {
     const GPtrArray *engines = wb_fleet_service(exchange->edge->fleet, exchange->service->name);
-    double quickest_ms = (double)spec->store_load_ms;
+    double min_ms = (double)spec->store_load_ms;
     for (guint i = 0; engines != NULL && i < engines->len; i++) {
         const wb_engine_t *engine = g_ptr_array_index(engines, i);
-        quickest_ms = MIN(quickest_ms, wb_placement_load_ms(spec, engine->state, NULL));
+        min_ms = MIN(min_ms, wb_placement_load_ms(spec, engine->state, NULL));
     }
-    return (int64_t)quickest_ms;
+    return (int64_t)min_ms;
 }
 
 /* Returns ms until what the request lacks should be there: as the controller told, or, while there
@@ -81,7 +81,7 @@
     gboolean held =
         wb_fleet_holds(edge->fleet, exchange->service->name, exchange->model, "", now_ms);
     const int64_t *ready_ms = held ? NULL : expected_find(exchange);
-    if (ready_ms != NULL && *ready_ms + LOAD_LATE_MS >= now_ms) {
+    if (ready_ms != NULL && *ready_ms + LOAD_GRACE_MS >= now_ms) {
         return MAX(*ready_ms - now_ms, 0);
     }
     wb_controller_view_t view = controller_view(edge);
@@ -92,17 +92,17 @@
     if (spec == NULL || held) {
         return view.back_in_ms;
     }
-    return view.back_in_ms + quickest_load_ms(exchange, spec);
+    return view.back_in_ms + min_load_ms(exchange, spec);
 }
 
 /* Time until an engine opens that could serve the request; -1: none is known to. */
-static int64_t opens_in_ms(const wb_exchange_t *exchange) {
+static int64_t engine_available_in_ms(const wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
     if (exchange->service == NULL) {
         return -1;
     }
-    int64_t opens_ms = wb_balancer_opening(exchange->edge, exchange, now_ms).at_ms;
-    return opens_ms != G_MAXINT64 ? MAX(opens_ms - now_ms, 0) : -1;
+    int64_t available_ms = wb_balancer_opening(exchange->edge, exchange, now_ms).at_ms;
+    return available_ms != G_MAXINT64 ? MAX(available_ms - now_ms, 0) : -1;
 }
 
 /* When coming back has a use: once the model should be there, or an engine opens, else soon. */
@@ -111,15 +111,15 @@
         return NO_CATALOG_MS;
     }
     int64_t ready_in_ms = model_ready_in_ms(exchange);
-    int64_t opens_ms = opens_in_ms(exchange);
-    if (opens_ms >= 0 && (ready_in_ms <= 0 || opens_ms < ready_in_ms)) {
-        return MAX(opens_ms + COME_BACK_MARGIN_MS, RETRY_AFTER_MS);
+    int64_t available_ms = engine_available_in_ms(exchange);
+    if (available_ms >= 0 && (ready_in_ms <= 0 || available_ms < ready_in_ms)) {
+        return MAX(available_ms + RETRY_AFTER_MARGIN_MS, DEFAULT_RETRY_AFTER_MS);
     }
     if (ready_in_ms > 0) {
-        return ready_in_ms + COME_BACK_MARGIN_MS;
+        return ready_in_ms + RETRY_AFTER_MARGIN_MS;
     }
     wb_controller_view_t view = controller_view(exchange->edge);
-    return view.reach == WB_CONTROLLER_UNREACHED ? view.back_in_ms : RETRY_AFTER_MS;
+    return view.reach == WB_CONTROLLER_UNREACHED ? view.back_in_ms : DEFAULT_RETRY_AFTER_MS;
 }
 
 int64_t wb_exchange_patience_ms(const wb_exchange_t *exchange) {
@@ -127,53 +127,53 @@
     int64_t time_ms = exchange->hold_until_ms - exchange->began_ms;
     if (route->kind != WB_ROUTE_STREAM || route->target_latency_ms == 0)
         return time_ms;
-    int64_t patience_ms =
-        MAX(STREAM_PATIENCE_MS, MAX(STREAM_PATIENCE_TARGETS * route->target_latency_ms,
-                                    STREAM_PATIENCE_GAPS * route->target_gap_ms));
-    return MIN(time_ms, patience_ms);
+    int64_t timeout_ms =
+        MAX(STREAM_TIMEOUT_MS, MAX(STREAM_TIMEOUT_TARGETS * route->target_latency_ms,
+                                   STREAM_TIMEOUT_GAPS * route->target_gap_ms));
+    return MIN(time_ms, timeout_ms);
 }
 
 /* Steady time until which it has a use to wait for an engine that takes none of this node's
  * requests for the moment; 0: none could serve it, or not in time. */
-static int64_t opening_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *opening) {
-    int64_t serve_ms = exchange->model != NULL || opening->is_cold ? SERVE_MS : 0;
+static int64_t engine_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *next) {
+    int64_t serve_ms = exchange->model != NULL || next->is_cold ? SERVE_MS : 0;
     int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - serve_ms;
-    return opening->at_ms < useful_until_ms ? opening->at_ms + OPENS_MARGIN_MS : 0;
+    return next->at_ms < useful_until_ms ? next->at_ms + AVAILABLE_MARGIN_MS : 0;
 }
 
 /* Nothing is known of when the model, or its adapter, is there. It has a use to wait as long as the
  * answer can be in time, and until a load would have ended that was decided on at once. */
-static int64_t unknown_wait_until_ms(const wb_exchange_t *exchange) {
+static int64_t default_wait_until_ms(const wb_exchange_t *exchange) {
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
-    int64_t load_ms = spec != NULL ? quickest_load_ms(exchange, spec) : 0;
+    int64_t load_ms = spec != NULL ? min_load_ms(exchange, spec) : 0;
     int64_t in_time_ms = exchange->route->target_latency_ms - SERVE_MS;
     int64_t useful_ms = MAX(wb_exchange_patience_ms(exchange) - SERVE_MS, 0);
-    return exchange->began_ms + MIN(MAX(in_time_ms, DECIDED_MS + load_ms), useful_ms);
+    return exchange->began_ms + MIN(MAX(in_time_ms, DECISION_MS + load_ms), useful_ms);
 }
 
 /* Steady time until which it has a use to wait for another replica of a model that is held only by
  * engines which don't open in time; in the past when it has none. */
 static int64_t replica_wait_until_ms(const wb_exchange_t *exchange) {
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
-    int64_t load_ms = spec != NULL ? quickest_load_ms(exchange, spec) : 0;
-    int64_t ready_ms = exchange->began_ms + WB_PLACEMENT_STUCK_MS + DECIDED_MS + load_ms;
+    int64_t load_ms = spec != NULL ? min_load_ms(exchange, spec) : 0;
+    int64_t ready_ms = exchange->began_ms + WB_PLACEMENT_STUCK_MS + DECISION_MS + load_ms;
     int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - SERVE_MS;
-    return ready_ms < useful_until_ms ? unknown_wait_until_ms(exchange) : 0;
+    return ready_ms < useful_until_ms ? default_wait_until_ms(exchange) : 0;
 }
 
 /* Steady time until which it has a use to wait for a load; in the past when it has none. */
-static int64_t load_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *opening) {
+static int64_t load_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *next) {
     if (exchange->model == NULL) {
         return 0;
     }
     int64_t ready_in_ms = model_ready_in_ms(exchange);
     if (ready_in_ms < 0) {
-        gboolean in_vain = controller_view(exchange->edge).reach == WB_CONTROLLER_UNREACHED;
-        gboolean held = opening->at_ms != G_MAXINT64;
-        if (in_vain) {
+        gboolean unreachable = controller_view(exchange->edge).reach == WB_CONTROLLER_UNREACHED;
+        gboolean held = next->at_ms != G_MAXINT64;
+        if (unreachable) {
             return 0;
         }
-        return held ? replica_wait_until_ms(exchange) : unknown_wait_until_ms(exchange);
+        return held ? replica_wait_until_ms(exchange) : default_wait_until_ms(exchange);
     }
     int64_t ready_ms = wb_clock_ms() + ready_in_ms;
     int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - SERVE_MS;
@@ -181,43 +181,43 @@
         return 0;
     }
     /* A load that is late is no reason to leave earlier than with no load in sight. */
-    return MIN(MAX(ready_ms + LOAD_LATE_MS, unknown_wait_until_ms(exchange)), useful_until_ms);
+    return MIN(MAX(ready_ms + LOAD_GRACE_MS, default_wait_until_ms(exchange)), useful_until_ms);
 }
 
 /* For what a request waits, and until when that has a use: in the past when it has none. */
 typedef struct wb_wait_t {
-    gboolean awaits_opening;
-    gboolean wants_load;
+    gboolean awaits_engine;
+    gboolean awaits_load;
     int64_t until_ms;
 } wb_wait_t;
 
 static wb_wait_t wait_decide(const wb_exchange_t *exchange) {
-    wb_opening_t opening = wb_balancer_opening(exchange->edge, exchange, wb_clock_ms());
-    int64_t opening_until_ms = opening_wait_until_ms(exchange, &opening);
-    gboolean awaits_opening = opening_until_ms != 0;
-    if (awaits_opening && opening.is_cold) {
-        return (wb_wait_t){TRUE, FALSE, opening_until_ms};
+    wb_opening_t next = wb_balancer_opening(exchange->edge, exchange, wb_clock_ms());
+    int64_t engine_until_ms = engine_wait_until_ms(exchange, &next);
+    gboolean awaits_engine = engine_until_ms != 0;
+    if (awaits_engine && next.is_cold) {
+        return (wb_wait_t){TRUE, FALSE, engine_until_ms};
     }
-    int64_t load_until_ms = load_wait_until_ms(exchange, &opening);
-    return (wb_wait_t){awaits_opening, TRUE, MAX(opening_until_ms, load_until_ms)};
+    int64_t load_until_ms = load_wait_until_ms(exchange, &next);
+    return (wb_wait_t){awaits_engine, TRUE, MAX(engine_until_ms, load_until_ms)};
 }
 
 /* What it waited for has changed: an engine that it awaited is no longer there, say. Who waits for
  * a load alone is told by news of loads. */
-static void wait_check(wb_exchange_t *exchange) {
-    if (exchange->wants_load && !exchange->awaits_opening) {
+static void wait_recheck(wb_exchange_t *exchange) {
+    if (exchange->awaits_load && !exchange->awaits_engine) {
         return;
     }
     wb_wait_t wait = wait_decide(exchange);
-    exchange->awaits_opening = wait.awaits_opening;
+    exchange->awaits_engine = wait.awaits_engine;
     if (exchange->wait_until_ms != wait.until_ms) {
         exchange->wait_until_ms = wait.until_ms;
         wb_exchange_arm_hold(exchange);
     }
-    if (exchange->wants_load || !wait.wants_load) {
+    if (exchange->awaits_load || !wait.awaits_load) {
         return;
     }
-    exchange->wants_load = TRUE;
+    exchange->awaits_load = TRUE;
     wb_demand_waiting(exchange->edge->demand, exchange, TRUE);
     if (exchange->model != NULL && exchange->edge->on_need != NULL) {
         exchange->edge->on_need(exchange->edge->need_context);
@@ -228,17 +228,17 @@
 void wb_exchange_wait(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     if (wb_list_is_linked(&exchange->waiting)) {
-        wait_check(exchange);
+        wait_recheck(exchange);
         return;
     }
     wb_wait_t wait = wait_decide(exchange);
-    exchange->awaits_opening = wait.awaits_opening;
-    exchange->wants_load = wait.wants_load;
+    exchange->awaits_engine = wait.awaits_engine;
+    exchange->awaits_load = wait.awaits_load;
     exchange->wait_until_ms = wait.until_ms;
     exchange->waiting_since_ms = wb_clock_ms();
     wb_list_add_tail(&edge->waiting, &exchange->waiting);
     edge->metrics.waits++;
-    if (exchange->wants_load) {
+    if (exchange->awaits_load) {
         wb_demand_waiting(edge->demand, exchange, TRUE);
     }
     wb_event(
@@ -248,7 +248,7 @@
         wb_event_text(exchange->adapter), exchange->service->name,
         (long long)MAX(exchange->wait_until_ms - exchange->waiting_since_ms, 0));
     wb_exchange_arm_hold(exchange);
-    if (exchange->model != NULL && exchange->wants_load && edge->on_need != NULL)
+    if (exchange->model != NULL && exchange->awaits_load && edge->on_need != NULL)
         edge->on_need(edge->need_context);
 }
 
@@ -264,8 +264,8 @@
     if (wb_list_is_linked(&exchange->waiting)) {
         return;
     }
-    exchange->wants_load = FALSE;
-    exchange->awaits_opening = FALSE;
+    exchange->awaits_load = FALSE;
+    exchange->awaits_engine = FALSE;
     exchange->wait_until_ms = exchange->hold_until_ms;
     exchange->waiting_since_ms = wb_clock_ms();
     wb_list_add_tail(&exchange->edge->waiting, &exchange->waiting);
@@ -301,7 +301,7 @@
 }
 
 /* What is known of its model has changed: who waits in vain is refused by the timer, at once. */
-static void wait_reconsider(wb_exchange_t *exchange) {
+static void wait_update(wb_exchange_t *exchange) {
     exchange->wait_until_ms = wait_decide(exchange).until_ms;
     wb_exchange_arm_hold(exchange);
 }
@@ -315,14 +315,14 @@
         wb_exchange_t *exchange = WB_LIST_OF(item, wb_exchange_t, waiting);
         if (exchange->model != NULL && strcmp(exchange->model, model) == 0 &&
             strcmp(exchange->service->name, service) == 0) {
-            wait_reconsider(exchange);
+            wait_update(exchange);
         }
     }
 }
 
 void wb_exchanges_reconsider(wb_edge_t *edge) {
     WB_LIST_EACH(item, &edge->waiting) {
-        wait_reconsider(WB_LIST_OF(item, wb_exchange_t, waiting));
+        wait_update(WB_LIST_OF(item, wb_exchange_t, waiting));
     }
 }
 
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -192,48 +192,48 @@
     wb_request_digest_t digest;
     uint64_t poison_version; /* of the book of poison requests that is_poison was read in */
     gboolean is_poison;
-    gboolean is_trial;      /* it is sent though it is refused: whether it still crashes engines */
-    int rank;               /* 0 is the most urgent: its tenant's, or else its route's */
-    double quota_cost;      /* that its tenant's limit was charged; 0: not admitted yet */
-    int64_t room_retry_ms;  /* when there is no room: time until there may be */
-    int64_t quota_retry_ms; /* when the limit is spent: time until there may be room */
-    GArray *parts;          /* of wb_prompt_part_t */
+    gboolean is_trial; /* it is sent though it is refused: whether it still crashes engines */
+    int priority;      /* 0 is the most urgent: its tenant's, or else its route's */
+    double quota_cost; /* that its tenant's limit was charged; 0: not admitted yet */
+    int64_t overload_retry_ms; /* when there is no room: time until there may be */
+    int64_t quota_retry_ms;    /* when the limit is spent: time until there may be room */
+    GArray *parts;             /* of wb_prompt_part_t */
     int64_t prompt_tokens;
     int64_t out_tokens; /* that its answer is expected to have */
     int64_t began_ms;
     int64_t deadline_ms;   /* steady time at which the caller stops waiting */
     int64_t hold_until_ms; /* steady time at which the final answer is due */
     int64_t wait_until_ms; /* steady time until which waiting for an engine has a use */
-    wb_timer_t *hold_timer;
-    wb_timer_t *patience_timer;
-    wb_list_item_t waiting;  /* on edge->waiting */
-    gboolean wants_load;     /* it waits for a model or adapter, not for an engine that is cold */
-    gboolean awaits_opening; /* it waits for an engine that will take it */
+    wb_timer_t *due_timer;
+    wb_timer_t *silence_timer;
+    wb_list_item_t waiting; /* on edge->waiting */
+    gboolean awaits_load;   /* it waits for a model or adapter, not for an engine that is cold */
+    gboolean awaits_engine; /* it waits for an engine that will take it */
     int64_t waiting_since_ms;
     int64_t waited_ms;
-    wb_attempt_t *attempt;   /* the one under way, or NULL */
-    wb_engine_t *engine;     /* of the last sending; a reference, or NULL */
-    int64_t sent_ms;         /* of the last sending */
-    int64_t written_ms;      /* when its first byte left */
-    wb_sending_t sending;    /* the last one, as it was decided on */
-    gboolean counted;        /* the sending counts as running at its engine */
-    gboolean limit_noted;    /* it counts against its engine's limit */
-    int64_t prefill_counted; /* prompt tokens that count at its engine */
+    wb_attempt_t *attempt;    /* the one under way, or NULL */
+    wb_engine_t *engine;      /* of the last sending; a reference, or NULL */
+    int64_t sent_ms;          /* of the last sending */
+    int64_t written_ms;       /* when its first byte left */
+    wb_sending_t decision;    /* the last one, as it was decided on */
+    gboolean running_counted; /* the sending counts as running at its engine */
+    gboolean limit_counted;   /* it counts against its engine's limit */
+    int64_t prefill_counted;  /* prompt tokens that count at its engine */
     wb_reply_t reply;
     gboolean paused; /* the caller doesn't take its answer: the engine isn't read */
     GArray *tried;   /* of wb_tried_engine_t, the last one last */
     unsigned sends;  /* sendings that may have reached an engine */
     unsigned runs;   /* engines that ran it, or may have */
     unsigned rejections;
-    unsigned unreached;    /* sendings that never were connected */
-    gboolean answer_begun; /* the caller has got a head */
-    gboolean resuming;     /* the attempt goes on with a stream already begun */
-    GByteArray *answer;    /* bytes of the answer not yet passed on */
+    unsigned connect_failures; /* sendings that never were connected */
+    gboolean answer_begun;     /* the caller has got a head */
+    gboolean resuming;         /* the attempt goes on with a stream already begun */
+    GByteArray *answer;        /* bytes of the answer not yet passed on */
     char *last_event_id;
     gboolean first_event_seen;
     int64_t first_event_ms;
     int64_t last_event_ms; /* steady time; 0: no event yet */
-    int64_t most_pause_ms; /* longest time between two events */
+    int64_t max_pause_ms;  /* longest time between two events */
     unsigned events;       /* reads in which events came */
 };
 
