--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -1,4 +1,5 @@
-/* Chooses the engine of each sending. */
+/* Chooses the engine of each attempt, and computes when engines become available to this node.
+ * Times are monotonic, in ms. */
 #include "request/request_types.h"
 
 #include "dispatch/engine_choice.h"
@@ -7,24 +8,27 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* What the caller of a request loses by an engine's state, in ms. */
+/* Costs of an engine's state, in ms of the client's time. */
 #define AVOIDED_COST_MS 100000.0
 #define REJECTED_COST_MS 2000.0
 #define DRAINING_COST_MS 1000000.0
 #define OTHER_ZONE_COST_MS 3.0
 #define FAILURE_COST_MS 200.0
-/* What an engine told of its load is 200 ms old and changes with each request. */
+/* Time constant of the decay of engine-reported load: it changes with each request. */
 #define REPORT_DECAY_MS 1000.0
 #define PREFIX_KEPT_MS 30000
 #define UNRESPONSIVE_MS 300.0
-/* A cold engine is used where no warm one would answer much earlier: it bears few requests. */
+/* A cold engine can sustain few requests, so it is used only where no warm engine would answer much
+ * earlier. */
 #define COLD_COST_MS 200.0
-/* What a limited engine takes is kept for what no other engine holds. */
+/* The capacity of a limited engine is kept for models that no other engine holds. */
 #define LIMITED_COST_MS 1000.0
-/* Nodes come and go: what they share is dealt out anew after so long. */
+/* Interval at which this node's shares are recomputed, as nodes join and leave. */
 #define SHARE_REFRESH_MS 1000
 #define PREFIXES_MAX 512
-/* A key for a part of a prompt: what was read before it counts too, and the model that read it. */
+
+/* Key of a prompt prefix that ends with this part. `before` is the key of the parts before it, or
+ * of the model and adapter. */
 static uint64_t part_hash(uint64_t before, const char *id) {
     return XXH64(id, strlen(id), before);
 }
@@ -34,7 +38,7 @@
     return XXH64(exchange->adapter, strlen(exchange->adapter), seed);
 }
 
-/* Hash of all but the last part: what requests of a kind have in common. */
+/* Hash of all parts but the last: the prefix that similar requests share. */
 static uint64_t shared_hash(const wb_exchange_t *exchange) {
     uint64_t hash = prompt_seed(exchange);
     for (guint i = 0; i + 1 < exchange->parts->len; i++)
@@ -76,7 +80,8 @@
     }
 }
 
-/* Running and waiting requests there: this node's own count, or what its last answer told, aged. */
+/* Requests that run or wait at the engine: the larger of this node's count and the decayed load of
+ * the engine's last response. */
 static double engine_load(const wb_engine_t *engine, int64_t now_ms) {
     double own = engine->running;
     if (engine->reported_ms == 0)
@@ -87,8 +92,8 @@
     return MAX(own, trust * reported);
 }
 
-/* Tokens that the engine is expected to read for this request. Other nodes send the same shared
- * parts to their home, and some of them to other engines. */
+/* Prompt tokens that the engine is expected to prefill. All nodes prefer the same engine for a
+ * shared prefix, so that engine is taken to have it cached, whichever node sent it. */
 static double expected_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                               gboolean is_preferred, int64_t now_ms) {
     double unread = (double)wb_balancer_unread_tokens(engine, exchange, now_ms);
@@ -100,8 +105,7 @@
     return unread;
 }
 
-/* Requests were sent and no byte of any has come back, for longer than reading their prompts takes.
- */
+/* Whether the engine has sent no byte for longer than the prefill of its pending requests takes. */
 static gboolean is_unresponsive(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
     if (engine->unheard_since_ms == 0)
         return FALSE;
@@ -110,7 +114,7 @@
     return (double)(now_ms - engine->unheard_since_ms) > allowed_ms;
 }
 
-/* What is known of an engine beside its load. */
+/* Cost of an engine's state other than its load. */
 static double penalty_ms(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
     double cost = FAILURE_COST_MS * MIN(engine->failures, 8);
     if (strcmp(engine->state->zone, edge->settings.zone) != 0)
@@ -172,8 +176,8 @@
     return choice;
 }
 
-/* Steady time from which an engine is open to a request again that it turned away; 0: it has not
- * been tried; G_MAXINT64: never again. */
+/* Time from which a request may be sent again to an engine that it was sent to; 0: it was not sent
+ * there; G_MAXINT64: never. */
 static int64_t tried_until_ms(const wb_exchange_t *exchange, const wb_engine_t *engine) {
     for (guint i = exchange->tried->len; i > 0; i--) {
         const wb_tried_engine_t *tried = &g_array_index(exchange->tried, wb_tried_engine_t, i - 1);
@@ -184,7 +188,7 @@
     return 0;
 }
 
-/* Steady time from which a cold engine takes another request of this node. */
+/* Time from which a cold engine accepts another request of this node. */
 static int64_t cold_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
                                  const wb_service_t *service, unsigned ahead, int64_t now_ms) {
     const wb_edge_settings_t *settings = &edge->settings;
@@ -204,7 +208,8 @@
     return MIN(available_ms, engine->cold_until_ms);
 }
 
-/* Steady time from which an engine that has named a limit takes another request of this node. */
+/* Time from which an engine accepts another request of this node under the limit that it reported.
+ */
 static int64_t limit_available_ms(const wb_edge_t *edge, wb_engine_t *engine, unsigned ahead,
                                   int64_t now_ms) {
     if (!engine->limit.named) {
@@ -220,7 +225,8 @@
     return wb_engine_limit_opens_ms(&engine->limit, &engine->place, ahead, now_ms);
 }
 
-/* Steady time from which an engine takes another request of this node, as it has told itself. */
+/* Time from which an engine accepts another request of this node: it may be cold, limited, or have
+ * asked for a backoff. */
 static int64_t engine_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
                                    const wb_service_t *service, unsigned ahead, int64_t now_ms) {
     int64_t cold_ms = cold_available_ms(edge, engine, service, ahead, now_ms);
@@ -229,7 +235,7 @@
     return MAX(available_ms, engine->rest_until_ms);
 }
 
-/* Regions that a request's tenant names; NULL: none. */
+/* Regions allowed by the request's tenant; NULL: all. */
 static const char *const *tenant_regions(const wb_exchange_t *exchange) {
     return exchange->tenant != NULL ? (const char *const *)exchange->tenant->homes : NULL;
 }
@@ -238,7 +244,7 @@
     return exchange->route->homes == NULL && tenant_regions(exchange) == NULL;
 }
 
-/* Whether the request may be served where the engine stands. */
+/* Whether both the route and the tenant allow the engine's region. */
 static gboolean region_allowed(const wb_exchange_t *exchange, const wb_engine_t *engine) {
     if (any_region_allowed(exchange)) {
         return TRUE;
@@ -261,7 +267,7 @@
     return FALSE;
 }
 
-/* Whether an engine can serve the request, if not now. */
+/* Whether an engine can serve the request, now or once it is available. */
 static gboolean can_serve(const wb_engine_t *engine, const wb_exchange_t *exchange,
                           int64_t now_ms) {
     if (!wb_engine_is_open(engine, now_ms) || !region_allowed(exchange, engine))
@@ -270,7 +276,7 @@
            wb_engine_holds(engine, exchange->model, exchange->adapter, now_ms);
 }
 
-/* Steady time from which an engine that can serve the request may be sent it. */
+/* Time from which the request may be sent to an engine that can serve it. */
 static int64_t request_available_ms(const wb_edge_t *edge, wb_engine_t *engine,
                                     const wb_exchange_t *exchange, unsigned ahead, int64_t now_ms) {
     int64_t tried_ms = tried_until_ms(exchange, engine);
@@ -284,7 +290,7 @@
            request_available_ms(edge, engine, exchange, 0, now_ms) <= now_ms;
 }
 
-/* Requests that wait for the same engines to open and came before this one. */
+/* Number of earlier requests that wait for the same engines. */
 static unsigned waiting_ahead(const wb_edge_t *edge, const wb_exchange_t *exchange) {
     unsigned ahead = 0;
     WB_LIST_EACH(item, &edge->waiting) {
@@ -335,7 +341,8 @@
     return TRUE;
 }
 
-/* The engine that rendezvous hashing gives a shared prompt: every node finds the same one. */
+/* Engine preferred for the request's shared prefix, by rendezvous hashing: the same at every node.
+ */
 static const wb_engine_t *preferred_find(const wb_exchange_t *exchange, const GPtrArray *usable) {
     if (exchange->model == NULL)
         return NULL;
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -1,4 +1,4 @@
-/* A caller's request, from its arrival to its answer. */
+/* A client's request: its attempts at engines, and the answers of this node itself. */
 #include "request/exchange_inner.h"
 
 #include "dispatch/admission.h"
@@ -6,19 +6,21 @@
 #include <string.h>
 
 #define SENDS_MAX 4
-/* A repeatable request whose engine is silent for this share of its target is tried elsewhere. */
+/* A repeatable request whose engine stays silent for this share of the target latency is sent to
+ * another one. */
 #define SILENCE_SHARE 0.6
 #define SILENCE_MIN_MS 40
+/* How long an engine is avoided after a failure; doubled with each further one in a row. */
 #define AVOID_MS 400
 #define AVOID_MAX_MS 6400
-/* An engine that turned a request away is left alone for so long, if there is another. */
+/* How long an engine that rejected a request is avoided, if there is another. */
 #define REJECTED_AVOID_MS 100
-/* The same request may go to it again after this time, and after twice that the next time. */
+/* Delay before the same request may be sent to it again; doubled with each further rejection. */
 #define REJECTED_RETRY_MS 120
 #define CONNECT_FAILURES_MAX 8
-/* A caller that was told when to come back for a model may be so much later. */
+/* How much later than its Retry-After a client is still expected to retry. */
 #define RETRY_GRACE_MS 500
-/* An engine that was silent for so long is at fault, not its work. */
+/* An engine that was silent for this long is taken to have failed, rather than to be busy. */
 #define SILENT_ENGINE_MS 1000
 
 static void tried_clear(gpointer data) {
@@ -52,14 +54,13 @@
     memset(reply, 0, sizeof(*reply));
 }
 
-/* The engine has read the prompt, or won't: it no longer counts as its backlog. */
 void wb_exchange_release_prefill(wb_exchange_t *exchange) {
     if (exchange->engine != NULL)
         exchange->engine->prefill_tokens -= exchange->prefill_counted;
     exchange->prefill_counted = 0;
 }
 
-/* The sending is over: it no longer counts at its engine. */
+/* The attempt is over: removes it from its engine's counts and from the demand. */
 static void attempt_release(wb_exchange_t *exchange) {
     wb_exchange_clear_timer(&exchange->silence_timer);
     wb_exchange_release_prefill(exchange);
@@ -98,7 +99,6 @@
     g_free(exchange);
 }
 
-/* Notes the end and frees the exchange. Returns its connection, to answer on. */
 wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t ending,
                                       unsigned status) {
     wb_exchange_leave_waiting(exchange);
@@ -125,8 +125,7 @@
     }
 }
 
-/* Gives the final answer of this node's own. The promise "not run" is made only when that is known.
- */
+/* Ends the exchange with an answer of this node. */
 static void exchange_refuse(wb_exchange_t *exchange, wb_ending_t ending, unsigned status) {
     if (exchange->answer_begun) {
         wb_http_connection_abort(wb_exchange_end(exchange, ending, 0));
@@ -139,7 +138,7 @@
     if (status == 503) {
         int64_t retry_after_ms = refusal_retry_after_ms(exchange, ending);
         retry_after_write(headers, sizeof(headers), retry_after_ms);
-        /* Who decides on loads knows what waits; while nobody does, it must be kept for later. */
+        /* No controller receives the demand now: keep it for the next one. */
         if (ending == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
             wb_demand_promised(exchange->edge->demand, exchange,
                                wb_clock_ms() + retry_after_ms + RETRY_GRACE_MS);
@@ -153,8 +152,6 @@
     wb_http_connection_answer(connection, status, wb_http_reason(status), headers, NULL, 0);
 }
 
-/* Gives up: with the ending's own status when the request surely has not run, else with one that
- * promises nothing. */
 void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t ending) {
     unsigned may_have_run = ending == WB_ENDING_TIMED_OUT ? 504 : 502;
     attempt_stop(exchange);
@@ -174,7 +171,7 @@
              (long long)avoid_ms);
 }
 
-/* The engine has sent nothing at all since it got this request, though it had time. */
+/* Whether the engine has sent nothing on any connection since it got this request, for too long. */
 static gboolean engine_is_silent(const wb_exchange_t *exchange) {
     const wb_engine_t *engine = exchange->engine;
     return exchange->attempt != NULL && !exchange->first_event_seen &&
@@ -227,7 +224,7 @@
     wb_exchange_dispatch(exchange);
 }
 
-/* A repeatable request that hears nothing is tried elsewhere. */
+/* Arms the timer after which a repeatable request without an answer is sent to another engine. */
 static void silence_arm(wb_exchange_t *exchange) {
     wb_exchange_clear_timer(&exchange->silence_timer);
     const wb_route_t *route = exchange->route;
@@ -275,7 +272,7 @@
     silence_arm(exchange);
 }
 
-/* Whether an engine is sent a request that it may answer too late. What was sent before goes on. */
+/* Whether a request is sent although its answer may be late. Those that were sent before are. */
 static gboolean is_admitted(wb_exchange_t *exchange, int64_t now_ms) {
     const wb_edge_t *edge = exchange->edge;
     if (edge->settings.admission == 0 || !edge->loads_known || exchange->sends > 0) {
@@ -294,8 +291,8 @@
 
 void wb_exchange_dispatch(wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
-    /* Asked before each sending: the copies that wait for a model would else all be sent once it is
-     * there, to one engine more. */
+    /* Checked before each attempt: else all copies of a poison request that wait for a model would
+     * be sent to one more engine once it is loaded. */
     if (!wb_exchange_may_send(exchange)) {
         wb_exchange_give_up(exchange, WB_ENDING_POISON);
         return;
@@ -327,14 +324,14 @@
     exchange_send(exchange, engine);
 }
 
-/* Sends again after a run that failed or may have run, if that is allowed. Returns FALSE if not. */
+/* Sends a request again that has run or may have. Returns FALSE when that isn't allowed. */
 static gboolean resend_run(wb_exchange_t *exchange) {
     const wb_route_t *route = exchange->route;
     gboolean repeatable =
         route->kind == WB_ROUTE_REPEATABLE || (route->kind == WB_ROUTE_STREAM && route->resumable);
     if (!repeatable || exchange->runs >= (unsigned)MAX(route->max_attempts, 1))
         return FALSE;
-    /* Whether its last engine crashed isn't known yet; if so, the next one would. */
+    /* It isn't known yet whether it crashed its last engine; if so, it would crash the next. */
     if (wb_exchange_is_suspect(exchange))
         return FALSE;
     if (exchange->answer_begun &&
@@ -392,7 +389,7 @@
     wb_exchange_pass_whole(exchange);
 }
 
-/* The digest shows whether the same request broke off at engine after engine. */
+/* The digest shows whether the same request is aborted at engine after engine. */
 static void attempt_failure_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (failure->sent) {
@@ -406,7 +403,7 @@
              (long long)(wb_clock_ms() - exchange->sent_ms), exchange->engine->running);
 }
 
-/* The engine told, while the connection came up, that it takes no more for now. */
+/* The engine became unavailable while the connection was being established. */
 static void attempt_withdraw(wb_exchange_t *exchange) {
     exchange->edge->metrics.sends_withdrawn++;
     wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_text(exchange->id),
@@ -447,7 +444,7 @@
     g_autoptr(GList) open = g_hash_table_get_keys(edge->open);
     for (GList *item = open; item != NULL; item = item->next) {
         const wb_exchange_t *exchange = item->data;
-        /* What ends one request may end others. */
+        /* Ending one request may end others. */
         if (g_hash_table_contains(edge->open, exchange) && exchange->engine == engine &&
             exchange->attempt != NULL) {
             wb_attempt_engine_ended(exchange->attempt);
--- a/src/request/exchange_inner.h
+++ b/src/request/exchange_inner.h
@@ -1,90 +1,96 @@
 /**
  * @file exchange_inner.h
- * @brief What the files of a request share: exchange.c (sendings and answers), exchange_read.c,
- * exchange_budget.c, exchange_tenant.c, exchange_poison.c, exchange_wait.c, exchange_end.c.
+ * @brief Private functions shared by the exchange*.c files, which implement a client's request.
+ *
+ * Names ending in _ms are milliseconds; functions return durations. Functions that may end the
+ * exchange free it and say so: the caller must not use it afterwards. All run on the loop's thread.
  */
 #ifndef WICKBRIDGE_EXCHANGE_INNER_H
 #define WICKBRIDGE_EXCHANGE_INNER_H
 
 #include "request/request_types.h"
 
-/** Send it to an engine, let it wait, or give it up. It may be freed. */
+/* exchange.c */
+/** Send it to an engine, let it wait, or end it. It may be freed. */
 void wb_exchange_dispatch(wb_exchange_t *exchange);
-/** Give the final answer: 503 when it surely has not run, else a status that promises nothing. It
- * is freed. */
+/** End it with an answer of this node: the outcome's own status if it certainly has not run, else
+ * 502 or 504. If the answer has begun, the connection is aborted. It is freed. */
 void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t ending);
-/** Note the end and free the exchange. @return its connection, to answer on */
+/** Record the outcome and free the exchange. @return its connection, to send the answer on */
 wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t ending, unsigned status);
-/** Cancel a timer, if it is set. */
+/** Cancel a timer if it is set, and clear it. */
 void wb_exchange_clear_timer(wb_timer_t **timer);
 void wb_exchange_clear_reply(wb_reply_t *reply);
-/** The engine has read the prompt, or won't: it no longer counts as its backlog. */
+/** The engine has prefilled the prompt, or won't: remove it from the engine's backlog. */
 void wb_exchange_release_prefill(wb_exchange_t *exchange);
-/** Set the timer for when its wait, or its time, is over. */
+/** Arm the timer for the end of its wait if it waits, else for the time its answer is due. */
 void wb_exchange_arm_hold(wb_exchange_t *exchange);
 
-/** Find route, service, model and times. @return WB_ENDING_COUNT, or why it can't be served */
+/* exchange_read.c */
+/** Find its route, service, model and times. @return WB_ENDING_COUNT, or why it can't be served */
 wb_ending_t wb_exchange_read(wb_exchange_t *exchange);
-/** @return the status of an ending that wb_exchange_read gives */
+/** @return the HTTP status of an outcome of a request that has not run */
 unsigned wb_ending_status(wb_ending_t ending);
 
 /* exchange_tenant.c */
-/** Find tenant and rank. @return WB_ENDING_COUNT, or why the request can't be served */
+/** Find its tenant and priority. @return WB_ENDING_COUNT, or why it can't be served */
 wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange);
-/** Charge its tenant's limit for one run. @return FALSE when the limit is spent */
+/** Charge its tenant's limit for one run. @return FALSE when the limit is used up */
 gboolean wb_exchange_charge_quota(wb_exchange_t *exchange);
-/** It has ended: what it didn't run is given back, what it ran more often is charged. */
+/** It has ended: refund the charge if it has not run, and charge each further run. */
 void wb_exchange_settle_quota(const wb_exchange_t *exchange);
 
 /* exchange_budget.c */
-/** It has come: its service may send the more again. */
+/** Count its arrival, which adds to the retry budget of its service. */
 void wb_exchange_count_request(const wb_exchange_t *exchange);
-/** @return how often its service's requests might be sent again now, by this node */
+/** @return resends that this node's retry budget for its service allows now */
 double wb_exchange_resends_left(const wb_exchange_t *exchange);
-/** Take one out of that. @return FALSE when there is none left */
+/** Take one resend from the budget, and log it. @return FALSE when there is none left */
 gboolean wb_exchange_take_resend(wb_exchange_t *exchange);
 
-/** @return time from its arrival after which its caller leaves */
+/* exchange_wait.c */
+/** @return the client timeout, from its arrival */
 int64_t wb_exchange_patience_ms(const wb_exchange_t *exchange);
-/** Let it wait for an engine, as long as that has a use. */
+/** Let it wait for an engine or a load as long as that is useful; if it waits already, update that.
+ */
 void wb_exchange_wait(wb_exchange_t *exchange);
-/** It no longer waits; does nothing when it doesn't. */
+/** End its wait, if it waits. */
 void wb_exchange_leave_waiting(wb_exchange_t *exchange);
-/** @return TRUE while nobody can decide on loads */
+/** @return TRUE while no controller is reachable */
 gboolean wb_exchange_nobody_decides(const wb_exchange_t *exchange);
-/** @return ms after which coming back has a use */
+/** @return the Retry-After for its client */
 int64_t wb_exchange_come_back_ms(const wb_exchange_t *exchange);
 
 /* exchange_poison.c */
-/** @return the digest of what it asks for; worked out when it is first asked for, as that costs
- * some 40 us for a body of 18 KB */
+/** @return the digest of its content; computed on first use, as few requests need it */
 const wb_request_digest_t *wb_exchange_digest(wb_exchange_t *exchange);
 
-/** @return FALSE when it is known to crash the engines that run it, but for one try now and then */
+/** @return FALSE when it is known to crash the engines that run it, unless a trial is due: then it
+ * is marked as the trial */
 gboolean wb_exchange_may_send(wb_exchange_t *exchange);
-/** @return TRUE when one more engine that ends under it makes it poison */
+/** @return TRUE when one more engine that ends while running it makes it poison */
 gboolean wb_exchange_is_suspect(wb_exchange_t *exchange);
-/** @return ms for which that is held against it */
+/** @return the time until its poison entry expires; at least 1 */
 int64_t wb_exchange_poison_left_ms(wb_exchange_t *exchange);
-/** Its engine broke it off, and may have crashed under it. */
+/** Its engine aborted it, and may have crashed while running it. */
 void wb_exchange_note_broken(wb_exchange_t *exchange);
-/** Its engine has answered it whole, whatever the answer is. */
+/** Its engine completed an answer, whatever its status: it didn't crash the engine. */
 void wb_exchange_note_survived(wb_exchange_t *exchange);
 
-/** @return TRUE when the engines that could serve it are known here; else they have been asked for
- */
+/* exchange_wait.c */
+/** @return TRUE when the engines that can serve it are known here; else they have been requested */
 gboolean wb_exchange_engines_known(const wb_exchange_t *exchange);
-/** It waits until its engines are known here, which takes some ms. */
+/** Let it wait until its engines are known here. */
 void wb_exchange_wait_for_engines(wb_exchange_t *exchange);
 
 /* exchange_answer.c */
-/** The answer begins to come; only the first call counts. */
+/** The engine has begun to answer: record the latency. Only the first call has an effect. */
 void wb_exchange_note_first_event(wb_exchange_t *exchange);
-/** Pass the engine's whole answer on, or what is left of it. It is freed. */
+/** Forward the engine's complete answer, or the rest of it. It is freed. */
 void wb_exchange_pass_whole(wb_exchange_t *exchange);
 
 /* exchange_end.c */
-/** Write its end into log, counters and memory for operators. */
+/** Record its outcome in the log, the metrics and the ring of ended requests. */
 void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status);
 
 #endif
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -1,4 +1,5 @@
-/* Waiting for an engine or a model: how long it has a use, and when it ends. */
+/* Requests that wait for an engine or a model load: until when waiting is useful, and when it ends.
+ * Times are monotonic, in ms. */
 #include "request/exchange_inner.h"
 
 #include "control/placement.h"
@@ -6,21 +7,23 @@
 #include <string.h>
 
 #define DEFAULT_RETRY_AFTER_MS 300
-/* A node that has just started knows no configuration yet: it reads one 0.5 s after a start of the
- * whole system (docs/PLATFORM.md), and callers that come back before are refused again. */
+/* Retry-After of a node that has no catalog yet: it reads one 0.5 s after a start of the whole
+ * system (docs/PLATFORM.md), and earlier retries would be refused again. */
 #define NO_CATALOG_MS 700
 #define RETRY_AFTER_MARGIN_MS 50
-/* An expected load may be so much late before its waiters are refused; then a prompt is read. */
+/* How late an expected load may be before the requests that wait for it are refused. */
 #define LOAD_GRACE_MS 700
+/* Time reserved for prefill once the model is loaded. */
 #define SERVE_MS 150
-/* Who decides on loads answers a new need within some ms, at 1,000 engines within some tens; the
- * news pass one link. Who has heard nothing after so long won't. An adapter is there by then, too,
- * unless its engine is loading a model. */
+/* By this time after a request's arrival the controller has reacted to its demand and the update
+ * has reached this node; without one, no load was started. An adapter is loaded by then too, unless
+ * its engine is loading a model. */
 #define DECISION_MS 600
-/* Who waits for an engine that opens is sent at the next tick or, on a slow machine, the one after.
- */
+/* A request that waits for an engine to become available is dispatched at the next tick or, on a
+ * slow machine, the one after. */
 #define AVAILABLE_MARGIN_MS 100
-/* A caller of a stream leaves after the longest of a fixed time, some targets, and some gaps. */
+/* Client timeout of a stream: the longest of a fixed time, a multiple of the target latency and a
+ * multiple of the target gap. */
 #define STREAM_TIMEOUT_MS 2000
 #define STREAM_TIMEOUT_TARGETS 4
 #define STREAM_TIMEOUT_GAPS 8
@@ -58,7 +61,7 @@
     return controller_view(exchange->edge).reach != WB_CONTROLLER_REACHED;
 }
 
-/* What loading the model takes at the engine that has it nearest at hand. */
+/* Shortest load time of the model at any engine of the service, by where each has a copy. */
 static int64_t min_load_ms(const wb_exchange_t *exchange, const wb_model_spec_t *spec) {
     const GPtrArray *engines = wb_fleet_service(exchange->edge->fleet, exchange->service->name);
     double min_ms = (double)spec->store_load_ms;
@@ -69,15 +72,16 @@
     return (int64_t)min_ms;
 }
 
-/* Returns ms until what the request lacks should be there: as the controller told, or, while there
- * is none, once there is one and it is loaded; -1 when nothing is known. */
+/* Returns the time in ms until the request's model should be ready: as reported by the controller,
+ * or, while a takeover is pending, the time until the takeover and a load; -1: not known. */
 static int64_t model_ready_in_ms(const wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
     if (exchange->model == NULL || exchange->service == NULL) {
         return -1;
     }
-    /* A load that is expected is another replica's, and an adapter comes to where the model is. */
+    /* If the model is held, an expected load is that of another replica, while the adapter is
+     * loaded where the model is. */
     gboolean held =
         wb_fleet_holds(edge->fleet, exchange->service->name, exchange->model, "", now_ms);
     const int64_t *ready_ms = held ? NULL : expected_find(exchange);
@@ -95,7 +99,7 @@
     return view.back_in_ms + min_load_ms(exchange, spec);
 }
 
-/* Time until an engine opens that could serve the request; -1: none is known to. */
+/* Returns the time in ms until an engine that can serve the request is available; -1: not known. */
 static int64_t engine_available_in_ms(const wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
     if (exchange->service == NULL) {
@@ -105,7 +109,7 @@
     return available_ms != G_MAXINT64 ? MAX(available_ms - now_ms, 0) : -1;
 }
 
-/* When coming back has a use: once the model should be there, or an engine opens, else soon. */
+/* Until the model should be ready or an engine available, whichever is earlier; else a default. */
 int64_t wb_exchange_come_back_ms(const wb_exchange_t *exchange) {
     if (exchange->route == NULL && exchange->edge->catalog == NULL) {
         return NO_CATALOG_MS;
@@ -133,16 +137,17 @@
     return MIN(time_ms, timeout_ms);
 }
 
-/* Steady time until which it has a use to wait for an engine that takes none of this node's
- * requests for the moment; 0: none could serve it, or not in time. */
+/* Returns until when to wait for an engine that doesn't accept this node's requests at the moment;
+ * 0: no engine could serve the request in time. */
 static int64_t engine_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *next) {
     int64_t serve_ms = exchange->model != NULL || next->is_cold ? SERVE_MS : 0;
     int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - serve_ms;
     return next->at_ms < useful_until_ms ? next->at_ms + AVAILABLE_MARGIN_MS : 0;
 }
 
-/* Nothing is known of when the model, or its adapter, is there. It has a use to wait as long as the
- * answer can be in time, and until a load would have ended that was decided on at once. */
+/* Returns until when to wait when it isn't known when the model or adapter will be ready: as long
+ * as the answer can meet its target, and until a load that the controller started at once would be
+ * done; never beyond the client timeout. */
 static int64_t default_wait_until_ms(const wb_exchange_t *exchange) {
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     int64_t load_ms = spec != NULL ? min_load_ms(exchange, spec) : 0;
@@ -151,8 +156,8 @@
     return exchange->began_ms + MIN(MAX(in_time_ms, DECISION_MS + load_ms), useful_ms);
 }
 
-/* Steady time until which it has a use to wait for another replica of a model that is held only by
- * engines which don't open in time; in the past when it has none. */
+/* Returns until when to wait for another replica of a model whose present engines aren't available
+ * in time; 0: it would come too late. */
 static int64_t replica_wait_until_ms(const wb_exchange_t *exchange) {
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     int64_t load_ms = spec != NULL ? min_load_ms(exchange, spec) : 0;
@@ -161,7 +166,7 @@
     return ready_ms < useful_until_ms ? default_wait_until_ms(exchange) : 0;
 }
 
-/* Steady time until which it has a use to wait for a load; in the past when it has none. */
+/* Returns until when to wait for a load; a time in the past: not at all. */
 static int64_t load_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *next) {
     if (exchange->model == NULL) {
         return 0;
@@ -180,11 +185,11 @@
     if (ready_ms > useful_until_ms) {
         return 0;
     }
-    /* A load that is late is no reason to leave earlier than with no load in sight. */
+    /* A late load must not end the wait earlier than if no load were known. */
     return MIN(MAX(ready_ms + LOAD_GRACE_MS, default_wait_until_ms(exchange)), useful_until_ms);
 }
 
-/* For what a request waits, and until when that has a use: in the past when it has none. */
+/* What a request waits for, and until when; a time in the past: waiting is useless. */
 typedef struct wb_wait_t {
     gboolean awaits_engine;
     gboolean awaits_load;
@@ -202,8 +207,9 @@
     return (wb_wait_t){awaits_engine, TRUE, MAX(engine_until_ms, load_until_ms)};
 }
 
-/* What it waited for has changed: an engine that it awaited is no longer there, say. Who waits for
- * a load alone is told by news of loads. */
+/* Updates a wait whose cause may have changed, such as when the awaited engine was removed.
+ * Requests that wait for a load alone are updated by wb_exchanges_expect_model and
+ * wb_exchanges_update_waits. */
 static void wait_recheck(wb_exchange_t *exchange) {
     if (exchange->awaits_load && !exchange->awaits_engine) {
         return;
@@ -224,7 +230,6 @@
     }
 }
 
-/* Waits for an engine that holds the model, or for any engine, as long as that has a use. */
 void wb_exchange_wait(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     if (wb_list_is_linked(&exchange->waiting)) {
@@ -282,8 +287,8 @@
     return FALSE;
 }
 
-/* Calls a function for each request that waits. What ends one request may end others or begin new
- * ones, so the list is copied. */
+/* Calls a function for each waiting request. Ending a request may end others or start new ones, so
+ * the list is copied and each entry is checked again before its call. */
 static void waiting_each(wb_edge_t *edge, void (*visit)(wb_exchange_t *exchange)) {
     g_autoptr(GPtrArray) waiting = g_ptr_array_sized_new(edge->waiting.len);
     WB_LIST_EACH(item, &edge->waiting) {
@@ -300,7 +305,7 @@
     waiting_each(edge, wb_exchange_dispatch);
 }
 
-/* What is known of its model has changed: who waits in vain is refused by the timer, at once. */
+/* Recomputes how long a request waits. If waiting is now useless, the timer refuses it at once. */
 static void wait_update(wb_exchange_t *exchange) {
     exchange->wait_until_ms = wait_decide(exchange).until_ms;
     wb_exchange_arm_hold(exchange);
@@ -326,8 +331,7 @@
     }
 }
 
-/* Refuses a request whose key nobody holds any more. What has run, or may have, is left to its end.
- */
+/* Refuses a request whose API key was removed, unless it has run or may have. */
 static void key_check(wb_exchange_t *exchange) {
     const wb_catalog_t *catalog = exchange->edge->catalog;
     gboolean may_end = exchange->runs == 0 && !exchange->answer_begun;
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -1,11 +1,20 @@
 /**
  * @file request_types.h
- * @brief What the files of a request's way share: requests, their sendings to engines, and the
- * state of the node that all of them use.
+ * @brief Types and functions shared by the files of the request path: client requests
+ * (wb_exchange_t), their attempts at engines (wb_attempt_t), and the node state that they use
+ * (wb_edge_t).
  *
- * The node's own life (store, lease, links, news) is in src/edge, which includes this folder.
+ * The node's lifecycle (store, lease, links, updates) is in src/edge, which includes this folder.
  * Nothing here includes src/edge: what a request needs of the node is in wb_edge_t, as values or
  * callbacks.
+ *
+ * Units: names ending in _ms are milliseconds. Unless a comment says that it is a duration, such a
+ * member is a monotonic time as wb_clock_ms() returns it.
+ *
+ * Errors: a failed request is answered to its client with the status of its outcome; failures are
+ * not returned to the caller.
+ *
+ * Threads: everything here belongs on the loop's thread.
  */
 #ifndef WICKBRIDGE_REQUEST_TYPES_H
 #define WICKBRIDGE_REQUEST_TYPES_H
@@ -37,7 +46,7 @@
 typedef struct wb_attempt_t wb_attempt_t;
 typedef struct wb_demand_t wb_demand_t;
 
-/** An ended request, kept for a while so that operators can ask for it. */
+/** Summary of an ended request, kept for operators in a ring of the latest ones. */
 typedef struct wb_ended_request_t {
     char id[64];
     char model[64];
@@ -48,8 +57,8 @@
     unsigned status;
     unsigned sends;
     unsigned runs;
-    int64_t took_ms;
-    int64_t waited_ms;
+    int64_t took_ms;   /* duration */
+    int64_t waited_ms; /* duration */
 } wb_ended_request_t;
 
 #define WB_ENDED_REQUESTS 128
@@ -60,21 +69,21 @@
     int64_t tokens;
 } wb_prompt_part_t;
 
-/** Whether the controller, who decides on loads, hears of what is asked for here. */
+/** Whether the controller, which decides on model loads, receives this node's demand. */
 typedef enum wb_controller_reach_t {
-    WB_CONTROLLER_REACHED,  /* it is heard, or this node is it */
-    WB_CONTROLLER_AWAITED,  /* there is none; when another may take over is known */
-    WB_CONTROLLER_UNREACHED /* there may be one, but not for this node, nobody knows until when */
+    WB_CONTROLLER_REACHED,  /* it is reachable, or this node is the controller */
+    WB_CONTROLLER_AWAITED,  /* there is none; the time of the next takeover is known */
+    WB_CONTROLLER_UNREACHED /* this node can't reach one, and doesn't know for how long */
 } wb_controller_reach_t;
 
 typedef struct wb_controller_view_t {
     wb_controller_reach_t reach;
-    /* Time until somebody should decide on loads. When it is awaited this is known; when it is
-     * unreached it is the time after which a caller should try again, here or at another node. */
+    /* Duration. When a takeover is pending: until a controller should be available. When it is
+     * unreachable: the Retry-After for clients, which may then reach another node. */
     int64_t back_in_ms;
 } wb_controller_view_t;
 
-/** The node: state that all requests share. */
+/** Node state that all requests share. */
 struct wb_edge_t {
     wb_loop_t *loop;
     wb_edge_settings_t settings;
@@ -90,58 +99,58 @@
     wb_crash_watch_t *crashes;
     wb_length_guess_t *lengths;
     wb_wait_scale_t *wait_scale;
-    gboolean loads_known;  /* what was told of engines' loads still holds */
-    gboolean tries_poison; /* this node is the one that tries refused requests now and then */
+    gboolean loads_known;  /* the reported loads of engines are recent enough to be used */
+    gboolean tries_poison; /* this node runs the periodic trials of refused requests */
     wb_edge_metrics_t metrics;
-    GHashTable *expected; /* SERVICE/MODEL -> int64_t *, steady ms at which a load should be done */
-    wb_list_t state_news; /* engines that told something which others should know; each with a
-                             reference */
-    GHashTable *told_engines; /* set of engines that told of a limit or that they leave; each with a
-                                 reference */
+    GHashTable *expected;     /* SERVICE/MODEL -> int64_t *, time at which a load should be done */
+    wb_list_t state_news;     /* engines whose reported state is to be sent to other nodes; holds a
+                                 reference to each */
+    GHashTable *told_engines; /* set of engines that reported a limit or that they are draining;
+                                 holds a reference to each */
     wb_list_t waiting;        /* exchanges that wait for an engine, oldest first */
     GHashTable *open;         /* set of all exchanges */
     wb_ended_request_t ended[WB_ENDED_REQUESTS]; /* a ring */
     unsigned ended_next;
     unsigned node_count;     /* nodes that the store lists; 0: not known yet */
-    wb_equal_share_t *share; /* among how many is divided what all may spend */
-    int64_t drain_began_ms;  /* steady time at which a planned stop began; 0: none */
-    /** Someone waits for what isn't loaded: tell the controller soon. */
+    wb_equal_share_t *share; /* this node's equal share of budgets common to all nodes */
+    int64_t drain_began_ms;  /* when a planned stop began; 0: none */
+    /** Requests wait for a model that isn't loaded: send the pending demand to the controller. */
     void (*on_need)(void *context);
-    void *need_context;
-    /** What is held against requests has changed: other nodes must know. With need_context. */
+    void *need_context; /* passed to all callbacks */
+    /** The poison book has changed: send the change to other nodes. */
     void (*on_poison)(void *context);
-    /** Whether the controller can be reached; NULL: it always can. With need_context. */
+    /** Whether the controller is reachable; NULL: it always is. */
     wb_controller_view_t (*controller_view)(void *context);
-    /** Whether the engines of a service that hold a model ("": any) are known here; if not, they
-     * are asked for, and requests that wait are tried again once they are. NULL: all engines are
-     * known.
-     * @param since_ms steady time since which the request has been here. With need_context. */
+    /** Whether this node knows the engines of a service that hold a model ("": any). If not, they
+     * are requested from a relay, and waiting requests are dispatched again on the reply. NULL: all
+     * engines are known.
+     * @param since_ms when the request arrived */
     gboolean (*engines_known)(const char *service, const char *model, int64_t since_ms,
                               void *context);
-    /** Time since this node knew for sure which configuration is the newest; NULL: it always does.
-     * With need_context. */
+    /** Duration since this node last verified that its catalog is the newest; NULL: it always is.
+     */
     int64_t (*catalog_age_ms)(void *context);
 };
 
 /** Why a request ended, for logs and metrics. */
 typedef enum wb_ending_t {
-    WB_ENDING_SERVED,        /* an engine's whole answer was passed on */
-    WB_ENDING_ENGINE_FAILED, /* an engine's own failure was passed on */
+    WB_ENDING_SERVED,        /* an engine's complete answer was forwarded */
+    WB_ENDING_ENGINE_FAILED, /* an engine's error response was forwarded */
     WB_ENDING_NO_CATALOG,
     WB_ENDING_NO_ROUTE,
     WB_ENDING_BAD_REQUEST,
     WB_ENDING_UNKNOWN_MODEL,
-    WB_ENDING_NO_ENGINE,  /* none could be used in time */
+    WB_ENDING_NO_ENGINE,  /* no engine was usable in time */
     WB_ENDING_NOT_LOADED, /* its model could not be loaded in time */
-    WB_ENDING_REJECTED,   /* engines turned it away */
-    WB_ENDING_NO_BUDGET,  /* another sending was not allowed */
-    WB_ENDING_BROKEN,     /* an engine broke off, and it may not be sent again */
-    WB_ENDING_TIMED_OUT,  /* the route's time or the caller's is over */
+    WB_ENDING_REJECTED,   /* engines rejected it */
+    WB_ENDING_NO_BUDGET,  /* the retry budget allowed no further attempt */
+    WB_ENDING_BROKEN,     /* an engine aborted it, and it may not be sent again */
+    WB_ENDING_TIMED_OUT,  /* the route's timeout or the client's deadline passed */
     WB_ENDING_CALLER_GONE,
-    WB_ENDING_STOPPING,      /* it came too late in a planned stop */
-    WB_ENDING_BAD_KEY,       /* it has no key that a tenant holds */
-    WB_ENDING_KEY_UNCERTAIN, /* nobody holds its key in a configuration that may be old */
-    WB_ENDING_OVER_QUOTA,    /* its tenant's limit is spent */
+    WB_ENDING_STOPPING,      /* it arrived too late in a planned stop */
+    WB_ENDING_BAD_KEY,       /* its API key is missing or belongs to no tenant */
+    WB_ENDING_KEY_UNCERTAIN, /* no tenant has its key, but the catalog may be out of date */
+    WB_ENDING_OVER_QUOTA,    /* its tenant's limit is used up */
     WB_ENDING_POISON,        /* it crashes the engines that run it */
     WB_ENDING_NO_ROOM,       /* its model's engines are too far behind to answer in time */
     WB_ENDING_COUNT
@@ -149,32 +158,33 @@
 
 G_STATIC_ASSERT(WB_ENDING_COUNT <= WB_ENDINGS_MAX);
 
-/** @return an ending's name in logs and metrics */
+/** @return an outcome's name in logs and metrics; static */
 const char *wb_ending_name(wb_ending_t ending);
 
-/** What the engine answered, while its answer is read. */
+/** An engine's response, while it is read. */
 typedef struct wb_reply_t {
     unsigned status;
     char *reason;
-    GString *headers; /* lines to pass on */
-    gboolean sealed;
-    gboolean rejected; /* the engine says that it did not run the request */
-    gboolean streamed; /* whole events are passed on as they come */
+    GString *headers;  /* lines to forward */
+    gboolean sealed;   /* it has the header that marks an engine's own response */
+    gboolean rejected; /* the engine states that it did not run the request */
+    gboolean streamed; /* complete events are forwarded as they arrive */
 } wb_reply_t;
 
 /** An engine that a request was sent to. */
 typedef struct wb_tried_engine_t {
     char *id;
-    int64_t again_ms; /* steady time from which it may be tried again; 0: never */
+    int64_t again_ms; /* from when it may be tried again; 0: never */
 } wb_tried_engine_t;
 
-/** What was known of the engine that a request is sent to, and what was predicted. */
+/** The engine chosen for an attempt as it was known at that time, and the prediction made for it.
+ */
 typedef struct wb_sending_t {
     wb_choice_engine_t engine;
     wb_choice_estimate_t estimate;
 } wb_sending_t;
 
-/** A caller's request, from its arrival to its answer. */
+/** A client's request, from its arrival to its answer. */
 struct wb_exchange_t {
     wb_edge_t *edge;
     wb_http_connection_t *connection;
@@ -183,170 +193,179 @@
     wb_catalog_t *catalog;
     const wb_route_t *route;
     const wb_service_t *service;
-    const char *id;            /* owned by head; "" when there is none */
+    const char *id;            /* owned by head; "": none */
     char *model;               /* NULL: none named */
-    char *adapter;             /* "" when none */
-    const wb_tenant_t *tenant; /* as of its arrival; of its catalog; NULL: none */
-    wb_key_digest_t key;       /* of its tenant, when it has one */
-    gboolean digest_known;     /* it was asked for: most requests never need one */
+    char *adapter;             /* "": none */
+    const wb_tenant_t *tenant; /* as of its arrival; owned by its catalog; NULL: none */
+    wb_key_digest_t key;       /* its API key, when it has a tenant */
+    gboolean digest_known;     /* `digest` is set: it is computed on first use */
     wb_request_digest_t digest;
-    uint64_t poison_version; /* of the book of poison requests that is_poison was read in */
+    uint64_t poison_version; /* version of the poison book that is_poison was computed from */
     gboolean is_poison;
-    gboolean is_trial; /* it is sent though it is refused: whether it still crashes engines */
-    int priority;      /* 0 is the most urgent: its tenant's, or else its route's */
-    double quota_cost; /* that its tenant's limit was charged; 0: not admitted yet */
-    int64_t overload_retry_ms; /* when there is no room: time until there may be */
-    int64_t quota_retry_ms;    /* when the limit is spent: time until there may be room */
+    gboolean is_trial;         /* poison, but sent to find out whether it still crashes engines */
+    int priority;              /* its tenant's, or else its route's; 0 is the most urgent */
+    double quota_cost;         /* charged to its tenant's limit; 0: not admitted yet */
+    int64_t overload_retry_ms; /* duration: Retry-After when overloaded */
+    int64_t quota_retry_ms;    /* duration: Retry-After when over the quota */
     GArray *parts;             /* of wb_prompt_part_t */
     int64_t prompt_tokens;
-    int64_t out_tokens; /* that its answer is expected to have */
+    int64_t out_tokens; /* expected tokens of its answer */
     int64_t began_ms;
-    int64_t deadline_ms;   /* steady time at which the caller stops waiting */
-    int64_t hold_until_ms; /* steady time at which the final answer is due */
-    int64_t wait_until_ms; /* steady time until which waiting for an engine has a use */
+    int64_t deadline_ms;   /* the client's deadline */
+    int64_t hold_until_ms; /* when the final answer is due: the deadline or the route's timeout */
+    int64_t wait_until_ms; /* when waiting for an engine ends */
     wb_timer_t *due_timer;
     wb_timer_t *silence_timer;
     wb_list_item_t waiting; /* on edge->waiting */
-    gboolean awaits_load;   /* it waits for a model or adapter, not for an engine that is cold */
-    gboolean awaits_engine; /* it waits for an engine that will take it */
+    gboolean awaits_load;   /* it waits for a model or adapter to be loaded */
+    gboolean awaits_engine; /* it waits for an engine that becomes available */
     int64_t waiting_since_ms;
-    int64_t waited_ms;
-    wb_attempt_t *attempt;    /* the one under way, or NULL */
-    wb_engine_t *engine;      /* of the last sending; a reference, or NULL */
-    int64_t sent_ms;          /* of the last sending */
-    int64_t written_ms;       /* when its first byte left */
-    wb_sending_t decision;    /* the last one, as it was decided on */
-    gboolean running_counted; /* the sending counts as running at its engine */
-    gboolean limit_counted;   /* it counts against its engine's limit */
-    int64_t prefill_counted;  /* prompt tokens that count at its engine */
+    int64_t waited_ms;        /* duration, of all completed waits */
+    wb_attempt_t *attempt;    /* the current one, or NULL */
+    wb_engine_t *engine;      /* of the last attempt; a reference, or NULL */
+    int64_t sent_ms;          /* start of the last attempt */
+    int64_t written_ms;       /* when the request was written to the engine's connection */
+    wb_sending_t decision;    /* of the last attempt */
+    gboolean running_counted; /* the attempt is counted in engine->running */
+    gboolean limit_counted;   /* the attempt is counted against its engine's limit */
+    int64_t prefill_counted;  /* prompt tokens counted in engine->prefill_tokens */
     wb_reply_t reply;
-    gboolean paused; /* the caller doesn't take its answer: the engine isn't read */
-    GArray *tried;   /* of wb_tried_engine_t, the last one last */
-    unsigned sends;  /* sendings that may have reached an engine */
+    gboolean paused; /* the client reads too slowly: reading from the engine is stopped */
+    GArray *tried;   /* of wb_tried_engine_t, the last attempt last */
+    unsigned sends;  /* attempts that may have reached an engine */
     unsigned runs;   /* engines that ran it, or may have */
     unsigned rejections;
-    unsigned connect_failures; /* sendings that never were connected */
-    gboolean answer_begun;     /* the caller has got a head */
-    gboolean resuming;         /* the attempt goes on with a stream already begun */
-    GByteArray *answer;        /* bytes of the answer not yet passed on */
+    unsigned connect_failures; /* attempts of which no byte was sent */
+    gboolean answer_begun;     /* the response head was sent to the client */
+    gboolean resuming;         /* the attempt continues a stream that the client has begun to get */
+    GByteArray *answer;        /* bytes of the answer not yet forwarded */
     char *last_event_id;
     gboolean first_event_seen;
-    int64_t first_event_ms;
-    int64_t last_event_ms; /* steady time; 0: no event yet */
-    int64_t max_pause_ms;  /* longest time between two events */
-    unsigned events;       /* reads in which events came */
+    int64_t first_event_ms; /* duration from its arrival */
+    int64_t last_event_ms;  /* 0: no event yet */
+    int64_t max_pause_ms;   /* duration: longest time between two events */
+    unsigned events;        /* reads that completed at least one event */
 };
 
-/** @return the id of the engine that it was last sent to; "" when it was sent to none */
+/** @return the id of the engine of the last attempt; "" when there was none */
 const char *wb_exchange_last_engine(const wb_exchange_t *exchange);
 
-/** Balancer: choose an engine. @param sending out: what was known of it, and predicted
- * @return NULL when none can be used; owned by the fleet */
+/* Choice of engines: balancer.c. */
+/** Choose the engine for an attempt.
+ * @param decision out: what was known of the engine, and the prediction
+ * @return NULL when none is usable; owned by the fleet */
 wb_engine_t *wb_balancer_choose(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                int64_t now_ms, wb_sending_t *sending);
-/** @return TRUE when the request names no regions, or some engine of its service stands where it
- * may be served */
+                                int64_t now_ms, wb_sending_t *decision);
+/** @return TRUE when the request may be served in any region, or an engine of its service is in an
+ * allowed one */
 gboolean wb_balancer_has_home(const wb_edge_t *edge, const wb_exchange_t *exchange);
-/** An engine that can serve a request and takes none of this node for the moment. */
+/** When an engine that can serve a request next accepts one of this node. */
 typedef struct wb_opening_t {
-    int64_t at_ms;    /**< steady time from which it does; G_MAXINT64: none will, or not known */
-    gboolean is_cold; /**< it is cold, and no load elsewhere is needed */
+    int64_t at_ms;    /**< G_MAXINT64: none will, or it isn't known */
+    gboolean is_cold; /**< the engine is cold; the model need not be loaded elsewhere */
 } wb_opening_t;
-/** @return the one that opens first, behind requests that wait for it already */
+/** @return the earliest availability of an engine, behind requests that wait for it already */
 wb_opening_t wb_balancer_opening(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                  int64_t now_ms);
-/** Asked when a connection has come up: the engine may have told meanwhile that it leaves, has a
- * limit or wants rest. What is written counts against its limit.
+/** Called when a connection is established: meanwhile the engine may have reported that it is
+ * draining, a limit or a backoff. Counts the request against the engine's limit.
  * @return FALSE when the request must not be written */
 gboolean wb_balancer_may_write(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                int64_t now_ms);
-/** What is to be sent, as engines are chosen by. */
+/** @return the request as input for the choice of an engine */
 wb_choice_request_t wb_balancer_request(const wb_exchange_t *exchange, int64_t now_ms);
-/** Prompt tokens that the engine must still read for this request, as far as this node knows. */
+/** @return prompt tokens of this request that the engine doesn't have cached, as far as this node
+ * knows */
 int64_t wb_balancer_unread_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                                   int64_t now_ms);
-/** The engine has read this request's prompt. */
+/** Mark the request's prompt as cached at the engine. */
 void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms);
 
-/* Requests: exchange.c. */
+/* Requests: exchange.c and the other exchange_*.c files. */
+/** Start a request: it is dispatched, waits, or is answered. Takes ownership of head and body. */
 void wb_exchange_begin(wb_edge_t *edge, wb_http_connection_t *connection, wb_http_head_t *head,
                        GByteArray *body);
-/** The caller left. */
+/** The client disconnected. The exchange is freed. */
 void wb_exchange_gone(wb_exchange_t *exchange);
-/** The caller took output that had piled up. */
+/** The connection's output buffer was sent: resume reading from the engine. */
 void wb_exchange_drained(wb_exchange_t *exchange);
-/** Engines or their models have changed: try those that wait. */
+/** Engines or their models have changed: dispatch all waiting requests again. */
 void wb_exchanges_retry_waiting(wb_edge_t *edge);
 
-/** A model is being loaded and should be there in so many ms: those that wait for it wait on, or
- * are refused. */
+/** A model is being loaded and should be ready after this duration: requests that wait for it wait
+ * on, or are refused. */
 void wb_exchanges_expect(wb_edge_t *edge, const char *service, const char *model,
                          unsigned ready_in_ms);
 /** @return TRUE when a request waits for the model */
 gboolean wb_exchanges_wait_for(const wb_edge_t *edge, const char *model);
-/** Another configuration is in force: those that wait under a key that it dropped are refused. */
+/** A new catalog is in force: refuse waiting requests whose API key it no longer has. */
 void wb_exchanges_check_keys(wb_edge_t *edge);
-/** What is known of who decides on loads has changed: those that wait in vain are refused. */
+/** The reachability of the controller has changed: recompute how long requests wait, and refuse
+ * those for which waiting is useless. */
 void wb_exchanges_reconsider(wb_edge_t *edge);
-/** A model is loaded: nothing is expected any more. */
+/** A model is loaded: drop the expected time of its load. */
 void wb_exchanges_no_longer_expect(wb_edge_t *edge, const char *service, const char *model);
-/** Answer those that are known to crash engines, also where copies wait or are under way. */
+/** Refuse requests that are known poison, also those that wait or are at an engine that hasn't
+ * begun to answer. */
 void wb_exchanges_refuse_poison(wb_edge_t *edge);
 /** As wb_crash_watch_events_t.on_crashed. @param context the edge */
 void wb_edge_engine_crashed(const char *engine_id, const GArray *requests, void *context);
-/** An engine has ended, though its connections may not show it: what was sent there goes on
- * elsewhere where that is allowed, or is answered. */
+/** An engine has ended, though its connections may still be open: its requests are sent to other
+ * engines where that is allowed, or answered. */
 void wb_exchanges_engine_ended(wb_edge_t *edge, const wb_engine_t *engine);
-/** Near the end of a stop: answer those that wait for an engine. */
+/** Near the end of a planned stop: refuse requests that wait for an engine. */
 void wb_exchanges_refuse_waiting(wb_edge_t *edge);
-/** At the end of a stop: answer all that have no answer yet. */
+/** At the end of a planned stop: refuse all requests whose answer hasn't begun. */
 void wb_exchanges_refuse_unanswered(wb_edge_t *edge);
 
-/* What engines tell of themselves: engine_states.c. */
-/** An engine has told of its state, here or to another node: keep it among those that have. */
+/* Engine-reported state: engine_states.c. */
+/** An engine reported a limit or that it is draining, here or at another node: keep it in the set.
+ */
 void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine);
-/** Tell other nodes of its state at the next tick. */
+/** Send the engine's state to other nodes at the next tick. */
 void wb_edge_queue_state(wb_edge_t *edge, wb_engine_t *engine);
-/** Forget those that have gone or have nothing more to tell. */
+/** Drop engines from the set that are removed, or have neither a limit nor are draining. */
 void wb_edge_told_engines_sweep(wb_edge_t *edge);
 
-/** @return window in which what is sent again is counted */
+/** @return duration of the window in which the retry budget counts resends */
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge);
 
-/* What an attempt tells its exchange. */
+/* Events of an attempt, called by attempt.c. */
 void wb_exchange_attempt_head(wb_exchange_t *exchange, const wb_http_head_t *head);
 void wb_exchange_attempt_body(wb_exchange_t *exchange, const char *data, size_t length);
 void wb_exchange_attempt_done(wb_exchange_t *exchange);
-/** How a sending failed. */
+/** How an attempt failed. */
 typedef struct wb_attempt_failure_t {
-    gboolean sent;      /* FALSE: no byte of the request left */
-    gboolean broke_off; /* the connection ended before the answer was whole */
-    gboolean withdrawn; /* by this node, before a byte left: the engine isn't at fault */
+    gboolean sent;      /* FALSE: no byte of the request was sent */
+    gboolean broke_off; /* the connection ended before the answer was complete */
+    gboolean withdrawn; /* by this node, before a byte was sent: the engine isn't at fault */
     const char *reason; /* for logs */
 } wb_attempt_failure_t;
 void wb_exchange_attempt_failed(wb_exchange_t *exchange, const wb_attempt_failure_t *failure);
 
-/* One sending to one engine: attempt.c. */
+/* Attempts and the pool of connections to engines: attempt.c. */
+/** @return the attempt, owned by itself until it ends; NULL when no connection could be started */
 wb_attempt_t *wb_attempt_start(wb_exchange_t *exchange, wb_engine_t *engine);
-/** Stop it: the engine's connection is closed. */
+/** Cancel the attempt: its connection is closed. */
 void wb_attempt_cancel(wb_attempt_t *attempt);
 void wb_attempt_set_reading(wb_attempt_t *attempt, gboolean reading);
 /** Its engine is known to have ended: it fails as if the connection had been reset. */
 void wb_attempt_engine_ended(wb_attempt_t *attempt);
-/** Close an engine's kept connections: what is sent there next must connect first. */
+/** Close an engine's idle connections. */
 void wb_upstreams_drop(wb_engine_t *engine);
-/** Close kept connections of engines that are gone, or that rested too long. */
+/** Close idle connections that have expired, and those of engines that aren't available. */
 void wb_upstreams_sweep(wb_edge_t *edge, int64_t now_ms);
 
 /* Demand by model: demand.c. */
 wb_demand_t *wb_demand_create(void);
 void wb_demand_arrived(wb_demand_t *demand, const wb_exchange_t *exchange);
 void wb_demand_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting);
-/** Its caller was told when to come back: the model is wanted by then, though nobody waits. */
+/** Its client was refused with a Retry-After: the model is in demand until then, though no request
+ * waits for it. */
 void wb_demand_promised(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms);
 void wb_demand_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running);
-/** Fill in a message with all that runs, waits or was promised and isn't held by an engine; to be
- * freed with wb_message_clear. Arrivals begin anew. */
+/** Fill in a message with all demand: requests that run or wait, and expected retries for models
+ * that no engine holds. Resets the counts of arrivals. Free the message with wb_message_clear. */
 void wb_demand_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
                        wb_wire_message *message);
 
