--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -1,4 +1,4 @@
-/* One sending of a request to one engine, and the connections to engines that are kept. */
+/* One attempt of a request at one engine, and the pool of idle connections to engines. */
 #include "fleet/engine_heard.h"
 #include "request/request_types.h"
 
@@ -6,32 +6,32 @@
 
 #define HEAD_LIMIT_BYTES 65536
 #define KEEP_ALIVE_MARGIN_MS 600
-#define IDLE_DEFAULT_MS 250 /* an engine that doesn't tell how long it keeps a connection */
+#define IDLE_DEFAULT_MS 250 /* for engines that send no Keep-Alive timeout */
 #define IDLE_MAX_PER_ENGINE 6
 
-/* A connection to an engine; an attempt has it, or it rests in its engine's queue. */
+/* A connection to an engine, used by an attempt or idle on its engine's list. */
 typedef struct wb_upstream_t {
     wb_edge_t *edge;
     wb_engine_t *engine;
     wb_tcp_stream_t *stream;
     wb_http_reader_t *reader;
-    wb_attempt_t *attempt; /* NULL while it rests */
-    wb_list_item_t idle;   /* on its engine's list while it rests */
-    int64_t usable_until_ms;
-    gboolean feeding; /* the reader runs; freeing waits */
+    wb_attempt_t *attempt;   /* NULL while it is idle */
+    wb_list_item_t idle;     /* on engine->idle while it is idle */
+    int64_t usable_until_ms; /* while it is idle: monotonic time until which it may be reused */
+    gboolean feeding;        /* the reader is running: freeing is deferred */
     gboolean closed;
 } wb_upstream_t;
 
 struct wb_attempt_t {
     wb_exchange_t *exchange;
     wb_upstream_t *upstream;
-    GString *output; /* the request, until the connection is open */
+    GString *output; /* the request, until the connection is established */
     gboolean sent;
     gboolean reused;
-    gboolean skipping; /* the present answer belongs to another request */
-    gboolean tainted;  /* the connection can't be used again */
+    gboolean skipping; /* the current response isn't for this request */
+    gboolean tainted;  /* the connection must not be reused */
     gboolean keep_alive;
-    int64_t idle_limit_ms; /* as the engine told; 0: it didn't */
+    int64_t idle_limit_ms; /* duration, from the Keep-Alive header; 0: none */
     gboolean complete;
 };
 
@@ -55,7 +55,7 @@
     g_free(attempt);
 }
 
-/* Takes the attempt off its exchange. */
+/* Detaches the attempt from its exchange and its connection. */
 static wb_exchange_t *attempt_detach(wb_attempt_t *attempt) {
     wb_exchange_t *exchange = attempt->exchange;
     exchange->attempt = NULL;
@@ -76,8 +76,8 @@
     wb_exchange_attempt_failed(exchange, failure);
 }
 
-static void attempt_fail(wb_attempt_t *attempt, gboolean broke_off, const char *reason) {
-    wb_attempt_failure_t failure = {attempt->sent, broke_off, FALSE, reason};
+static void attempt_fail(wb_attempt_t *attempt, gboolean aborted, const char *reason) {
+    wb_attempt_failure_t failure = {attempt->sent, aborted, FALSE, reason};
     attempt_end(attempt, &failure);
 }
 
@@ -85,7 +85,7 @@
     attempt_fail(attempt, TRUE, "engine-ended");
 }
 
-/* Puts the connection into its engine's queue, or closes it. */
+/* Returns the connection to the pool of its engine, or closes it. */
 static void upstream_release(wb_upstream_t *upstream, const wb_attempt_t *attempt) {
     gboolean keep = !attempt->tainted && attempt->keep_alive &&
                     wb_tcp_stream_unsent(upstream->stream) == 0 && !upstream->engine->gone &&
@@ -118,8 +118,8 @@
     return timeout != NULL ? g_ascii_strtoll(timeout + strlen("timeout="), NULL, 10) * 1000 : 0;
 }
 
-/* An answer is this request's when it bears its id. Answers without one count on fresh connections
- * only. */
+/* Whether a response belongs to this request: it has the request's id, or none at all on a
+ * connection that no other request has used. */
 static gboolean answer_matches(const wb_attempt_t *attempt, const wb_http_head_t *head) {
     const wb_exchange_t *exchange = attempt->exchange;
     const char *id = wb_http_head_get(head, exchange->edge->dialect->request_id);
@@ -181,8 +181,8 @@
 
 static const wb_http_reader_events_t reader_events = {reader_head, reader_body, reader_complete};
 
-/* The reader has stopped. Returns the attempt that it read for, or NULL when that has ended
- * meanwhile; the connection may be freed then. */
+/* The reader has returned. Returns the current attempt, or NULL when it ended meanwhile; then the
+ * connection may have been freed. */
 static wb_attempt_t *feeding_end(wb_upstream_t *upstream) {
     upstream->feeding = FALSE;
     if (upstream->closed) {
@@ -192,8 +192,8 @@
     return upstream->attempt;
 }
 
-/* Reads an answer's bytes. Calls into the exchange may end the attempt, so it's looked up each
- * time. */
+/* Feeds bytes of a response to the reader. Calls into the exchange may end the attempt, so it is
+ * read again after each one. */
 static void upstream_feed(wb_upstream_t *upstream, const char *data, size_t length) {
     upstream->feeding = TRUE;
     while (length > 0 && !upstream->closed && upstream->attempt != NULL &&
@@ -208,7 +208,7 @@
     if (attempt == NULL)
         return;
     if (length > 0)
-        attempt->tainted = TRUE; /* bytes beyond the answer */
+        attempt->tainted = TRUE; /* bytes after the end of the response */
     if (attempt->complete)
         attempt_finish(attempt);
     else if (length > 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
@@ -225,7 +225,7 @@
     wb_upstream_t *upstream = context;
     upstream->engine->unheard_since_ms = 0;
     if (upstream->attempt == NULL)
-        idle_close(upstream); /* a late answer to an earlier request */
+        idle_close(upstream); /* a late response to an earlier request */
     else
         upstream_feed(upstream, data, length);
 }
@@ -291,7 +291,7 @@
 
 static const wb_tcp_events_t stream_events = {stream_open, stream_data, stream_end, NULL};
 
-/* Headers that this node sets itself. */
+/* Whether a header of the client isn't forwarded: this node sets it itself, or it is private. */
 static gboolean header_is_reserved(const wb_exchange_t *exchange, const char *name) {
     const wb_dialect_t *dialect = exchange->edge->dialect;
     if (g_ascii_strcasecmp(name, "Content-Length") == 0 ||
@@ -339,7 +339,7 @@
     return text;
 }
 
-/* Returns a resting connection that the engine surely still keeps, or NULL. */
+/* Returns an idle connection that the engine still keeps open, or NULL. */
 static wb_upstream_t *idle_take(wb_engine_t *engine, int64_t now_ms) {
     wb_list_item_t *item;
     while ((item = wb_list_pop(&engine->idle)) != NULL) {
@@ -395,7 +395,7 @@
     wb_tcp_stream_set_reading(attempt->upstream->stream, reading);
 }
 
-/* Drops the connections of an engine that have rested too long, or all of them. */
+/* Closes the idle connections of an engine that have expired, or all of them. */
 static void idle_sweep(wb_engine_t *engine, gboolean all, int64_t now_ms) {
     WB_LIST_EACH_SAFE(item, &engine->idle) {
         wb_upstream_t *upstream = WB_LIST_OF(item, wb_upstream_t, idle);
--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -1,4 +1,4 @@
-/* Finds out whether an engine has ended when it broke requests off. */
+/* Finds out whether an engine that aborted requests has crashed. */
 #include "request/crash_watch.h"
 
 #include "wickbridge/event_log.h"
@@ -6,35 +6,35 @@
 
 #include <string.h>
 
-/* A process that ends closes its connections one after the other and its listener among them; on a
- * loaded machine that takes some ms. Engines come back after seconds. */
+/* Delay of the check: an ending process closes its connections and its listener one after another,
+ * which takes some ms on a loaded machine. Engines take seconds to restart. */
 #define CHECK_DELAY_MS 20
-/* A row lapses three heartbeats after its engine ended, and is read within three seconds, also just
- * after a change of the controller. */
+/* The row of an engine that ended expires after three missed heartbeats, and its removal is read
+ * within three seconds, even just after a change of the lease holder. */
 #define EXPIRY_HEARTBEATS 3
 #define ROW_READ_MS 3000
-/* An engine that lives and breaks answers off is asked so often at most: each time takes a new
- * connection, of which it bears some hundred. */
+/* Minimum interval between checks of a live engine that keeps aborting requests: each check opens a
+ * connection, and an engine accepts a limited number of them. */
 #define CHECK_INTERVAL_MS 500
-/* An engine runs 64 requests at once and queues some more. */
+/* Requests kept for an engine; more than one runs and queues at a time. */
 #define REQUESTS_MAX 128
 
 typedef enum wb_liveness_t {
     WB_LIVENESS_CHECKING, /* the check is due or under way */
-    WB_LIVENESS_UNKNOWN,  /* its row will show */
+    WB_LIVENESS_UNKNOWN,  /* the check had no result: the store decides */
     WB_LIVENESS_ENDED
 } wb_liveness_t;
 
-/* An engine that broke requests off. */
+/* An engine that aborted requests. */
 typedef struct wb_watched_engine_t {
     wb_crash_watch_t *watch;
     char *id;
     char *address;
     wb_liveness_t state;
-    GArray *requests; /* of wb_broken_request_t, not yet told */
+    GArray *requests; /* of wb_broken_request_t, not yet reported */
     wb_timer_t *timer;
     wb_tcp_stream_t *stream;
-    int64_t since_ms; /* when the last check was planned */
+    int64_t since_ms; /* monotonic time at which the last check was scheduled */
 } wb_watched_engine_t;
 
 struct wb_crash_watch_t {
@@ -95,7 +95,7 @@
     engine->watch->events.on_crashed(engine->id, requests, engine->watch->events.context);
 }
 
-/* Somebody listens there: the engine, the next one, or what stands before engines. */
+/* Something listens at the address: the engine, its successor or a proxy. */
 static void check_open(wb_tcp_stream_t *stream, void *context) {
     (void)stream;
     wb_watched_engine_t *engine = context;
@@ -105,7 +105,7 @@
 
 static void check_data(wb_tcp_stream_t *stream, const char *data, size_t length, void *context) {
     (void)stream;
-    (void)data; /* the check ends as it is connected: nothing is asked */
+    (void)data; /* the check ends when it is connected and sends nothing */
     (void)length;
     (void)context;
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/* Returns another engine that was at the address and isn't known to have ended, or NULL. */
+/* Returns another engine that had the address and isn't known to have ended, or NULL. */
 static wb_watched_engine_t *predecessor_find(const wb_crash_watch_t *watch, const char *engine_id,
                                              const char *address) {
     GHashTableIter iter;
--- a/src/request/crash_watch.h
+++ b/src/request/crash_watch.h
@@ -1,15 +1,20 @@
 /**
  * @file crash_watch.h
- * @brief Finds out whether an engine has ended when it broke requests off.
+ * @brief Finds out whether an engine that aborted requests has crashed, and reports the requests
+ * that it was running.
  *
- * A connection that ends in the middle of an answer may be the answer's fault, or the network's.
- * So a moment after an engine broke something off this node connects to its address, once. Where
- * nobody listens any more the engine has ended, under all that it broke off at that time. Where
- * nothing answers, or somebody takes the connection (the engine, or what stands before it), the
- * store decides: the engine has ended when another one announces itself at its address, or when
- * its row goes, a few heartbeats later.
+ * A connection that ends in the middle of an answer may also be due to that answer or to the
+ * network. So shortly after an engine aborted a request, this node connects to its address once:
  *
- * Threads: everything here belongs on the loop's thread.
+ * - If the connection is refused, the engine has ended, with all requests that it aborted then.
+ * - If the attempt times out, or is accepted (by the engine, its successor or a proxy), the store
+ *   decides: the engine has ended when another engine announces itself at its address, or when its
+ *   row is removed, a few heartbeats later.
+ *
+ * An engine is named by its incarnation (wb_engine_state_t), as it may start again under its id.
+ *
+ * Units: milliseconds. Errors: a check that can't be started is logged and counts as without
+ * result. Threads: everything here belongs on the loop's thread.
  */
 #ifndef WICKBRIDGE_CRASH_WATCH_H
 #define WICKBRIDGE_CRASH_WATCH_H
@@ -22,15 +27,16 @@
 
 #include <glib.h>
 
-/** A request that an engine broke off. */
+/** A request that an engine aborted: the connection ended before the answer was complete. */
 typedef struct wb_broken_request_t {
     wb_request_digest_t digest;
     uint32_t body_bytes;
 } wb_broken_request_t;
 
 typedef struct wb_crash_watch_events_t {
-    /** An engine has ended. @param requests of wb_broken_request_t that it broke off, not all of
-     * them different; those that are noticed later come with a further call */
+    /** An engine has ended.
+     * @param requests array of the aborted requests, maybe with duplicates; owned by the watch.
+     * Requests whose abort is noticed later are reported by a further call. */
     void (*on_crashed)(const char *engine_id, const GArray *requests, void *context);
     void *context;
 } wb_crash_watch_events_t;
@@ -38,25 +44,26 @@
 typedef struct wb_crash_watch_t wb_crash_watch_t;
 
 /**
- * @param settings its connect_timeout_ms and engine_heartbeat_ms are read at each use; it must
- * outlive the watch
- * @param metrics  where checks and crashes are counted; must outlive the watch
+ * @param settings connect_timeout_ms and engine_heartbeat_ms are read at each use; must outlive the
+ * watch
+ * @param metrics  counts checks and crashes; must outlive the watch
+ * @param events   copied
  */
 wb_crash_watch_t *wb_crash_watch_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
                                         wb_edge_metrics_t *metrics,
                                         const wb_crash_watch_events_t *events);
 void wb_crash_watch_free(wb_crash_watch_t *watch);
 
-/** An engine ended the connection of a request that it had and hadn't answered whole.
- * @param engine_id here and below names one start of an engine: it may start again under its id */
+/** An engine closed the connection of a request before its answer was complete.
+ * @param engine_id here and below: the engine's incarnation */
 void wb_crash_watch_broken(wb_crash_watch_t *watch, const char *engine_id, const char *address,
                            const wb_broken_request_t *request);
-/** An engine's row went that hadn't said that it leaves. */
+/** The row of an engine was removed that had not announced that it is draining. */
 void wb_crash_watch_row_gone(wb_crash_watch_t *watch, const char *engine_id);
-/** An engine announces itself at an address: any other one that was there has ended. */
+/** An engine announces itself at an address: any other engine that had the address has ended. */
 void wb_crash_watch_address_taken(wb_crash_watch_t *watch, const char *engine_id,
                                   const char *address);
-/** Forget engines that nothing more is heard of. */
+/** Forget engines whose last check is so long ago that their row would have been removed. */
 void wb_crash_watch_sweep(wb_crash_watch_t *watch, int64_t now_ms);
 
 #endif
--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -1,4 +1,5 @@
-/* What this node's callers ask for, by model and adapter. */
+/* Demand of this node's clients by model and adapter, sent to the controller. Times are monotonic,
+ * in ms. */
 #include "request/request_types.h"
 
 #include <string.h>
@@ -11,7 +12,7 @@
     unsigned running;
     unsigned arrivals;
     uint64_t work;
-    int64_t earliest_target_ms;      /* steady time at which the tightest that waits is late */
+    int64_t earliest_target_ms;      /* when the first waiting request misses its target */
     int64_t retry_expected_until_ms; /* steady time until which a caller that was refused may come
                                         back */
 } wb_demand_entry_t;
@@ -98,7 +99,8 @@
            entry->retry_expected_until_ms < wb_clock_ms();
 }
 
-/* What was promised counts like one that waits, until an engine holds it. */
+/* Fills in a message row. An expected retry counts as one waiting request until an engine holds the
+ * model. */
 static void entry_write(const wb_demand_entry_t *entry, const wb_fleet_t *fleet, int64_t now_ms,
                         wb_wire_demand_entry *row) {
     int64_t earliest_target_ms = entry->earliest_target_ms;
--- a/src/request/engine_states.c
+++ b/src/request/engine_states.c
@@ -1,4 +1,5 @@
-/* Which engines have told of themselves, and which of them others should know of. */
+/* Engines that reported a limit or that they are draining, and those whose state is to be sent to
+ * other nodes. */
 #include "request/request_types.h"
 
 void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine) {
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -1,10 +1,10 @@
-/* Passes an engine's answer on: whole events as they come, short answers whole. */
+/* Forwards an engine's answer to the client: streams as complete events, short answers at once. */
 #include "request/event_stream.h"
 #include "request/exchange_inner.h"
 
 #define OUTPUT_LIMIT_BYTES (256 * 1024)
 
-/* Headers of the engine's answer that are passed on. */
+/* Returns the headers of the engine's response that are forwarded. */
 static GString *forwarded_headers(const wb_http_head_t *head) {
     GString *text = g_string_sized_new(256);
     for (guint i = 0; i < head->headers->len; i++) {
@@ -38,7 +38,7 @@
     engine->avoid_until_ms = 0;
 }
 
-/* Sends the answer's head, once for each request. */
+/* Sends the response head to the client, unless that has been done. */
 static void answer_begin(wb_exchange_t *exchange) {
     if (exchange->answer_begun)
         return;
@@ -48,8 +48,8 @@
                                     reply->headers->str);
 }
 
-/* What the first event's time leaves beside reading the prompt was spent waiting for others'
- * prompts. */
+/* Updates the wait scale: the time to the first event less that of the prefill was spent waiting
+ * for the prefill of other requests. */
 static void wait_scale_learn(const wb_exchange_t *exchange, double took_ms) {
     const wb_edge_t *edge = exchange->edge;
     const wb_sending_t *decision = &exchange->decision;
@@ -78,7 +78,8 @@
     engine_succeeded(exchange->engine);
 }
 
-/* Passes the first `length` bytes of the gathered answer on. */
+/* Forwards the first `length` bytes of the buffered answer. Stops reading from the engine when the
+ * client's output buffer is full. */
 static void answer_forward(wb_exchange_t *exchange, size_t length) {
     if (length == 0)
         return;
@@ -135,7 +136,6 @@
         answer_forward(exchange, exchange->answer->len);
 }
 
-/* Passes a whole answer of the engine on. */
 void wb_exchange_pass_whole(wb_exchange_t *exchange) {
     wb_reply_t *reply = &exchange->reply;
     wb_ending_t ending = reply->status / 100 == 2 ? WB_ENDING_SERVED : WB_ENDING_ENGINE_FAILED;
--- a/src/request/exchange_budget.c
+++ b/src/request/exchange_budget.c
@@ -1,4 +1,4 @@
-/* Whether a request may be sent again: the budget of its service, and what is written of it. */
+/* Retry budgets: whether requests of a service may be sent again. */
 #include "request/exchange_inner.h"
 
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge) {
@@ -14,9 +14,9 @@
     return budget;
 }
 
-/* This node's equal share of the slack that all nodes have together. A process that starts doesn't
- * know what the one before it has spent, nor whether all others count it yet: until that is over it
- * has the ratio of its own requests alone. */
+/* This node's equal share of the slack that all nodes have together, in resends. A process that has
+ * just started knows neither what its predecessor has spent nor whether all other nodes count it
+ * yet: until then its share is 0, and only the ratio of its own requests remains. */
 static double slack_share(const wb_edge_t *edge, int64_t now_ms) {
     return wb_equal_share_part(edge->share, edge->settings.retry_slack,
                                wb_edge_retry_window_ms(edge), now_ms);
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_end.c
@@ -1,4 +1,4 @@
-/* Notes how requests end: in the log, in the counters, and for operators who ask. */
+/* Records the outcome of requests in the log, the metrics and the ring of ended requests. */
 #include "request/exchange_inner.h"
 
 static const char *const ending_names[WB_ENDING_COUNT] = {
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -1,4 +1,4 @@
-/* Requests that crash the engines that run them: found out, and refused. */
+/* Poison requests: detects requests that crash the engines that run them, and refuses them. */
 #include "request/exchange_inner.h"
 
 const wb_request_digest_t *wb_exchange_digest(wb_exchange_t *exchange) {
@@ -19,8 +19,8 @@
     return &exchange->digest;
 }
 
-/* Returns what is held against the request, or NULL. Few requests have a body as long as one that
- * something is held against, so few digests are worked out. */
+/* Returns the request's entry in the poison book, or NULL. Few requests have a body of the same
+ * length as an entry, so comparing lengths first avoids most digests. */
 static const wb_poison_entry_t *poison_entry_find(wb_exchange_t *exchange) {
     const wb_poison_book_t *book = exchange->edge->poison;
     if (!wb_poison_book_has_length(book, exchange->body->len)) {
@@ -66,8 +66,9 @@
 
 void wb_exchange_note_broken(wb_exchange_t *exchange) {
     const wb_engine_t *engine = exchange->engine;
-    /* An engine that has said that it leaves ends what is left with it: that is nobody's fault. One
-     * whose row went without a word may live on, and crash: rows lapse while the store is away. */
+    /* A draining engine ends its remaining requests with itself, which is no crash. An engine whose
+     * row was removed without notice may still run, and crash: rows expire while the store is
+     * unavailable. */
     if (engine->state->leaving) {
         return;
     }
@@ -99,9 +100,8 @@
     poison_changed(edge);
 }
 
-/* Whether ending it now may spare an engine: it waits, or its engine may not have begun to run it.
- * One whose answer comes is let go on: its good end would show that it was no more than a
- * bystander.
+/* Whether refusing it now may save an engine: it waits, or its engine may not have begun to run it.
+ * A request that is being answered goes on: if it completes, it is no poison.
  */
 static gboolean may_refuse(const wb_exchange_t *exchange) {
     return wb_list_is_linked(&exchange->waiting) ||
@@ -112,7 +112,7 @@
     g_autoptr(GList) open = g_hash_table_get_keys(edge->open);
     for (GList *item = open; item != NULL; item = item->next) {
         wb_exchange_t *exchange = item->data;
-        /* What ends one request may end others. */
+        /* Ending one request may end others. */
         if (g_hash_table_contains(edge->open, exchange) && may_refuse(exchange) &&
             !wb_exchange_may_send(exchange)) {
             wb_exchange_give_up(exchange, WB_ENDING_POISON);
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -1,16 +1,18 @@
-/* Reads what a request asks for: route, service, model, prompt, deadline. */
+/* Reads a request's head: its route, service, model, prompt parts and deadline. */
 #include "request/exchange_inner.h"
 
 #include <string.h>
 
 #define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
-/* So long into a planned stop every request is still taken. */
+/* For this long after the begin of a planned stop, every request is accepted. */
 #define STOP_ACCEPT_MS 2800
-/* Time that a short request is given to end, and time kept free before the stop's end. */
+/* Time allowed for a short request after that, and time kept free before the end of the stop. */
 #define STOP_SHORT_MS 1000
 #define STOP_RESERVE_MS 800
 
-/* Reads the prompt's parts: ID:TOKENS with commas between. */
+/* Parses the prompt's parts, a comma-separated list of ID:TOKENS; items without a colon are
+ * ignored.
+ */
 static void parts_read(wb_exchange_t *exchange, const char *text) {
     g_auto(GStrv) words = g_strsplit(text, ",", -1);
     for (char **word = words; *word != NULL; word++) {
@@ -42,7 +44,8 @@
             wb_http_head_number(exchange->head, dialect->token_usage, exchange->body->len / 4);
 }
 
-/* Tokens that the answer is expected to have: by hint, kind, and the caller's limit. */
+/* Sets the expected tokens of the answer, from the client's hint and limit and the route's average.
+ */
 static void output_length_read(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const char *usage = wb_http_head_get(exchange->head, edge->dialect->token_usage);
@@ -64,7 +67,7 @@
         exchange->hold_until_ms = MIN(exchange->hold_until_ms, exchange->began_ms + timeout_ms);
 }
 
-/* An adapter is named by a letter and a number up to the model's count of them. */
+/* Adapters are named by a letter and a number from 1 to the model's number of adapters. */
 static gboolean adapter_is_known(const wb_model_spec_t *spec, const char *adapter) {
     if (*adapter == '\0')
         return TRUE;
@@ -74,7 +77,7 @@
     return number >= 1 && number <= spec->adapters;
 }
 
-/* Late in a planned stop a request is taken only if it will surely end in time. */
+/* Late in a planned stop, a request is accepted only if it is certain to end in time. */
 static gboolean is_too_late_to_accept(const wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
@@ -85,7 +88,7 @@
            MIN(exchange->hold_until_ms, now_ms + STOP_SHORT_MS) > end_ms - STOP_RESERVE_MS;
 }
 
-/* Finds model and adapter. Returns WB_ENDING_COUNT, or why the request can't be served. */
+/* Finds the model and adapter. Returns WB_ENDING_COUNT, or why the request can't be served. */
 static wb_ending_t model_find(wb_exchange_t *exchange) {
     if (g_hash_table_size(exchange->service->models) == 0)
         return WB_ENDING_COUNT;
@@ -99,7 +102,6 @@
     return WB_ENDING_COUNT;
 }
 
-/* Finds route and service. Returns WB_ENDING_COUNT, or why the request can't be served. */
 wb_ending_t wb_exchange_read(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     if (edge->catalog == NULL)
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -1,8 +1,8 @@
-/* A request's tenant: who its key belongs to, and what it takes of that tenant's limit. */
+/* A request's tenant, found by its API key, and what the request costs of the tenant's limit. */
 #include "request/exchange_inner.h"
 
-/* Nobody holds the key. When this node may not know the newest configuration, the key may be a new
- * one: a caller must not be told that it is wrong, and its next try reaches another node. */
+/* Outcome for a key that no tenant has. If this node's catalog may be out of date, the key may be a
+ * new one: the client must not get a 401, but may retry, at another node. */
 static wb_ending_t unknown_key(const wb_edge_t *edge) {
     if (edge->catalog_age_ms == NULL) {
         return WB_ENDING_BAD_KEY;
@@ -11,7 +11,6 @@
     return fresh ? WB_ENDING_BAD_KEY : WB_ENDING_KEY_UNCERTAIN;
 }
 
-/* Finds the tenant. Returns WB_ENDING_COUNT, or why the request can't be served. */
 wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const wb_route_t *route = exchange->route;
@@ -36,7 +35,7 @@
     return key.state == WB_API_KEY_GIVEN ? unknown_key(edge) : WB_ENDING_BAD_KEY;
 }
 
-/* Prompt tokens and most tokens out, together; -1 when the request names none. */
+/* Sum of the prompt tokens and the maximum output tokens; -1 when the request names none. */
 static double requested_tokens(const wb_exchange_t *exchange) {
     const char *text = wb_http_head_get(exchange->head, exchange->edge->dialect->token_usage);
     if (text == NULL || !g_ascii_isdigit(*text)) {
@@ -58,8 +57,8 @@
              (long long)age_ms, (long long)verdict->retry_ms);
 }
 
-/* Kinds of request are told apart by their service and their route's rank: a tenant's own rank is
- * the same for all of its requests. */
+/* Traffic classes are distinguished by service and by the route's priority, as a tenant's own
+ * priority is the same for all of its requests. */
 static wb_quota_kind_t traffic_class(const wb_exchange_t *exchange) {
     if (exchange->edge->settings.quota_order == 0) {
         return WB_QUOTA_OTHER_KINDS;
