--- a/src/directory/engine_subset.c
+++ b/src/directory/engine_subset.c
@@ -1,4 +1,4 @@
-/* Which engines of a model a gateway is told of. */
+/* Selects the engines of a model that are sent to a gateway. */
 #include "directory/engine_subset.h"
 
 #include <string.h>
@@ -10,6 +10,7 @@
     uint64_t weight;
 } wb_ranked_engine_t;
 
+/* Engines in the gateway's zone first, then by descending rendezvous weight. */
 static gint best_first(gconstpointer left, gconstpointer right) {
     const wb_ranked_engine_t *a = left;
     const wb_ranked_engine_t *b = right;
--- a/src/directory/engine_subset.h
+++ b/src/directory/engine_subset.h
@@ -1,32 +1,31 @@
 /**
  * @file engine_subset.h
- * @brief Which engines of a model a gateway is told of when no gateway can know all engines.
+ * @brief Selects the engines of a model that a relay sends to a gateway, in fleets too large for
+ * each gateway to know all engines.
  *
- * The load that it answers: thousands of engines before hundreds of gateways, each of which sees a
- * request in some seconds. A model has tens or hundreds of replicas; a gateway needs enough of them
- * to choose well, and gateways of a zone the same ones, as a prompt that one of them has sent is
- * read there already. So the engines are taken in the order of rendezvous hashing by model, those
- * of the gateway's own zone first: two gateways of one zone get the same list as long as they ask
- * for the same number, whoever answers them, and another engine more or less changes one place in
- * it.
+ * Engines are ordered by zone, that of the gateway first, and then by a rendezvous hash seeded with
+ * the model. So all gateways of a zone get the same list from any relay, and profit from the prompt
+ * prefixes that the others have sent there; and an engine that joins or leaves changes only one
+ * entry of the list.
  *
- * Pure. It costs a look at each engine of the service and a sort of those that hold the model.
+ * Pure: depends on its arguments only, and doesn't fail. The cost is one check of each engine of
+ * the service and a sort of those that hold the model.
  */
 #ifndef WICKBRIDGE_ENGINE_SUBSET_H
 #define WICKBRIDGE_ENGINE_SUBSET_H
 
 #include "wickbridge/fleet.h"
 
-/** As many as the users' machines choose among in under 100 us, and four times as many as a model's
- * engines in a zone on average where 9,640 engines with two places hold 299 models in 6 zones. */
+/** Maximum length of the list: enough to choose well among, and cheap to choose from. */
 #define WB_ENGINE_SUBSET_MOST 64
 
 /**
- * @param engines of the service, as wb_fleet_service tells; NULL: none
+ * @param engines the service's engines, from wb_fleet_service; NULL: none
  * @param model   "" for any engine of the service
- * @param zone    of the gateway that asks
- * @return at most WB_ENGINE_SUBSET_MOST wb_engine_t that hold the model and get work; to be
- * unreffed
+ * @param zone    of the requesting gateway
+ * @param now_ms  monotonic time
+ * @return at most WB_ENGINE_SUBSET_MOST borrowed wb_engine_t that hold the model and may get work;
+ * the array is to be freed with g_ptr_array_unref
  */
 GPtrArray *wb_engine_subset(const GPtrArray *engines, const char *model, const char *zone,
                             int64_t now_ms);
--- a/src/directory/table_readers.c
+++ b/src/directory/table_readers.c
@@ -1,13 +1,13 @@
-/* Which nodes of a large fleet read the engines' table. */
+/* Selects the nodes of a large fleet that read the engine table, and the relay of each gateway. */
 #include "directory/table_readers.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* A machine with less than this share of the strongest one's processor leaves the table to it. */
+/* Nodes with less than this share of the strongest node's processor don't read the table, unless
+ * they are needed for the minimum number of readers. */
 #define STRONG_SHARE 0.8
-/* A relay of the smallest kind, an eighth of a core, tells 32 gateways of some rows a second each.
- */
+/* Gateways that a relay can serve, even on an eighth of a core. */
 #define GATEWAYS_PER_READER 32
 
 static gint strongest_first(gconstpointer left, gconstpointer right) {
--- a/src/directory/table_readers.h
+++ b/src/directory/table_readers.h
@@ -1,15 +1,16 @@
 /**
  * @file table_readers.h
- * @brief Which nodes of a large fleet read the engines' table, and which of them a gateway asks.
+ * @brief Selects the nodes of a large fleet that read the engine table, and for each other node the
+ * reader that it uses as its relay.
  *
- * The load that it answers: hundreds of small machines and some strong ones, where reading the
- * table at each node costs nodes times engines. All nodes find the same readers from the rows that
- * nodes write of themselves, without a vote: the strongest machines, and as many more as it takes
- * for one reader to 32 nodes. A gateway asks the reader that rendezvous hashing gives it, so that
- * readers have gateways alike and those of a lost one spread over the others. Two nodes that see
- * different rows only ask more readers than they need.
+ * If each node read the table, the cost would grow with nodes times engines. So only the strongest
+ * nodes read it, and as many more as it takes to have one reader for 32 nodes. All nodes compute
+ * the same readers from the rows that nodes write of themselves, without an election. A gateway
+ * finds its relay by rendezvous hashing: gateways spread evenly, and those of a lost reader spread
+ * over the others. If two nodes see different rows, more readers than necessary are used, which is
+ * harmless.
  *
- * Pure.
+ * Pure: functions depend on their arguments only, and don't fail.
  */
 #ifndef WICKBRIDGE_TABLE_READERS_H
 #define WICKBRIDGE_TABLE_READERS_H
@@ -19,17 +20,22 @@
 /** A node that could read the table. */
 typedef struct wb_table_reader_t {
     const char *id;
-    double processor_share; /**< of a core; 0: not told */
+    double processor_share; /**< in cores; 0: unknown */
 } wb_table_reader_t;
 
-/** @param nodes of wb_table_reader_t; those that read the table are left, the strongest first
- * @param all    nodes of the fleet, those that can't be readers among them */
+/**
+ * Reduce the candidates to the readers.
+ * @param nodes array of wb_table_reader_t: in, all candidates; out, the readers, strongest first
+ * @param all   number of nodes in the fleet, including those that can't be readers
+ */
 void wb_table_readers_select(GArray *nodes, guint all);
+/** @return TRUE when the node is one of the readers */
 gboolean wb_table_readers_has(const GArray *readers, const char *id);
 /**
- * @param own    id of the gateway that asks
- * @param failed set of ids that couldn't be reached lately; NULL: none
- * @return id of the reader to ask, owned by `readers`; NULL: there is none
+ * Choose the relay of a gateway.
+ * @param own    id of the gateway
+ * @param failed set of ids of readers that were unreachable recently; NULL: none
+ * @return id of the reader, owned by `readers`; NULL: there is none
  */
 const char *wb_table_readers_relay(const GArray *readers, const char *own, GHashTable *failed);
 
--- a/src/request/api_key.c
+++ b/src/request/api_key.c
@@ -1,9 +1,9 @@
-/* Reads the key that a caller sent. */
+/* Reads the API key from a client's request headers. */
 #include "request/api_key.h"
 
 #include <string.h>
 
-/* Returns the only value of a header, or NULL; `count` tells how many there are. */
+/* Returns the last value of a header, or NULL. @param count out: number of headers of that name */
 static const char *only_value(const wb_http_head_t *head, const char *name, unsigned *count) {
     const char *value = NULL;
     *count = 0;
@@ -17,7 +17,7 @@
     return value;
 }
 
-/* Returns where the key begins, or NULL when the value has another scheme. */
+/* Returns the start of the key after the scheme, or NULL when the value has another scheme. */
 static const char *after_scheme(const char *value, const char *scheme) {
     size_t length = strlen(scheme);
     if (g_ascii_strncasecmp(value, scheme, length) != 0 || value[length] != ' ') {
@@ -26,7 +26,7 @@
     return value + length + strspn(value + length, " ");
 }
 
-/* Returns a key's length, or 0 for what can't be one. */
+/* Returns the length of a key without trailing space, or 0 if it is malformed. */
 static size_t key_length(const char *key) {
     size_t length = strlen(key);
     while (length > 0 && (key[length - 1] == ' ' || key[length - 1] == '\t')) {
--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -20,7 +20,7 @@
 #define REQUESTS_MAX 128
 
 typedef enum wb_liveness_t {
-    WB_LIVENESS_CHECKING, /* the check is due or under way */
+    WB_LIVENESS_CHECKING, /* a check is scheduled or in progress */
     WB_LIVENESS_UNKNOWN,  /* the check had no result: the store decides */
     WB_LIVENESS_ENDED
 } wb_liveness_t;
@@ -82,6 +82,7 @@
     g_free(watch);
 }
 
+/* Reports the pending requests of an engine that has ended. */
 static void crash_report(wb_watched_engine_t *engine, const char *shown_by) {
     engine->watch->metrics->engine_crashes += engine->state != WB_LIVENESS_ENDED;
     engine->state = WB_LIVENESS_ENDED;
@@ -124,11 +125,11 @@
 static void check_begin(void *context) {
     static const wb_tcp_events_t events = {check_open, check_data, check_failed, NULL};
     wb_watched_engine_t *engine = context;
-    int64_t limit_ms = engine->watch->settings->connect_timeout_ms;
+    int64_t timeout_ms = engine->watch->settings->connect_timeout_ms;
     wb_error_t error;
     engine->timer = NULL;
     engine->watch->metrics->engine_checks++;
-    if (wb_tcp_stream_connect(engine->watch->loop, engine->address, limit_ms, limit_ms, &events,
+    if (wb_tcp_stream_connect(engine->watch->loop, engine->address, timeout_ms, timeout_ms, &events,
                               engine, &engine->stream, &error) != APR_SUCCESS) {
         wb_event("engine-check-failed", ",\"engine\":\"%s\",\"reason\":\"%s\"",
                  wb_event_text(engine->id), wb_event_text(error.message));
--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -10,11 +10,10 @@
     char *adapter;
     unsigned waiting;
     unsigned running;
-    unsigned arrivals;
-    uint64_t work;
+    unsigned arrivals;               /* since the last message */
+    uint64_t work;                   /* prompt tokens of the arrivals */
     int64_t earliest_target_ms;      /* when the first waiting request misses its target */
-    int64_t retry_expected_until_ms; /* steady time until which a caller that was refused may come
-                                        back */
+    int64_t retry_expected_until_ms; /* until when a refused client may retry */
 } wb_demand_entry_t;
 
 struct wb_demand_t {
--- a/src/request/event_stream.c
+++ b/src/request/event_stream.c
@@ -1,4 +1,4 @@
-/* Whole events of a text/event-stream. */
+/* Finds complete events and their ids in a text/event-stream. */
 #include "request/event_stream.h"
 
 #include <string.h>
--- a/src/request/retry_budget.c
+++ b/src/request/retry_budget.c
@@ -1,16 +1,17 @@
-/* A sliding budget of resends. */
+/* Retry budget with sliding windows, counted in slices of time. */
 #include "request/retry_budget.h"
 
-/* A window is counted in slices. */
+/* Slices in a window. */
 #define SLICES 20
-/* A resend comes to its engine up to so many slices after it was taken; a request was sent by its
- * caller up to so many before it was counted. */
+/* Maximum delay, in slices, from taking a resend to its arrival at the engine, and from a client's
+ * sending of a request to its being counted. */
 #define DELAY_SLICES 1
-/* Slices from the one in which a window may begin to the first whose requests surely lie in it. */
+/* Slices from the one in which a window may begin to the first whose requests are certain to lie in
+ * it. */
 #define BOUNDARY_SLICES (2 * DELAY_SLICES + 1)
-/* The oldest slice whose resends may share a window with one of now. */
+/* Age of the oldest slice whose resends may share a window with a resend taken now. */
 #define OLDEST_AGE (SLICES + DELAY_SLICES)
-/* Half a window before that one's. */
+/* Slices needed to count the requests of the window half a window before the oldest one. */
 #define KEPT_SLICES (OLDEST_AGE + SLICES / 2 - BOUNDARY_SLICES + 1)
 
 struct wb_retry_budget_t {
@@ -32,12 +33,12 @@
     g_free(budget);
 }
 
-/* Returns the index of the slice that is so many slices old. */
+/* Returns the index of the slice that is `age` slices older than the newest. */
 static size_t slice_index(const wb_retry_budget_t *budget, int age) {
     return (size_t)((budget->newest - age) % KEPT_SLICES);
 }
 
-/* Empties the slices that are no longer kept. */
+/* Advances to the current slice, and clears the slices that are reused. */
 static void slices_advance(wb_retry_budget_t *budget, int64_t now_ms) {
     int64_t number = now_ms / budget->slice_ms;
     int64_t passed = MIN(number - budget->newest, KEPT_SLICES);
@@ -54,12 +55,12 @@
     budget->requests[slice_index(budget, 0)]++;
 }
 
-/* Each window that a resend of now may lie in must have room for it. Its requests are the mean of
- * those in it and those in the one half a window before: the bound takes the larger of the two
- * over all nodes, and the sum of the nodes' means is never more, while the sum of what is larger at
- * each node may be. */
+/* The minimum over all windows in which a resend taken now may lie. The requests credited to a
+ * window are the mean of those in it and those in the window half a window before. The bound takes
+ * the larger of the two sums over all nodes: the sum of the nodes' means never exceeds that, but
+ * the sum of each node's larger count may. */
 double wb_retry_budget_left(wb_retry_budget_t *budget, double slack_share, int64_t now_ms) {
-    unsigned newer[KEPT_SLICES + 1] = {0}; /* requests in so many newest slices */
+    unsigned newer[KEPT_SLICES + 1] = {0}; /* newer[n]: requests in the newest n slices */
     unsigned resends = 0;
     double left = G_MAXDOUBLE;
     slices_advance(budget, now_ms);
@@ -67,8 +68,8 @@
         newer[age + 1] = newer[age] + budget->requests[slice_index(budget, age)];
     }
     for (int age = 0; age <= OLDEST_AGE; age++) {
-        int inside = MAX(age + 1 - BOUNDARY_SLICES, 0); /* slices that surely lie in the window */
-        int half = MAX(age - SLICES / 2, 0);            /* slices after the window half before */
+        int inside = MAX(age + 1 - BOUNDARY_SLICES, 0); /* slices certain to lie in the window */
+        int half = MAX(age - SLICES / 2, 0);            /* slices after the window before */
         unsigned in_window = newer[inside];
         unsigned in_half_before = newer[age + 1 - BOUNDARY_SLICES + SLICES / 2] - newer[half];
         resends += budget->resends[slice_index(budget, age)];
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -1,13 +1,15 @@
 /**
  * @file retry_budget.h
- * @brief How many requests this process may send again in any window of time, out of a bound shared
- * by all nodes.
+ * @brief Retry budget of one process: how many requests it may resend in any sliding window of
+ * time.
  *
- * Each process may use the ratio of its own requests and its share of the slack (equal_share.h), so
- * that what all processes use together stays within the bound: no message is needed. Windows slide;
- * each one that a resend may come to lie in is looked at.
+ * All nodes together are bound to ratio * requests + slack resends in each window. Each process
+ * uses the ratio of its own requests and its share of the slack (equal_share.h), so the sum stays
+ * within the bound without any communication. A resend is allowed only if every window in which it
+ * may arrive has room for it.
  *
- * Pure: the time is passed in.
+ * Units: resends and requests are counts, times are monotonic milliseconds passed in by the caller.
+ * No function fails. Not thread-safe.
  */
 #ifndef WICKBRIDGE_RETRY_BUDGET_H
 #define WICKBRIDGE_RETRY_BUDGET_H
@@ -23,15 +25,15 @@
  */
 wb_retry_budget_t *wb_retry_budget_create(double ratio, int64_t window_ms);
 void wb_retry_budget_free(wb_retry_budget_t *budget);
-/** A request of a caller was counted for the first time. */
+/** Count a client's request; once for each request, not for its resends. */
 void wb_retry_budget_request(wb_retry_budget_t *budget, int64_t now_ms);
 /**
- * Take one resend out of the budget.
+ * Take one resend from the budget.
  * @param slack_share this node's share of the slack, in resends
  * @return FALSE when there is none left
  */
 gboolean wb_retry_budget_take(wb_retry_budget_t *budget, double slack_share, int64_t now_ms);
-/** @return resends that could be taken now; below 0 after a share shrank */
+/** @return resends that could be taken now; below 0 after the share has shrunk */
 double wb_retry_budget_left(wb_retry_budget_t *budget, double slack_share, int64_t now_ms);
 
 #endif
