--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -16,7 +16,7 @@
 /* Minimum interval between checks of a live engine that keeps aborting requests: each check opens a
  * connection, and an engine accepts a limited number of them. */
 #define CHECK_INTERVAL_MS 500
-/* Requests kept for an engine; more than one runs and queues at a time. */
+/* Maximum requests kept for an engine; more than an engine runs and queues at once. */
 #define REQUESTS_MAX 128
 
 typedef enum wb_liveness_t {
