--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -5,6 +5,7 @@
 #include <string.h>
 
 #define HEAD_LIMIT_BYTES 65536
+/* An idle connection is no longer reused this long before the engine closes it. */
 #define KEEP_ALIVE_MARGIN_MS 600
 #define IDLE_DEFAULT_MS 250 /* for engines that send no Keep-Alive timeout */
 #define IDLE_MAX_PER_ENGINE 6
@@ -25,9 +26,9 @@
 struct wb_attempt_t {
     wb_exchange_t *exchange;
     wb_upstream_t *upstream;
-    GString *output; /* the request, until the connection is established */
-    gboolean sent;
-    gboolean reused;
+    GString *output;   /* the request, until the connection is established */
+    gboolean sent;     /* the request was written to the connection */
+    gboolean reused;   /* the connection was idle before, not opened for the attempt */
     gboolean skipping; /* the current response isn't for this request */
     gboolean tainted;  /* the connection must not be reused */
     gboolean keep_alive;
@@ -118,8 +119,8 @@
     return timeout != NULL ? g_ascii_strtoll(timeout + strlen("timeout="), NULL, 10) * 1000 : 0;
 }
 
-/* Whether a response belongs to this request: it has the request's id, or none at all on a
- * connection that no other request has used. */
+/* Whether a response belongs to this request: by the request's id, or, if it has none, because the
+ * connection is new and has brought no other response. */
 static gboolean answer_matches(const wb_attempt_t *attempt, const wb_http_head_t *head) {
     const wb_exchange_t *exchange = attempt->exchange;
     const char *id = wb_http_head_get(head, exchange->edge->dialect->request_id);
@@ -130,10 +131,10 @@
 
 static void engine_state_apply(const wb_upstream_t *upstream, const wb_http_head_t *head) {
     wb_edge_t *edge = upstream->edge;
-    wb_heard_t heard = {edge->dialect,       head,
-                        WB_HEARD_ON_REQUEST, upstream->attempt->exchange->written_ms,
-                        wb_clock_ms(),       edge->settings.drain_ms};
-    if (wb_engine_hear(upstream->engine, &heard, &edge->metrics)) {
+    wb_heard_t response = {edge->dialect,       head,
+                           WB_HEARD_ON_REQUEST, upstream->attempt->exchange->written_ms,
+                           wb_clock_ms(),       edge->settings.drain_ms};
+    if (wb_engine_hear(upstream->engine, &response, &edge->metrics)) {
         wb_edge_note_told(edge, upstream->engine);
         wb_edge_queue_state(edge, upstream->engine);
     }
--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -16,7 +16,9 @@
 #define FAILURE_COST_MS 200.0
 /* Time constant of the decay of engine-reported load: it changes with each request. */
 #define REPORT_DECAY_MS 1000.0
+/* How long a prompt prefix is taken to stay cached at an engine. */
 #define PREFIX_KEPT_MS 30000
+/* Time without a byte, beyond the prefill, after which an engine is unresponsive. */
 #define UNRESPONSIVE_MS 300.0
 /* A cold engine can sustain few requests, so it is used only where no warm engine would answer much
  * earlier. */
@@ -25,6 +27,7 @@
 #define LIMITED_COST_MS 1000.0
 /* Interval at which this node's shares are recomputed, as nodes join and leave. */
 #define SHARE_REFRESH_MS 1000
+/* Prefixes kept for an engine; beyond that all are dropped. */
 #define PREFIXES_MAX 512
 
 /* Key of a prompt prefix that ends with this part. `before` is the key of the parts before it, or
@@ -50,17 +53,17 @@
                                   int64_t now_ms) {
     if (exchange->model == NULL)
         return 0;
-    int64_t unread = exchange->prompt_tokens;
+    int64_t uncached = exchange->prompt_tokens;
     uint64_t hash = prompt_seed(exchange);
     for (guint i = 0; i < exchange->parts->len; i++) {
         const wb_prompt_part_t *part = &g_array_index(exchange->parts, wb_prompt_part_t, i);
         hash = part_hash(hash, part->id);
-        const int64_t *read_ms = g_hash_table_lookup(engine->prefixes, &hash);
-        if (read_ms == NULL || now_ms - *read_ms > PREFIX_KEPT_MS)
+        const int64_t *prefilled_ms = g_hash_table_lookup(engine->prefixes, &hash);
+        if (prefilled_ms == NULL || now_ms - *prefilled_ms > PREFIX_KEPT_MS)
             break;
-        unread -= part->tokens;
+        uncached -= part->tokens;
     }
-    return MAX(unread, 0);
+    return MAX(uncached, 0);
 }
 
 void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms) {
@@ -71,9 +74,9 @@
     uint64_t hash = prompt_seed(exchange);
     for (guint i = 0; i < exchange->parts->len; i++) {
         hash = part_hash(hash, g_array_index(exchange->parts, wb_prompt_part_t, i).id);
-        int64_t *read_ms = g_hash_table_lookup(engine->prefixes, &hash);
-        if (read_ms != NULL)
-            *read_ms = now_ms;
+        int64_t *prefilled_ms = g_hash_table_lookup(engine->prefixes, &hash);
+        if (prefilled_ms != NULL)
+            *prefilled_ms = now_ms;
         else
             g_hash_table_insert(engine->prefixes, g_memdup2(&hash, sizeof(hash)),
                                 g_memdup2(&now_ms, sizeof(now_ms)));
@@ -87,22 +90,22 @@
     if (engine->reported_ms == 0)
         return own;
     double age_ms = (double)(now_ms - engine->reported_ms);
-    double trust = exp(-age_ms / REPORT_DECAY_MS);
+    double decay = exp(-age_ms / REPORT_DECAY_MS);
     double reported = engine->reported_running + engine->reported_waiting;
-    return MAX(own, trust * reported);
+    return MAX(own, decay * reported);
 }
 
 /* Prompt tokens that the engine is expected to prefill. All nodes prefer the same engine for a
  * shared prefix, so that engine is taken to have it cached, whichever node sent it. */
 static double expected_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                               gboolean is_preferred, int64_t now_ms) {
-    double unread = (double)wb_balancer_unread_tokens(engine, exchange, now_ms);
+    double uncached = (double)wb_balancer_unread_tokens(engine, exchange, now_ms);
     guint parts = exchange->parts->len;
     if (is_preferred && parts > 1) {
         const wb_prompt_part_t *last = &g_array_index(exchange->parts, wb_prompt_part_t, parts - 1);
-        unread = MIN(unread, (double)last->tokens);
+        uncached = MIN(uncached, (double)last->tokens);
     }
-    return unread;
+    return uncached;
 }
 
 /* Whether the engine has sent no byte for longer than the prefill of its pending requests takes. */
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -5,6 +5,7 @@
 
 #include <string.h>
 
+/* Attempts of a request that may reach an engine. */
 #define SENDS_MAX 4
 /* A repeatable request whose engine stays silent for this share of the target latency is sent to
  * another one. */
@@ -17,6 +18,7 @@
 #define REJECTED_AVOID_MS 100
 /* Delay before the same request may be sent to it again; doubled with each further rejection. */
 #define REJECTED_RETRY_MS 120
+/* Attempts of a request whose connection fails. */
 #define CONNECT_FAILURES_MAX 8
 /* How much later than its Retry-After a client is still expected to retry. */
 #define RETRY_GRACE_MS 500
@@ -99,11 +101,11 @@
     g_free(exchange);
 }
 
-wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t ending,
+wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t outcome,
                                       unsigned status) {
     wb_exchange_leave_waiting(exchange);
     wb_exchange_settle_quota(exchange);
-    wb_exchange_note_end(exchange, ending, status);
+    wb_exchange_note_end(exchange, outcome, status);
     wb_http_connection_t *connection = exchange->connection;
     wb_http_connection_set_request(connection, NULL);
     exchange_free(exchange);
@@ -114,8 +116,8 @@
     g_snprintf(headers, size, "Retry-After: %.2f\r\n", (double)after_ms / 1000.0);
 }
 
-static int64_t refusal_retry_after_ms(wb_exchange_t *exchange, wb_ending_t ending) {
-    switch (ending) {
+static int64_t refusal_retry_after_ms(wb_exchange_t *exchange, wb_ending_t outcome) {
+    switch (outcome) {
     case WB_ENDING_POISON:
         return wb_exchange_poison_left_ms(exchange);
     case WB_ENDING_NO_ROOM:
@@ -126,9 +128,9 @@
 }
 
 /* Ends the exchange with an answer of this node. */
-static void exchange_refuse(wb_exchange_t *exchange, wb_ending_t ending, unsigned status) {
+static void exchange_refuse(wb_exchange_t *exchange, wb_ending_t outcome, unsigned status) {
     if (exchange->answer_begun) {
-        wb_http_connection_abort(wb_exchange_end(exchange, ending, 0));
+        wb_http_connection_abort(wb_exchange_end(exchange, outcome, 0));
         return;
     }
     char headers[64] = "";
@@ -136,10 +138,10 @@
         retry_after_write(headers, sizeof(headers), exchange->quota_retry_ms);
     }
     if (status == 503) {
-        int64_t retry_after_ms = refusal_retry_after_ms(exchange, ending);
+        int64_t retry_after_ms = refusal_retry_after_ms(exchange, outcome);
         retry_after_write(headers, sizeof(headers), retry_after_ms);
         /* No controller receives the demand now: keep it for the next one. */
-        if (ending == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
+        if (outcome == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
             wb_demand_promised(exchange->edge->demand, exchange,
                                wb_clock_ms() + retry_after_ms + RETRY_GRACE_MS);
         }
@@ -148,17 +150,18 @@
         g_snprintf(headers, sizeof(headers), "WWW-Authenticate: %s\r\n",
                    exchange->edge->dialect->api_key_scheme);
     }
-    wb_http_connection_t *connection = wb_exchange_end(exchange, ending, status);
+    wb_http_connection_t *connection = wb_exchange_end(exchange, outcome, status);
     wb_http_connection_answer(connection, status, wb_http_reason(status), headers, NULL, 0);
 }
 
-void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t ending) {
-    unsigned may_have_run = ending == WB_ENDING_TIMED_OUT ? 504 : 502;
+void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t outcome) {
+    unsigned ran_status = outcome == WB_ENDING_TIMED_OUT ? 504 : 502;
     attempt_stop(exchange);
-    exchange_refuse(exchange, ending,
-                    exchange->runs == 0 ? wb_ending_status(ending) : may_have_run);
+    exchange_refuse(exchange, outcome,
+                    exchange->runs == 0 ? wb_ending_status(outcome) : ran_status);
 }
 
+/* Counts a failure of an engine, and avoids the engine for some time. */
 static void engine_failed(wb_engine_t *engine, const char *reason, const char *request_id) {
     engine->failures++;
     int64_t avoid_ms = AVOID_MS << MIN(engine->failures - 1, 4);
@@ -272,7 +275,8 @@
     silence_arm(exchange);
 }
 
-/* Whether a request is sent although its answer may be late. Those that were sent before are. */
+/* Whether to send a request, or to refuse it because its answer is likely to be late. Only the
+ * first attempt may be refused. */
 static gboolean is_admitted(wb_exchange_t *exchange, int64_t now_ms) {
     const wb_edge_t *edge = exchange->edge;
     if (edge->settings.admission == 0 || !edge->loads_known || exchange->sends > 0) {
@@ -343,6 +347,7 @@
     return TRUE;
 }
 
+/* The engine rejected the request without running it: tries another, or the same one later. */
 static void rejection_handle(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     wb_engine_t *engine = exchange->engine;
@@ -356,8 +361,8 @@
     int64_t now_ms = wb_clock_ms();
     engine->rejected_until_ms = now_ms + REJECTED_AVOID_MS;
     if (exchange->reply.status != edge->dialect->wrong_engine_status) {
-        int64_t pause_ms = (int64_t)REJECTED_RETRY_MS << MIN(exchange->rejections - 1, 4);
-        tried_last(exchange)->again_ms = now_ms + pause_ms;
+        int64_t delay_ms = (int64_t)REJECTED_RETRY_MS << MIN(exchange->rejections - 1, 4);
+        tried_last(exchange)->again_ms = now_ms + delay_ms;
     }
     if (exchange->sends >= SENDS_MAX)
         wb_exchange_give_up(exchange, WB_ENDING_REJECTED);
@@ -444,7 +449,7 @@
     g_autoptr(GList) open = g_hash_table_get_keys(edge->open);
     for (GList *item = open; item != NULL; item = item->next) {
         const wb_exchange_t *exchange = item->data;
-        /* Ending one request may end others. */
+        /* Ending one request may end others, so each is checked to be still open. */
         if (g_hash_table_contains(edge->open, exchange) && exchange->engine == engine &&
             exchange->attempt != NULL) {
             wb_attempt_engine_ended(exchange->attempt);
@@ -470,9 +475,9 @@
     g_hash_table_add(edge->open, exchange);
     edge->metrics.requests++;
     wb_http_connection_set_request(connection, exchange);
-    wb_ending_t ending = wb_exchange_read(exchange);
-    if (ending != WB_ENDING_COUNT) {
-        exchange_refuse(exchange, ending, wb_ending_status(ending));
+    wb_ending_t outcome = wb_exchange_read(exchange);
+    if (outcome != WB_ENDING_COUNT) {
+        exchange_refuse(exchange, outcome, wb_ending_status(outcome));
         return;
     }
     wb_exchange_count_request(exchange);
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -1,7 +1,9 @@
-/* Forwards an engine's answer to the client: streams as complete events, short answers at once. */
+/* Forwards an engine's answer to the client: streams by complete events, others once they are
+ * complete or fill the buffer. */
 #include "request/event_stream.h"
 #include "request/exchange_inner.h"
 
+/* Unsent bytes for a client at which reading from its engine stops. */
 #define OUTPUT_LIMIT_BYTES (256 * 1024)
 
 /* Returns the headers of the engine's response that are forwarded. */
@@ -53,10 +55,10 @@
 static void wait_scale_learn(const wb_exchange_t *exchange, double took_ms) {
     const wb_edge_t *edge = exchange->edge;
     const wb_sending_t *decision = &exchange->decision;
-    double read_ms = decision->engine.unread_tokens * decision->engine.pace /
-                     edge->settings.prefill_tokens_per_ms;
+    double prefill_ms = decision->engine.unread_tokens * decision->engine.pace /
+                        edge->settings.prefill_tokens_per_ms;
     wb_wait_scale_learn(edge->wait_scale, exchange->route->name, decision->estimate.wait_ms,
-                        took_ms - read_ms);
+                        took_ms - prefill_ms);
 }
 
 void wb_exchange_note_first_event(wb_exchange_t *exchange) {
@@ -138,8 +140,8 @@
 
 void wb_exchange_pass_whole(wb_exchange_t *exchange) {
     wb_reply_t *reply = &exchange->reply;
-    wb_ending_t ending = reply->status / 100 == 2 ? WB_ENDING_SERVED : WB_ENDING_ENGINE_FAILED;
-    if (exchange->events > 0 && ending == WB_ENDING_SERVED) {
+    wb_ending_t outcome = reply->status / 100 == 2 ? WB_ENDING_SERVED : WB_ENDING_ENGINE_FAILED;
+    if (exchange->events > 0 && outcome == WB_ENDING_SERVED) {
         const wb_edge_t *edge = exchange->edge;
         wb_length_guess_learn(edge->lengths, exchange->route->name,
                               (double)exchange->events * (double)edge->settings.event_tokens);
@@ -147,13 +149,13 @@
     if (exchange->answer_begun || reply->streamed) {
         answer_begin(exchange);
         answer_forward(exchange, exchange->answer->len);
-        wb_http_connection_stream_end(wb_exchange_end(exchange, ending, reply->status));
+        wb_http_connection_stream_end(wb_exchange_end(exchange, outcome, reply->status));
         return;
     }
     g_autoptr(GByteArray) body = g_byte_array_ref(exchange->answer);
     g_autofree char *headers = g_strdup(reply->headers->str);
     g_autofree char *reason = g_strdup(reply->reason);
     unsigned status = reply->status;
-    wb_http_connection_t *connection = wb_exchange_end(exchange, ending, status);
+    wb_http_connection_t *connection = wb_exchange_end(exchange, outcome, status);
     wb_http_connection_answer(connection, status, reason, headers, body->data, body->len);
 }
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_end.c
@@ -1,17 +1,17 @@
 /* Records the outcome of requests in the log, the metrics and the ring of ended requests. */
 #include "request/exchange_inner.h"
 
-static const char *const ending_names[WB_ENDING_COUNT] = {
+static const char *const outcome_names[WB_ENDING_COUNT] = {
     "served",        "engine-failed", "no-catalog",  "no-route", "bad-request",
     "unknown-model", "no-engine",     "not-loaded",  "rejected", "no-budget",
     "broken",        "timed-out",     "caller-gone", "stopping", "bad-key",
     "key-uncertain", "over-quota",    "poison",      "no-room"};
 
-const char *wb_ending_name(wb_ending_t ending) {
-    return ending_names[ending];
+const char *wb_ending_name(wb_ending_t outcome) {
+    return outcome_names[outcome];
 }
 
-static void ended_remember(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status,
+static void ended_remember(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status,
                            const char *engine) {
     wb_edge_t *edge = exchange->edge;
     wb_ended_request_t *ended = &edge->ended[edge->ended_next++ % WB_ENDED_REQUESTS];
@@ -22,7 +22,7 @@
     g_strlcpy(ended->route, exchange->route != NULL ? exchange->route->name : "",
               sizeof(ended->route));
     g_strlcpy(ended->engine, engine, sizeof(ended->engine));
-    ended->ending = ending_names[ending];
+    ended->ending = outcome_names[outcome];
     ended->status = status;
     ended->sends = exchange->sends;
     ended->runs = exchange->runs;
@@ -30,7 +30,7 @@
     ended->waited_ms = exchange->waited_ms;
 }
 
-void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status) {
+void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status) {
     wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
     const char *engine = wb_exchange_last_engine(exchange);
@@ -38,8 +38,8 @@
     if (exchange->digest_known) {
         wb_request_digest_write(&exchange->digest, digest);
     }
-    ended_remember(exchange, ending, status, engine);
-    edge->metrics.endings[ending]++;
+    ended_remember(exchange, outcome, status, engine);
+    edge->metrics.endings[outcome]++;
     edge->metrics.long_pauses += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
                                  exchange->max_pause_ms > exchange->route->target_gap_ms;
     wb_histogram_add(&edge->metrics.whole_ms, now_ms - exchange->began_ms);
@@ -51,7 +51,7 @@
         "\"left_ms\":%lld,\"catalog\":%lld,\"answer_begun\":%s,\"tenant\":\"%s\",\"quota_cost\":%."
         "0f,\"digest\":\"%s\",\"out_tokens\":%lld,\"pace\":%.2f,\"running_there\":%.0f,"
         "\"reading_share\":%.2f,\"unread\":%.0f,\"predicted_first_ms\":%.0f,\"sent_for_ms\":%lld",
-        wb_event_text(exchange->id), ending_names[ending], status,
+        wb_event_text(exchange->id), outcome_names[outcome], status,
         exchange->route != NULL ? exchange->route->name : "",
         exchange->service != NULL ? exchange->service->name : "", wb_event_text(exchange->model),
         wb_event_text(exchange->adapter), engine, exchange->sends, exchange->runs,
--- a/src/request/exchange_inner.h
+++ b/src/request/exchange_inner.h
@@ -15,9 +15,10 @@
 void wb_exchange_dispatch(wb_exchange_t *exchange);
 /** End it with an answer of this node: the outcome's own status if it certainly has not run, else
  * 502 or 504. If the answer has begun, the connection is aborted. It is freed. */
-void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t ending);
+void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t outcome);
 /** Record the outcome and free the exchange. @return its connection, to send the answer on */
-wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t ending, unsigned status);
+wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t outcome,
+                                      unsigned status);
 /** Cancel a timer if it is set, and clear it. */
 void wb_exchange_clear_timer(wb_timer_t **timer);
 void wb_exchange_clear_reply(wb_reply_t *reply);
@@ -30,7 +31,7 @@
 /** Find its route, service, model and times. @return WB_ENDING_COUNT, or why it can't be served */
 wb_ending_t wb_exchange_read(wb_exchange_t *exchange);
 /** @return the HTTP status of an outcome of a request that has not run */
-unsigned wb_ending_status(wb_ending_t ending);
+unsigned wb_ending_status(wb_ending_t outcome);
 
 /* exchange_tenant.c */
 /** Find its tenant and priority. @return WB_ENDING_COUNT, or why it can't be served */
@@ -91,6 +92,6 @@
 
 /* exchange_end.c */
 /** Record its outcome in the log, the metrics and the ring of ended requests. */
-void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status);
+void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status);
 
 #endif
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -112,7 +112,7 @@
     g_autoptr(GList) open = g_hash_table_get_keys(edge->open);
     for (GList *item = open; item != NULL; item = item->next) {
         wb_exchange_t *exchange = item->data;
-        /* Ending one request may end others. */
+        /* Ending one request may end others, so each is checked to be still open. */
         if (g_hash_table_contains(edge->open, exchange) && may_refuse(exchange) &&
             !wb_exchange_may_send(exchange)) {
             wb_exchange_give_up(exchange, WB_ENDING_POISON);
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -13,7 +13,7 @@
 #define RETRY_AFTER_MARGIN_MS 50
 /* How late an expected load may be before the requests that wait for it are refused. */
 #define LOAD_GRACE_MS 700
-/* Time reserved for prefill once the model is loaded. */
+/* Time reserved for prefill after the wait. */
 #define SERVE_MS 150
 /* By this time after a request's arrival the controller has reacted to its demand and the update
  * has reached this node; without one, no load was started. An adapter is loaded by then too, unless
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -159,7 +159,7 @@
 G_STATIC_ASSERT(WB_ENDING_COUNT <= WB_ENDINGS_MAX);
 
 /** @return an outcome's name in logs and metrics; static */
-const char *wb_ending_name(wb_ending_t ending);
+const char *wb_ending_name(wb_ending_t outcome);
 
 /** An engine's response, while it is read. */
 typedef struct wb_reply_t {
@@ -353,7 +353,8 @@
 void wb_attempt_engine_ended(wb_attempt_t *attempt);
 /** Close an engine's idle connections. */
 void wb_upstreams_drop(wb_engine_t *engine);
-/** Close idle connections that have expired, and those of engines that aren't available. */
+/** Close idle connections that have expired, and those of engines that are draining or removed, or
+ * whose zone is being evacuated. */
 void wb_upstreams_sweep(wb_edge_t *edge, int64_t now_ms);
 
 /* Demand by model: demand.c. */
