--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -19,7 +19,7 @@
     return &exchange->digest;
 }
 
-/* Returns the request's entry in the poison book, or NULL. Few requests have a body of the same
+/* Returns the request's entry in the poison registry, or NULL. Few requests have a body of the same
  * length as an entry, so comparing lengths first avoids most digests. */
 static const wb_poison_entry_t *poison_entry_find(wb_exchange_t *exchange) {
     const wb_poison_book_t *book = exchange->edge->poison;
@@ -101,8 +101,7 @@
 }
 
 /* Whether refusing it now may save an engine: it waits, or its engine may not have begun to run it.
- * A request that is being answered goes on: if it completes, it is no poison.
- */
+ * A request that is being answered goes on: if it completes, it is no poison. */
 static gboolean may_refuse(const wb_exchange_t *exchange) {
     return wb_list_is_linked(&exchange->waiting) ||
            (exchange->attempt != NULL && !exchange->first_event_seen);
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -4,15 +4,14 @@
 #include <string.h>
 
 #define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
-/* For this long after the begin of a planned stop, every request is accepted. */
+/* For this long after the start of a planned stop, every request is accepted. */
 #define STOP_ACCEPT_MS 2800
 /* Time allowed for a short request after that, and time kept free before the end of the stop. */
 #define STOP_SHORT_MS 1000
 #define STOP_RESERVE_MS 800
 
-/* Parses the prompt's parts, a comma-separated list of ID:TOKENS; items without a colon are
- * ignored.
- */
+/* Parses the prompt's parts, a comma-separated list of ID:TOKENS. Items without a colon are
+ * ignored. */
 static void parts_read(wb_exchange_t *exchange, const char *text) {
     g_auto(GStrv) words = g_strsplit(text, ",", -1);
     for (char **word = words; *word != NULL; word++) {
@@ -44,8 +43,8 @@
             wb_http_head_number(exchange->head, dialect->token_usage, exchange->body->len / 4);
 }
 
-/* Sets the expected tokens of the answer, from the client's hint and limit and the route's average.
- */
+/* Sets the expected tokens of the answer, from the client's hint and limit and the average of the
+ * route. */
 static void output_length_read(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const char *usage = wb_http_head_get(exchange->head, edge->dialect->token_usage);
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -117,7 +117,7 @@
     /** Requests wait for a model that isn't loaded: send the pending demand to the controller. */
     void (*on_need)(void *context);
     void *need_context; /* passed to all callbacks */
-    /** The poison book has changed: send the change to other nodes. */
+    /** The poison registry has changed: send the change to other nodes. */
     void (*on_poison)(void *context);
     /** Whether the controller is reachable; NULL: it always is. */
     wb_controller_view_t (*controller_view)(void *context);
@@ -200,7 +200,7 @@
     wb_key_digest_t key;       /* its API key, when it has a tenant */
     gboolean digest_known;     /* `digest` is set: it is computed on first use */
     wb_request_digest_t digest;
-    uint64_t poison_version; /* version of the poison book that is_poison was computed from */
+    uint64_t poison_version; /* version of the poison registry that is_poison was computed from */
     gboolean is_poison;
     gboolean is_trial;         /* poison, but sent to find out whether it still crashes engines */
     int priority;              /* its tenant's, or else its route's; 0 is the most urgent */
--- a/src/request/retry_budget.c
+++ b/src/request/retry_budget.c
@@ -69,7 +69,7 @@
     }
     for (int age = 0; age <= OLDEST_AGE; age++) {
         int inside = MAX(age + 1 - BOUNDARY_SLICES, 0); /* slices certain to lie in the window */
-        int half = MAX(age - SLICES / 2, 0);            /* slices after the window before */
+        int half = MAX(age - SLICES / 2, 0);            /* slices after the one half before */
         unsigned in_window = newer[inside];
         unsigned in_half_before = newer[age + 1 - BOUNDARY_SLICES + SLICES / 2] - newer[half];
         resends += budget->resends[slice_index(budget, age)];
