--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -12,7 +12,7 @@
     unsigned running;
     unsigned arrivals;               /* since the last message */
     uint64_t work;                   /* prompt tokens of the arrivals */
-    int64_t earliest_target_ms;      /* when the first waiting request misses its target */
+    int64_t earliest_target_ms;      /* earliest target of those that waited since none did */
     int64_t retry_expected_until_ms; /* until when a refused client may retry */
 } wb_demand_entry_t;
 
