--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -208,8 +208,8 @@
 }
 
 /* Updates a wait whose cause may have changed, such as when the awaited engine was removed.
- * Requests that wait for a load alone are updated by wb_exchanges_expect_model and
- * wb_exchanges_update_waits. */
+ * Requests that wait for a load alone are updated by wb_exchanges_expect and
+ * wb_exchanges_reconsider. */
 static void wait_recheck(wb_exchange_t *exchange) {
     if (exchange->awaits_load && !exchange->awaits_engine) {
         return;
