--- a/src/directory/engine_subset.c
+++ b/src/directory/engine_subset.c
@@ -1,4 +1,4 @@
-/* Which engines of a model a gateway is told of. */
+/* Selects the engines of a model that are sent to a gateway. */
 #include "directory/engine_subset.h"
 
 #include <string.h>
@@ -10,6 +10,7 @@
     uint64_t weight;
 } wb_ranked_engine_t;
 
+/* Engines in the gateway's zone first, then by descending rendezvous weight. */
 static gint best_first(gconstpointer left, gconstpointer right) {
     const wb_ranked_engine_t *a = left;
     const wb_ranked_engine_t *b = right;
@@ -30,9 +31,9 @@
             (*model != '\0' && !wb_engine_holds(engine, model, "", now_ms))) {
             continue;
         }
-        wb_ranked_engine_t one = {engine, g_strcmp0(state->zone, zone) == 0,
-                                  XXH64(state->id, strlen(state->id), seed)};
-        g_array_append_val(ranked, one);
+        wb_ranked_engine_t entry = {engine, g_strcmp0(state->zone, zone) == 0,
+                                    XXH64(state->id, strlen(state->id), seed)};
+        g_array_append_val(ranked, entry);
     }
     g_array_sort(ranked, best_first);
     GPtrArray *subset = g_ptr_array_new();
--- a/src/request/engine_states.c
+++ b/src/request/engine_states.c
@@ -1,4 +1,5 @@
-/* Which engines have told of themselves, and which of them others should know of. */
+/* Engines that reported a limit or that they are draining, and those whose state is to be sent to
+ * other nodes. */
 #include "request/request_types.h"
 
 void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine) {
@@ -13,7 +14,7 @@
     }
 }
 
-static gboolean has_nothing_to_tell(gpointer key, gpointer value, gpointer context) {
+static gboolean is_unrestricted(gpointer key, gpointer value, gpointer context) {
     (void)value;
     (void)context;
     const wb_engine_t *engine = key;
@@ -21,5 +22,5 @@
 }
 
 void wb_edge_told_engines_sweep(wb_edge_t *edge) {
-    g_hash_table_foreach_remove(edge->told_engines, has_nothing_to_tell, NULL);
+    g_hash_table_foreach_remove(edge->told_engines, is_unrestricted, NULL);
 }
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -1,8 +1,8 @@
-/* A request's tenant: who its key belongs to, and what it takes of that tenant's limit. */
+/* A request's tenant, found by its API key, and what the request costs of the tenant's limit. */
 #include "request/exchange_inner.h"
 
-/* Nobody holds the key. When this node may not know the newest configuration, the key may be a new
- * one: a caller must not be told that it is wrong, and its next try reaches another node. */
+/* Outcome for a key that no tenant has. If this node's catalog may be out of date, the key may be a
+ * new one: the client must not get a 401, but may retry, at another node. */
 static wb_ending_t unknown_key(const wb_edge_t *edge) {
     if (edge->catalog_age_ms == NULL) {
         return WB_ENDING_BAD_KEY;
@@ -11,11 +11,10 @@
     return fresh ? WB_ENDING_BAD_KEY : WB_ENDING_KEY_UNCERTAIN;
 }
 
-/* Finds the tenant. Returns WB_ENDING_COUNT, or why the request can't be served. */
 wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const wb_route_t *route = exchange->route;
-    exchange->rank = route->rank;
+    exchange->priority = route->rank;
     if (exchange->catalog->tenants == NULL) {
         return WB_ENDING_COUNT;
     }
@@ -26,7 +25,7 @@
     }
     if (exchange->tenant != NULL) {
         if (exchange->tenant->rank != WB_TENANT_NO_RANK) {
-            exchange->rank = exchange->tenant->rank;
+            exchange->priority = exchange->tenant->rank;
         }
         return WB_ENDING_COUNT;
     }
@@ -36,8 +35,8 @@
     return key.state == WB_API_KEY_GIVEN ? unknown_key(edge) : WB_ENDING_BAD_KEY;
 }
 
-/* Prompt tokens and most tokens out, together; -1 when the request names none. */
-static double tokens_named(const wb_exchange_t *exchange) {
+/* Sum of the prompt tokens and the maximum output tokens; -1 when the request names none. */
+static double requested_tokens(const wb_exchange_t *exchange) {
     const char *text = wb_http_head_get(exchange->head, exchange->edge->dialect->token_usage);
     if (text == NULL || !g_ascii_isdigit(*text)) {
         return -1;
@@ -47,8 +46,8 @@
     return *end == ',' ? tokens + (double)g_ascii_strtoull(end + 1, NULL, 10) : tokens;
 }
 
-static void spent_log(const wb_exchange_t *exchange, double cost,
-                      const wb_quota_verdict_t *verdict) {
+static void over_quota_log(const wb_exchange_t *exchange, double cost,
+                           const wb_quota_verdict_t *verdict) {
     int64_t age_ms = verdict->told_ms != 0 ? wb_clock_ms() - verdict->told_ms : -1;
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
@@ -58,9 +57,9 @@
              (long long)age_ms, (long long)verdict->retry_ms);
 }
 
-/* Kinds of request are told apart by their service and their route's rank: a tenant's own rank is
- * the same for all of its requests. */
-static wb_quota_kind_t kind_of(const wb_exchange_t *exchange) {
+/* Traffic classes are distinguished by service and by the route's priority, as a tenant's own
+ * priority is the same for all of its requests. */
+static wb_quota_kind_t traffic_class(const wb_exchange_t *exchange) {
     if (exchange->edge->settings.quota_order == 0) {
         return WB_QUOTA_OTHER_KINDS;
     }
@@ -72,21 +71,22 @@
     if (exchange->tenant == NULL) {
         return TRUE;
     }
-    double cost = wb_tenant_cost(exchange->tenant, tokens_named(exchange));
-    wb_quota_verdict_t verdict = wb_quota_gate_ask(edge->quota, exchange->tenant, kind_of(exchange),
-                                                   cost, edge->node_count, wb_clock_ms());
+    double cost = wb_tenant_cost(exchange->tenant, requested_tokens(exchange));
+    wb_quota_verdict_t verdict =
+        wb_quota_gate_ask(edge->quota, exchange->tenant, traffic_class(exchange), cost,
+                          edge->node_count, wb_clock_ms());
     if (verdict.admitted) {
         exchange->quota_cost = cost;
         return TRUE;
     }
     exchange->quota_retry_ms = verdict.retry_ms;
-    spent_log(exchange, cost, &verdict);
+    over_quota_log(exchange, cost, &verdict);
     return FALSE;
 }
 
 void wb_exchange_settle_quota(const wb_exchange_t *exchange) {
     if (exchange->quota_cost > 0 && exchange->runs != 1) {
-        wb_quota_gate_adjust(exchange->edge->quota, exchange->tenant->name, kind_of(exchange),
+        wb_quota_gate_adjust(exchange->edge->quota, exchange->tenant->name, traffic_class(exchange),
                              exchange->quota_cost * ((double)exchange->runs - 1));
     }
 }
