--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -1,4 +1,4 @@
-/* The placement controller: decides which engine loads or drops what. */
+/* The placement controller: decides which engine loads and unloads what. */
 #include "control/controller_types.h"
 
 #include "wickbridge/event_log.h"
@@ -6,15 +6,15 @@
 #include <string.h>
 
 #define TICK_MS 50
-#define SPREAD_INTERVAL_MS 300
-/* Between two decisions that messages ask for lies at least so many times what one takes. */
-#define DECISION_REST 8
-/* A decision begins no further choice after this: the lease is renewed each 500 ms between them,
- * and callers' streams pass through the same process (120 ms late at most). */
-#define DECISION_MOST_US 20000
-/* An engine does one load after the other: within the time of a lease (1.6 s) it begins at most so
- * many from the weight store, the fastest of which takes 1.3 s. */
-#define LOADS_UNTOLD 2
+#define SCALE_OUT_INTERVAL_MS 300
+/* Minimum interval between decisions triggered by messages, as a multiple of a decision's time. */
+#define DECISION_INTERVAL_FACTOR 8
+/* A decision starts no further placement after this: lease renewals and clients' streams are
+ * handled by the same thread. */
+#define DECISION_MAX_US 20000
+/* Maximum loads from the weight store that an engine can start within a lease's duration: it loads
+ * one model at a time, and each load takes most of that time. */
+#define UNREPORTED_LOADS_PER_ENGINE 2
 
 const wb_service_t *wb_controller_service(const char *name, void *context) {
     const wb_controller_t *controller = context;
@@ -33,15 +33,16 @@
     return window;
 }
 
-void wb_controller_tell(wb_controller_t *controller, const wb_engine_t *engine, const char *model,
-                        const char *adapter, gboolean held, unsigned ready_in_ms) {
+void wb_controller_send_placement(wb_controller_t *controller, const wb_engine_t *engine,
+                                  const char *model, const char *adapter, gboolean held,
+                                  unsigned ready_in_ms) {
     wb_wire_placement_entry entry = {engine->state->id, (char *)model, (char *)adapter, held,
                                      ready_in_ms};
-    wb_wire_message news = {.kind = WB_WIRE_PLACEMENT};
-    news.wb_wire_message_u.placement.token = controller->token;
-    news.wb_wire_message_u.placement.entries.entries_len = 1;
-    news.wb_wire_message_u.placement.entries.entries_val = &entry;
-    controller->events.on_news(&news, controller->events.context);
+    wb_wire_message update = {.kind = WB_WIRE_PLACEMENT};
+    update.wb_wire_message_u.placement.token = controller->token;
+    update.wb_wire_message_u.placement.entries.entries_len = 1;
+    update.wb_wire_message_u.placement.entries.entries_val = &entry;
+    controller->events.on_update(&update, controller->events.context);
 }
 
 static gboolean owner_may_act(void *context) {
@@ -49,31 +50,31 @@
     return controller->token != 0 && controller->events.may_act(controller->events.context);
 }
 
-static int64_t owner_ask_order(const char *engine, void *context) {
+static int64_t owner_request_order(const char *engine, void *context) {
     wb_controller_t *controller = context;
     return controller->events.ask_order(engine, controller->events.context);
 }
 
-static gboolean owner_store_has_room(const char *service, void *context) {
+static gboolean owner_store_allows_load(const char *service, void *context) {
     return wb_load_window_has_room(wb_controller_window(context, service), wb_clock_ms());
 }
 
-static wb_load_pace_t *pace_of(wb_controller_t *controller, const char *service) {
-    wb_load_pace_t *pace = g_hash_table_lookup(controller->paces, service);
-    if (pace == NULL) {
-        pace = g_new0(wb_load_pace_t, 1);
-        g_hash_table_insert(controller->paces, g_strdup(service), pace);
+static wb_load_pace_t *concurrency_of(wb_controller_t *controller, const char *service) {
+    wb_load_pace_t *concurrency = g_hash_table_lookup(controller->concurrency_limits, service);
+    if (concurrency == NULL) {
+        concurrency = g_new0(wb_load_pace_t, 1);
+        g_hash_table_insert(controller->concurrency_limits, g_strdup(service), concurrency);
     }
-    return pace;
+    return concurrency;
 }
 
-wb_store_turns_t *wb_controller_turns(wb_controller_t *controller, const char *service) {
-    wb_store_turns_t *turns = g_hash_table_lookup(controller->turns, service);
-    if (turns == NULL) {
-        turns = g_new0(wb_store_turns_t, 1);
-        g_hash_table_insert(controller->turns, g_strdup(service), turns);
+wb_store_turns_t *wb_controller_fairness(wb_controller_t *controller, const char *service) {
+    wb_store_turns_t *fairness = g_hash_table_lookup(controller->fairness, service);
+    if (fairness == NULL) {
+        fairness = g_new0(wb_store_turns_t, 1);
+        g_hash_table_insert(controller->fairness, g_strdup(service), fairness);
     }
-    return turns;
+    return fairness;
 }
 
 unsigned wb_controller_store_loads(const wb_controller_t *controller, const char *service) {
@@ -90,37 +91,38 @@
     return loads;
 }
 
-/* What a load of the service's models takes alone; they differ little. */
+/* Time of a load without other loads; the models of a service differ little in it. */
 static int64_t nominal_load_ms(const wb_controller_t *controller, const char *service) {
-    const wb_service_t *known = wb_controller_service(service, (void *)controller);
-    return known != NULL ? known->store_load_ms : 0;
+    const wb_service_t *spec = wb_controller_service(service, (void *)controller);
+    return spec != NULL ? spec->store_load_ms : 0;
 }
 
 unsigned wb_controller_store_limit(wb_controller_t *controller, const char *service) {
-    return wb_load_pace_limit(pace_of(controller, service), nominal_load_ms(controller, service));
+    return wb_load_pace_limit(concurrency_of(controller, service),
+                              nominal_load_ms(controller, service));
 }
 
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service) {
-    if (!owner_store_has_room(service, controller))
+    if (!owner_store_allows_load(service, controller))
         return 0;
     unsigned limit = wb_controller_store_limit(controller, service);
     unsigned loads = wb_controller_store_loads(controller, service);
     return limit > loads ? limit - loads : 0;
 }
 
-static unsigned owner_store_load_begins(const char *service, void *context) {
+static unsigned owner_store_load_started(const char *service, void *context) {
     wb_load_window_count(wb_controller_window(context, service), wb_clock_ms());
     return wb_controller_store_loads(context, service);
 }
 
 static void owner_store_load_ended(const char *service, unsigned at_once, int64_t took_ms,
                                    int64_t nominal_ms, void *context) {
-    wb_load_pace_t *pace = pace_of(context, service);
-    wb_load_pace_note(pace, at_once, took_ms, nominal_ms);
+    wb_load_pace_t *concurrency = concurrency_of(context, service);
+    wb_load_pace_note(concurrency, at_once, took_ms, nominal_ms);
     wb_event("store-load-ended",
              ",\"service\":\"%s\",\"at_once\":%u,\"ms\":%lld,\"alone_ms\":%lld,\"limit\":%u",
              wb_event_text(service), at_once, (long long)took_ms, (long long)nominal_ms,
-             wb_load_pace_limit(pace, nominal_ms));
+             wb_load_pace_limit(concurrency, nominal_ms));
 }
 
 static void owner_load_crashed(const wb_engine_t *engine, const char *model, void *context) {
@@ -128,7 +130,7 @@
     const char *service = engine->state->service;
     int64_t now_ms = wb_clock_ms();
     if (engine->leaving_ms != 0) {
-        return; /* it ended as it had said */
+        return; /* it was draining, so its end isn't a crash */
     }
     guint engines = wb_load_faults_crashed(controller->faults, service, model, now_ms);
     wb_event("load-crashed",
@@ -143,24 +145,24 @@
     return ((wb_controller_t *)context)->token;
 }
 
-static void owner_heard(wb_engine_t *engine, void *context) {
+static void owner_engine_state(wb_engine_t *engine, void *context) {
     const wb_controller_t *controller = context;
-    controller->events.on_heard(engine, controller->events.context);
+    controller->events.on_engine_state(engine, controller->events.context);
 }
 
-static void owner_announce(wb_engine_t *engine, const char *model, const char *adapter,
-                           gboolean held, void *context) {
+static void owner_report_holding(wb_engine_t *engine, const char *model, const char *adapter,
+                                 gboolean held, void *context) {
     wb_controller_t *controller = context;
     if (held && *adapter == '\0')
         wb_load_faults_loaded(controller->faults, engine->state->service, model);
     if (held)
-        wb_demand_book_served(controller->book, engine->state->service, model, adapter);
-    wb_controller_tell(controller, engine, model, adapter, held, 0);
+        wb_demand_book_served(controller->stats, engine->state->service, model, adapter);
+    wb_controller_send_placement(controller, engine, model, adapter, held, 0);
 }
 
-static void owner_expect(const wb_engine_t *engine, const char *model, unsigned ready_in_ms,
-                         void *context) {
-    wb_controller_tell(context, engine, model, "", FALSE, MAX(ready_in_ms, 1));
+static void owner_report_estimate(const wb_engine_t *engine, const char *model,
+                                  unsigned ready_in_ms, void *context) {
+    wb_controller_send_placement(context, engine, model, "", FALSE, MAX(ready_in_ms, 1));
 }
 
 wb_engine_orders_t *wb_controller_orders(wb_controller_t *controller, wb_engine_t *engine) {
@@ -168,18 +170,18 @@
     if (orders != NULL)
         return orders;
     wb_engine_orders_owner_t owner = {owner_may_act,
-                                      owner_ask_order,
+                                      owner_request_order,
                                       wb_controller_pick_victims,
                                       wb_controller_pick_adapter_victim,
                                       wb_controller_service,
-                                      owner_store_has_room,
-                                      owner_store_load_begins,
+                                      owner_store_allows_load,
+                                      owner_store_load_started,
                                       owner_store_load_ended,
                                       owner_load_crashed,
-                                      owner_announce,
-                                      owner_expect,
+                                      owner_report_holding,
+                                      owner_report_estimate,
                                       owner_token,
-                                      owner_heard,
+                                      owner_engine_state,
                                       controller};
     orders = wb_engine_orders_create(controller->loop, controller->settings, controller->dialect,
                                      engine, controller->metrics, &owner);
@@ -188,49 +190,49 @@
 }
 
 static void service_decide(wb_controller_t *controller, const wb_service_t *service,
-                           gboolean spread, int64_t now_ms) {
+                           gboolean scale_out, int64_t now_ms) {
     wb_placement_snapshot_t snapshot;
     wb_controller_snapshot(controller, service, &snapshot);
     wb_controller_place_missing(controller, &snapshot, now_ms);
     wb_controller_place_adapters(controller, &snapshot);
-    if (spread)
-        wb_controller_spread(controller, &snapshot);
+    if (scale_out)
+        wb_controller_scale_out(controller, &snapshot);
     wb_controller_snapshot_clear(&snapshot);
 }
 
 void wb_controller_take_demand(wb_controller_t *controller, const wb_wire_demand *demand) {
-    /* With many engines a decision takes its time: the next waits for some times that, or the tick.
-     */
-    if (wb_demand_book_take(controller->book, demand, wb_clock_ms()) &&
-        wb_clock_us() >= controller->next_us)
+    /* Limits the share of time spent on decisions in a large fleet; otherwise the tick decides. */
+    if (wb_demand_book_take(controller->stats, demand, wb_clock_ms()) &&
+        wb_clock_us() >= controller->next_decision_us)
         wb_controller_decide(controller);
 }
 
-gboolean wb_controller_time_is_over(const wb_controller_t *controller) {
-    return wb_clock_us() > controller->until_us;
+gboolean wb_controller_deadline_passed(const wb_controller_t *controller) {
+    return wb_clock_us() > controller->deadline_us;
 }
 
 void wb_controller_decide(wb_controller_t *controller) {
     if (controller->catalog == NULL || !owner_may_act(controller))
         return;
-    int64_t begun_us = wb_clock_us();
+    int64_t started_us = wb_clock_us();
     int64_t now_ms = wb_clock_ms();
-    controller->until_us = begun_us + DECISION_MOST_US;
-    wb_demand_book_count(controller->book, now_ms);
-    wb_demand_book_age(controller->book, now_ms);
-    gboolean spread = now_ms - controller->spread_ms >= SPREAD_INTERVAL_MS;
-    if (spread)
-        controller->spread_ms = now_ms;
+    controller->deadline_us = started_us + DECISION_MAX_US;
+    wb_demand_book_count(controller->stats, now_ms);
+    wb_demand_book_age(controller->stats, now_ms);
+    gboolean scale_out = now_ms - controller->scale_out_ms >= SCALE_OUT_INTERVAL_MS;
+    if (scale_out)
+        controller->scale_out_ms = now_ms;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, controller->catalog->services);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_service_t *service = value;
         if (g_hash_table_size(service->models) > 0)
-            service_decide(controller, service, spread, now_ms);
+            service_decide(controller, service, scale_out, now_ms);
     }
-    int64_t ended_us = wb_clock_us();
-    controller->next_us = ended_us + DECISION_REST * (ended_us - begun_us);
+    int64_t finished_us = wb_clock_us();
+    controller->next_decision_us =
+        finished_us + DECISION_INTERVAL_FACTOR * (finished_us - started_us);
 }
 
 static void controller_tick(void *context) {
@@ -238,10 +240,10 @@
     if (controller->token == 0)
         return;
     int64_t now_ms = wb_clock_ms();
-    if (wb_clock_us() < controller->next_us)
+    if (wb_clock_us() < controller->next_decision_us)
         return;
-    if (wb_demand_book_someone_waits(controller->book) ||
-        now_ms - controller->spread_ms >= SPREAD_INTERVAL_MS)
+    if (wb_demand_book_someone_waits(controller->stats) ||
+        now_ms - controller->scale_out_ms >= SCALE_OUT_INTERVAL_MS)
         wb_controller_decide(controller);
 }
 
@@ -256,12 +258,12 @@
     controller->fleet = fleet;
     controller->metrics = metrics;
     controller->events = *events;
-    controller->book = wb_demand_book_create();
+    controller->stats = wb_demand_book_create();
     controller->orders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                                (GDestroyNotify)wb_engine_orders_free);
     controller->faults = wb_load_faults_create();
-    controller->turns = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    controller->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    controller->fairness = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    controller->concurrency_limits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     controller->windows =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)wb_load_window_free);
     wb_loop_every(loop, TICK_MS, controller_tick, controller);
@@ -273,30 +275,30 @@
     if (controller->token == token)
         return;
     controller->token = token;
-    /* What this node believed of engines is worth nothing once others may have given orders. */
+    /* Cached engine states are invalid once another node may have sent orders. */
     g_hash_table_remove_all(controller->orders);
     if (token == 0 || predecessor->seen_ms == 0 || controller->catalog == NULL)
         return;
-    unsigned loads_untold = predecessor->engines_most > G_MAXUINT / LOADS_UNTOLD
-                                ? G_MAXUINT
-                                : LOADS_UNTOLD * predecessor->engines_most;
+    unsigned unreported_loads = predecessor->engines_most > G_MAXUINT / UNREPORTED_LOADS_PER_ENGINE
+                                    ? G_MAXUINT
+                                    : UNREPORTED_LOADS_PER_ENGINE * predecessor->engines_most;
     GHashTableIter iter;
     gpointer name;
     g_hash_table_iter_init(&iter, controller->catalog->services);
     while (g_hash_table_iter_next(&iter, &name, NULL))
         wb_load_window_assume(wb_controller_window(controller, name), predecessor->loads,
-                              loads_untold,
+                              unreported_loads,
                               predecessor->seen_ms + controller->settings->lease_duration_ms);
 }
 
 unsigned wb_controller_recent_loads(const wb_controller_t *controller) {
-    unsigned most = 0;
+    unsigned max_loads = 0;
     GHashTableIter iter;
     gpointer window;
     g_hash_table_iter_init(&iter, controller->windows);
     while (g_hash_table_iter_next(&iter, NULL, &window))
-        most = MAX(most, wb_load_window_counted(window, wb_clock_ms()));
-    return most;
+        max_loads = MAX(max_loads, wb_load_window_counted(window, wb_clock_ms()));
+    return max_loads;
 }
 
 void wb_controller_set_catalog(wb_controller_t *controller, wb_catalog_t *catalog) {
@@ -309,7 +311,7 @@
     if (orders == NULL)
         return;
     if (wb_fleet_find(controller->fleet, engine_id) != NULL)
-        wb_engine_orders_announced(orders);
+        wb_engine_orders_on_engine_announced(orders);
     else
         g_hash_table_remove(controller->orders, engine_id);
 }
@@ -317,12 +319,12 @@
 void wb_controller_engine_restarted(wb_controller_t *controller, const char *engine_id) {
     wb_engine_orders_t *orders = g_hash_table_lookup(controller->orders, engine_id);
     if (orders != NULL) {
-        wb_engine_orders_ended(orders);
+        wb_engine_orders_on_engine_ended(orders);
     }
 }
 
 const struct wb_model_use_t *wb_controller_use(const wb_controller_t *controller,
                                                const char *service, const char *model) {
-    const wb_usage_t *usage = wb_demand_book_find(controller->book, service, model, "");
+    const wb_usage_t *usage = wb_demand_book_find(controller->stats, service, model, "");
     return usage != NULL ? &usage->use : NULL;
 }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -1,11 +1,13 @@
 /**
  * @file controller.h
- * @brief The placement controller: while this node holds the lease, it alone orders engines to load
- * and drop.
+ * @brief The placement controller: while this node holds the lease, it is the only one to order
+ * engines to load and unload models and adapters.
  *
- * An order names the engine's sequence that it expects, so of two orders given at one sequence at
- * most one is carried out: an order without an answer is simply given again. Threads: the loop's
- * thread.
+ * An order carries the sequence number that it expects the engine to have, so of two orders with
+ * the same number at most one is carried out. An order without an answer is therefore simply sent
+ * again. Calls to engines that fail are retried internally and show in the log and in metrics;
+ * nothing here returns an error. Times are in ms of the monotonic clock (wb_clock_ms). Threads: the
+ * loop's thread.
  */
 #ifndef WICKBRIDGE_CONTROLLER_H
 #define WICKBRIDGE_CONTROLLER_H
@@ -20,16 +22,18 @@
 typedef struct wb_controller_t wb_controller_t;
 
 typedef struct wb_controller_events_t {
-    /** Asked right before each order is sent: may this node still act? */
+    /** @return TRUE while this node holds the lease; called right before each order is sent */
     gboolean (*may_act)(void *context);
-    /** An order to an engine is due: 0: it may be given; above: not before so many ms; -1: soon. */
+    /** Request permission to send an order to an engine. @return 0: it may be sent now; > 0: not
+     * before this many ms; -1: the grant is pending, ask again soon */
     int64_t (*ask_order)(const char *engine, void *context);
-    /** @return ms for which an engine must be left alone, as another may have ordered it lately */
+    /** @return ms for which an engine must get no orders, as a previous lease holder may have
+     * ordered it recently */
     int64_t (*blocked_ms)(const char *engine, void *context);
-    /** Tell all gateways. */
-    void (*on_news)(const wb_wire_message *news, void *context);
-    /** An engine has told something of itself that other nodes should know. */
-    void (*on_heard)(wb_engine_t *engine, void *context);
+    /** Send an update to all gateways. */
+    void (*on_update)(const wb_wire_message *update, void *context);
+    /** Engine-reported state that other nodes need has changed. */
+    void (*on_engine_state)(wb_engine_t *engine, void *context);
     void *context;
 } wb_controller_events_t;
 
@@ -38,24 +42,26 @@
                                       wb_edge_metrics_t *metrics,
                                       const wb_controller_events_t *events);
 /**
- * Begin to act under a token, or stop acting (token 0).
- * @param predecessor the holder before; may be NULL with token 0
+ * Start to act under a lease token, or stop (token 0). A new token drops all pending orders and
+ * cached engine states.
+ * @param predecessor the previous lease holder; may be NULL with token 0
  */
 void wb_controller_set_token(wb_controller_t *controller, uint64_t token,
                              const wb_lease_predecessor_t *predecessor);
-/** @return loads from the weight store in the present window, the most of all services */
+/** @return loads from the weight store in the current window, the maximum over all services */
 unsigned wb_controller_recent_loads(const wb_controller_t *controller);
+/** Replace the configuration; the controller keeps a reference. */
 void wb_controller_set_catalog(wb_controller_t *controller, wb_catalog_t *catalog);
-/** A gateway told what it has running and waiting. */
+/** Handle a gateway's report of its running and waiting requests. */
 void wb_controller_take_demand(wb_controller_t *controller, const wb_wire_demand *demand);
-/** An engine has started again under its id: what it was ordered before is over. */
+/** An engine has restarted under its id: orders to its previous start are void. */
 void wb_controller_engine_restarted(wb_controller_t *controller, const char *engine_id);
-/** An engine announced itself anew, or is gone. */
+/** An engine's announcement has changed or was removed. */
 void wb_controller_engine_changed(wb_controller_t *controller, const char *engine_id);
-/** What is known of a model's use, or NULL when it isn't asked for; owned by the controller. */
+/** @return the demand for a model, owned by the controller; NULL when there has been none */
 const struct wb_model_use_t *wb_controller_use(const wb_controller_t *controller,
                                                const char *service, const char *model);
-/** Decide now, rather than at the next tick. */
+/** Make a placement decision now rather than at the next tick. */
 void wb_controller_decide(wb_controller_t *controller);
 
 #endif
--- a/src/control/controller_adapters.c
+++ b/src/control/controller_adapters.c
@@ -1,4 +1,4 @@
-/* Which adapters are loaded where, and which go for them. */
+/* Chooses engines to load adapters on, and adapters to evict. */
 #include "control/controller_types.h"
 
 #include "wickbridge/event_log.h"
@@ -6,64 +6,65 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An adapter that runs counts as asked for so much later than it was. */
+/* Added to the last use of an adapter with running requests when eviction victims are compared. */
 #define RUNNING_BONUS_MS 30000
 
-/* Chooses among the engines that hold the model: rendezvous hashing, so an adapter keeps to few
- * engines. */
-static wb_engine_t *adapter_engine(wb_controller_t *controller,
-                                   const wb_placement_snapshot_t *snapshot, const char *model,
-                                   const char *adapter) {
+/* Chooses among the engines that hold the model by rendezvous hashing, so that an adapter is loaded
+ * on few engines. Engines that aren't overloaded are preferred, then idle ones. */
+static wb_engine_t *adapter_engine_choose(wb_controller_t *controller,
+                                          const wb_placement_snapshot_t *snapshot,
+                                          const char *model, const char *adapter) {
     wb_engine_t *best = NULL;
     uint64_t highest = 0;
     g_autofree char *name = g_strjoin("/", model, adapter, NULL);
     uint64_t seed = XXH64(name, strlen(name), 0);
     for (guint i = 0; i < snapshot->engines->len; i++) {
-        const wb_placement_engine_t *place =
+        const wb_placement_engine_t *candidate =
             &g_array_index(snapshot->engines, wb_placement_engine_t, i);
-        if (!place->available || !g_hash_table_contains(place->state->models, model))
+        if (!candidate->available || !g_hash_table_contains(candidate->state->models, model))
             continue;
-        const char *id = place->engine->state->id;
+        const char *id = candidate->engine->state->id;
         uint64_t weight = XXH64(id, strlen(id), seed) >> 8;
         const wb_engine_orders_t *orders = g_hash_table_lookup(controller->orders, id);
-        if (!place->in_need)
+        if (!candidate->overloaded)
             weight += (uint64_t)1 << 61;
         if (orders == NULL || !wb_engine_orders_is_busy(orders))
-            weight += (uint64_t)1 << 60; /* engines that can take an order go first */
+            weight += (uint64_t)1 << 60;
         if (best == NULL || weight > highest) {
-            best = place->engine;
+            best = candidate->engine;
             highest = weight;
         }
     }
     return best;
 }
 
-static gboolean adapter_is_coming(const wb_controller_t *controller,
-                                  const wb_placement_snapshot_t *snapshot, const char *model,
-                                  const char *adapter) {
+static gboolean adapter_is_ordered(const wb_controller_t *controller,
+                                   const wb_placement_snapshot_t *snapshot, const char *model,
+                                   const char *adapter) {
     for (guint i = 0; i < snapshot->engines->len; i++) {
-        const wb_placement_engine_t *place =
+        const wb_placement_engine_t *candidate =
             &g_array_index(snapshot->engines, wb_placement_engine_t, i);
         const wb_engine_orders_t *orders =
-            g_hash_table_lookup(controller->orders, place->engine->state->id);
+            g_hash_table_lookup(controller->orders, candidate->engine->state->id);
         if (orders != NULL && wb_engine_orders_has(orders, model, adapter))
             return TRUE;
     }
     return FALSE;
 }
 
-/* What adapter_need is asked with. */
-typedef struct wb_adapter_scene_t {
+/* Context of adapter_place. */
+typedef struct wb_adapter_context_t {
     wb_controller_t *controller;
     const wb_placement_snapshot_t *snapshot;
-} wb_adapter_scene_t;
+} wb_adapter_context_t;
 
-static void adapter_need(const wb_wire_demand_entry *entry, void *context) {
-    const wb_adapter_scene_t *scene = context;
-    wb_controller_t *controller = scene->controller;
-    if (adapter_is_coming(controller, scene->snapshot, entry->model, entry->adapter))
+static void adapter_place(const wb_wire_demand_entry *entry, void *context) {
+    const wb_adapter_context_t *data = context;
+    wb_controller_t *controller = data->controller;
+    if (adapter_is_ordered(controller, data->snapshot, entry->model, entry->adapter))
         return;
-    wb_engine_t *engine = adapter_engine(controller, scene->snapshot, entry->model, entry->adapter);
+    wb_engine_t *engine =
+        adapter_engine_choose(controller, data->snapshot, entry->model, entry->adapter);
     if (engine == NULL)
         return;
     wb_event("adapter-placed",
@@ -76,18 +77,19 @@
 
 void wb_controller_place_adapters(wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot) {
-    wb_adapter_scene_t scene = {controller, snapshot};
-    wb_demand_book_each_adapter(controller->book, snapshot->service->name, adapter_need, &scene);
+    wb_adapter_context_t data = {controller, snapshot};
+    wb_demand_book_each_adapter(controller->stats, snapshot->service->name, adapter_place,
+                                &data);
 }
 
-/* The adapter that was asked for longest ago, and isn't running or waited for. */
+/* Picks the least recently used adapter. Skips adapters that are being loaded or waited for. */
 char *wb_controller_pick_adapter_victim(const wb_engine_state_t *state, void *context) {
     wb_controller_t *controller = context;
     wb_engine_t *engine = wb_fleet_find(controller->fleet, state->id);
     if (engine == NULL)
         return NULL;
     char *victim = NULL;
-    int64_t oldest_ms = G_MAXINT64;
+    int64_t oldest_use_ms = G_MAXINT64;
     GHashTableIter models;
     gpointer model;
     gpointer held;
@@ -102,15 +104,15 @@
                 continue;
             }
             const wb_usage_t *usage =
-                wb_demand_book_find(controller->book, engine->state->service, model, adapter);
-            int64_t used_ms = usage != NULL ? usage->used_ms : 0;
+                wb_demand_book_find(controller->stats, engine->state->service, model, adapter);
+            int64_t last_used_ms = usage != NULL ? usage->last_used_ms : 0;
             if (usage != NULL && usage->use.waiting > 0)
                 continue;
             if (usage != NULL && usage->use.running > 0)
-                used_ms += RUNNING_BONUS_MS;
-            if (used_ms >= oldest_ms)
+                last_used_ms += RUNNING_BONUS_MS;
+            if (last_used_ms >= oldest_use_ms)
                 continue;
-            oldest_ms = used_ms;
+            oldest_use_ms = last_used_ms;
             g_free(victim);
             victim = g_steal_pointer(&name);
         }
--- a/src/control/controller_missing.c
+++ b/src/control/controller_missing.c
@@ -1,42 +1,41 @@
-/* Models that no engine holds: in which order they are loaded, and what gateways are told of those
- * that must wait for the weight store. */
+/* Loads models that no engine holds, and sends gateways load estimates for those that must wait for
+ * the weight store. */
 #include "control/controller_types.h"
 
 #include "control/load_queue.h"
 
 #include "wickbridge/event_log.h"
 
-/* Who was refused for a missing model comes back within a third of the time that it has left, which
- * is 20 s at most. */
-#define MISSED_LIFE_MS 7000
-/* A model that only engines hold which can't be relied on is loaded elsewhere before it is missed,
- * if it is asked for so often: one request in the five seconds over which rates are averaged counts
- * 0.2 at first and 0.05 seven seconds later. */
-#define UNRELIABLE_RATE 0.05
-/* A request that was refused for a missing model has lost about so much. */
+/* Clients that were refused for a missing model retry within a third of their remaining time, which
+ * is at most 20 s; the model stays in demand for that long. */
+#define MISSED_TTL_MS 7000
+/* Minimum request rate at which a model is loaded elsewhere while only unreliable engines hold it.
+ * A single request falls below it after about seven seconds. */
+#define UNRELIABLE_MIN_RATE_PER_S 0.05
+/* Estimated time that a request loses when it is refused for a missing model. */
 #define MISSED_COST_MS 1000.0
-/* Gateways are told anew when a model should be there if that has moved by more than this, and by
- * more than a fifth of the time until then. */
-#define PLAN_STEP_MS 500
-#define PLAN_SHARE 5
+/* A load estimate is sent again when it has changed by at least this time, and by at least this
+ * fraction (1/n) of the time left until the model is ready. */
+#define ESTIMATE_MIN_CHANGE_MS 500
+#define ESTIMATE_CHANGE_DIVISOR 5
 
-/* Whether a model is to be loaded though no more of it is wanted than one replica. */
-static gboolean is_missing(const wb_usage_t *usage, int64_t now_ms) {
+/* Returns TRUE when a model is in demand and has no replica that serves it. */
+static gboolean needs_replica(const wb_usage_t *usage, int64_t now_ms) {
     const wb_model_use_t *use = &usage->use;
-    if (use->in_loading > 0) {
+    if (use->loading_replicas > 0) {
         return FALSE;
     }
     if (use->waiting > 0) {
-        return use->replicas == 0 || now_ms - usage->waited_ms >= WB_PLACEMENT_STUCK_MS;
+        return use->replicas == 0 || now_ms - usage->waiting_since_ms >= WB_PLACEMENT_STUCK_MS;
     }
     if (use->replicas > 0) {
         return FALSE;
     }
-    if (use->unreliable > 0 && use->rate_per_s > UNRELIABLE_RATE) {
+    if (use->unreliable > 0 && use->rate_per_s > UNRELIABLE_MIN_RATE_PER_S) {
         return TRUE;
     }
-    /* Who was refused comes back. */
-    return usage->missed > 0 && now_ms - usage->used_ms < MISSED_LIFE_MS;
+    /* Clients that were refused will retry. */
+    return usage->missed_requests > 0 && now_ms - usage->last_used_ms < MISSED_TTL_MS;
 }
 
 static GArray *missing_collect(const wb_controller_t *controller,
@@ -48,18 +47,18 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
         wb_usage_t *usage =
-            wb_demand_book_find(controller->book, snapshot->service->name, spec->name, "");
+            wb_demand_book_find(controller->stats, snapshot->service->name, spec->name, "");
         if (usage == NULL) {
             continue;
         }
         if (usage->use.replicas > 0) {
-            usage->missed = 0;
-            usage->told_ready_ms = 0;
+            usage->missed_requests = 0;
+            usage->announced_ready_ms = 0;
         }
-        if (is_missing(usage, now_ms) &&
+        if (needs_replica(usage, now_ms) &&
             wb_load_faults_paused_ms(controller->faults, snapshot->service->name, spec->name,
                                      now_ms) == 0) {
-            wb_missing_model_t model = {spec, usage->missed, usage->time_left_ms};
+            wb_missing_model_t model = {spec, usage->missed_requests, usage->time_left_ms};
             g_array_append_val(missing, model);
         }
     }
@@ -67,53 +66,54 @@
     return missing;
 }
 
-/* Requests for a model that come while it is loaded. */
-static double coming_requests(const wb_usage_t *usage, const wb_model_spec_t *spec) {
+/* Expected number of requests that arrive while the model is loaded from the weight store. */
+static double expected_requests(const wb_usage_t *usage, const wb_model_spec_t *spec) {
     return usage->use.rate_per_s * (double)spec->store_load_ms / 1000;
 }
 
-/* What may be dropped for a missing model: anything while someone waits; less for those that were
- * refused and may come back. */
-static double missing_limit_ms(const wb_usage_t *usage, const wb_model_spec_t *spec) {
+/* Maximum cost of a missing model's load to other requests: unlimited while requests wait for it,
+ * less when there are only refused ones whose clients may retry. */
+static double missing_cost_limit_ms(const wb_usage_t *usage, const wb_model_spec_t *spec) {
     if (usage->use.waiting > 0) {
         return G_MAXDOUBLE;
     }
     return wb_placement_store_price_ms(spec) +
-           MISSED_COST_MS *
-               (usage->missed + (usage->use.unreliable > 0 ? coming_requests(usage, spec) : 0));
+           MISSED_COST_MS * (usage->missed_requests +
+                             (usage->use.unreliable > 0 ? expected_requests(usage, spec) : 0));
 }
 
-/* Notes for gateways when a model that waits for its turn should be there, if that has changed by
- * more than they need to know. */
-static void plan_note(GArray *entries, wb_usage_t *usage, const wb_model_spec_t *spec,
-                      int64_t ready_in_ms, int64_t now_ms) {
+/* Adds a load estimate to the message for gateways, if it differs enough from the last one sent. */
+static void estimate_add(GArray *entries, wb_usage_t *usage, const wb_model_spec_t *spec,
+                         int64_t ready_in_ms, int64_t now_ms) {
     int64_t ready_ms = now_ms + ready_in_ms;
-    int64_t differs_ms = ABS(ready_ms - usage->told_ready_ms);
-    if (usage->told_ready_ms != 0 && differs_ms < MAX(PLAN_STEP_MS, ready_in_ms / PLAN_SHARE)) {
+    int64_t change_ms = ABS(ready_ms - usage->announced_ready_ms);
+    if (usage->announced_ready_ms != 0 &&
+        change_ms < MAX(ESTIMATE_MIN_CHANGE_MS, ready_in_ms / ESTIMATE_CHANGE_DIVISOR)) {
         return;
     }
-    usage->told_ready_ms = ready_ms;
+    usage->announced_ready_ms = ready_ms;
     wb_wire_load_plan_entry entry = {spec->name, (unsigned)ready_in_ms};
     g_array_append_val(entries, entry);
 }
 
-static void plan_tell(wb_controller_t *controller, const char *service, const GArray *entries) {
+static void plan_send(wb_controller_t *controller, const char *service, const GArray *entries) {
     if (entries->len == 0) {
         return;
     }
-    wb_wire_message news = {.kind = WB_WIRE_LOAD_PLAN};
-    wb_wire_load_plan *plan = &news.wb_wire_message_u.load_plan;
+    wb_wire_message update = {.kind = WB_WIRE_LOAD_PLAN};
+    wb_wire_load_plan *plan = &update.wb_wire_message_u.load_plan;
     plan->token = controller->token;
     plan->service = (char *)service;
     plan->entries.entries_len = entries->len;
     plan->entries.entries_val = (wb_wire_load_plan_entry *)(void *)entries->data;
-    controller->events.on_news(&news, controller->events.context);
+    controller->events.on_update(&update, controller->events.context);
     wb_event("load-plan", ",\"service\":\"%s\",\"told\":%u", wb_event_text(service), entries->len);
 }
 
-/* Who waits for a model whose loads crash engines is told when the next one may begin. */
-static void paused_note(const wb_controller_t *controller, const wb_placement_snapshot_t *snapshot,
-                        GArray *entries, int64_t now_ms) {
+/* Adds estimates for models whose loads are in backoff because they crashed engines. */
+static void backoff_estimates_add(const wb_controller_t *controller,
+                                  const wb_placement_snapshot_t *snapshot, GArray *entries,
+                                  int64_t now_ms) {
     const char *service = snapshot->service->name;
     GHashTableIter iter;
     gpointer value;
@@ -123,37 +123,39 @@
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
-        int64_t paused_ms =
+        int64_t backoff_ms =
             wb_load_faults_paused_ms(controller->faults, service, spec->name, now_ms);
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, spec->name, "");
-        if (paused_ms > 0 && usage != NULL && usage->use.replicas == 0) {
-            plan_note(entries, usage, spec, paused_ms + spec->store_load_ms, now_ms);
+        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, spec->name, "");
+        if (backoff_ms > 0 && usage != NULL && usage->use.replicas == 0) {
+            estimate_add(entries, usage, spec, backoff_ms + spec->store_load_ms, now_ms);
         }
     }
 }
 
-/* What requests for a missing model gain by its load: those that wait or were refused, and those
- * that come while it lasts. */
+/* Time that a missing model's load saves requests: those that wait or were refused, and those that
+ * arrive during the load. */
 static double missing_gain_ms(const wb_usage_t *usage, const wb_model_spec_t *spec) {
-    return MISSED_COST_MS * (usage->use.waiting + usage->missed + coming_requests(usage, spec));
+    return MISSED_COST_MS *
+           (usage->use.waiting + usage->missed_requests + expected_requests(usage, spec));
 }
 
-/* Loads a missing model, from the weight store only when it is its turn. */
+/* Loads a missing model; from the weight store only when missing models may use it now.
+ */
 static gboolean missing_place(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                               const wb_model_spec_t *spec, const wb_usage_t *usage,
                               int64_t now_ms) {
-    const wb_store_turns_t *turns = wb_controller_turns(controller, snapshot->service->name);
-    unsigned room = snapshot->store_room;
-    gboolean may = wb_store_turns_missing_may(turns, missing_gain_ms(usage, spec),
-                                              spec->store_load_ms, now_ms);
-    if (!may) {
+    const wb_store_turns_t *fairness = wb_controller_fairness(controller, snapshot->service->name);
+    unsigned allowed = snapshot->store_room;
+    gboolean may_use_store = wb_store_turns_missing_may(fairness, missing_gain_ms(usage, spec),
+                                                        spec->store_load_ms, now_ms);
+    if (!may_use_store) {
         snapshot->store_room = 0;
     }
     gboolean placed =
-        wb_controller_place_model(controller, snapshot, spec, missing_limit_ms(usage, spec),
+        wb_controller_place_model(controller, snapshot, spec, missing_cost_limit_ms(usage, spec),
                                   usage->use.waiting > 0 ? "waited-for" : "missing");
-    if (!may) {
-        snapshot->store_room = room;
+    if (!may_use_store) {
+        snapshot->store_room = allowed;
     }
     return placed;
 }
@@ -163,22 +165,24 @@
     const char *service = snapshot->service->name;
     g_autoptr(GArray) missing = missing_collect(controller, snapshot, now_ms);
     g_autoptr(GArray) entries = g_array_new(FALSE, FALSE, sizeof(wb_wire_load_plan_entry));
-    unsigned before = 0;
-    paused_note(controller, snapshot, entries, now_ms);
+    unsigned models_ahead = 0;
+    backoff_estimates_add(controller, snapshot, entries, now_ms);
     for (guint i = 0; i < missing->len; i++) {
-        if (i > 0 && wb_controller_time_is_over(controller))
+        if (i > 0 && wb_controller_deadline_passed(controller))
             break;
         const wb_missing_model_t *model = &g_array_index(missing, wb_missing_model_t, i);
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, model->spec->name, "");
+        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, model->spec->name, "");
         if (missing_place(controller, snapshot, model->spec, usage, now_ms)) {
-            usage->told_ready_ms = 0;
-        } else if (snapshot->store_room == 0 && usage->use.replicas == 0 && model->missed > 0) {
-            int64_t ready_in_ms = wb_load_queue_ready_ms(
-                wb_controller_store_limit(controller, service),
-                wb_controller_store_loads(controller, service), before, model->spec->store_load_ms);
-            plan_note(entries, usage, model->spec, ready_in_ms, now_ms);
-            before++;
+            usage->announced_ready_ms = 0;
+        } else if (snapshot->store_room == 0 && usage->use.replicas == 0 &&
+                   model->missed_requests > 0) {
+            int64_t ready_in_ms =
+                wb_load_queue_ready_ms(wb_controller_store_limit(controller, service),
+                                       wb_controller_store_loads(controller, service), models_ahead,
+                                       model->spec->store_load_ms);
+            estimate_add(entries, usage, model->spec, ready_in_ms, now_ms);
+            models_ahead++;
         }
     }
-    plan_tell(controller, service, entries);
+    plan_send(controller, service, entries);
 }
--- a/src/control/controller_snapshot.c
+++ b/src/control/controller_snapshot.c
@@ -1,31 +1,32 @@
-/* What the placement controller decides on, as one picture. */
+/* Collects the input of a placement decision: the engines of a service and the demand for its
+ * models. */
 #include "control/controller_types.h"
 
 #include <string.h>
 
-/* A limit is shared by nodes in whole requests, and these don't ask evenly: an engine serves its
- * models' requests if it takes so many times what they come to. */
+/* Ratio of an engine's request limit to its models' demand above which it can serve them: nodes
+ * share the limit in whole requests, and their demand is uneven. */
 #define LIMIT_HEADROOM 2.0
 
-/* What loading_count is asked with. */
-typedef struct wb_loading_scene_t {
+/* Context of loading_replica_add. */
+typedef struct wb_loading_context_t {
     wb_controller_t *controller;
     const wb_service_t *service;
-    wb_placement_engine_t *place;
-} wb_loading_scene_t;
+    wb_placement_engine_t *candidate;
+} wb_loading_context_t;
 
-static void loading_count(const char *model, const char *adapter, void *context) {
-    const wb_loading_scene_t *scene = context;
+static void loading_replica_add(const char *model, const char *adapter, void *context) {
+    const wb_loading_context_t *data = context;
     if (*adapter != '\0')
         return;
     wb_model_use_t *use =
-        &wb_demand_book_get(scene->controller->book, scene->service->name, model, "", wb_clock_ms())
+        &wb_demand_book_get(data->controller->stats, data->service->name, model, "", wb_clock_ms())
              ->use;
-    use->in_loading++;
-    use->loading_speed += scene->place->speed;
-    const wb_model_spec_t *spec = g_hash_table_lookup(scene->service->models, model);
-    if (spec != NULL && !g_hash_table_contains(scene->place->state->models, model))
-        scene->place->pending_mb += spec->weights_mb;
+    use->loading_replicas++;
+    use->loading_speed += data->candidate->speed;
+    const wb_model_spec_t *spec = g_hash_table_lookup(data->service->models, model);
+    if (spec != NULL && !g_hash_table_contains(data->candidate->state->models, model))
+        data->candidate->pending_mb += spec->weights_mb;
 }
 
 static const wb_engine_orders_t *orders_of(const wb_controller_t *controller,
@@ -33,99 +34,105 @@
     return g_hash_table_lookup(controller->orders, engine->state->id);
 }
 
-/* Counts an engine's models as replicas, or as those that go with its zone's evacuation or at its
- * own word: these are only looked up, as a model that nobody asks for isn't missed. */
-static void replicas_count(wb_controller_t *controller, const char *service,
-                           const wb_placement_engine_t *place, int64_t now_ms) {
-    gboolean stays = wb_engine_stays(place->engine);
-    if (!stays && place->engine->leaving_ms != 0 && !place->engine->told_leaving) {
+/* Counts an engine's models as replicas, or as unreliable ones if its zone is being evacuated or it
+ * reported that it is draining. The latter are only looked up, not added to the demand stats: a
+ * model without demand needs no replacement. */
+static void replicas_add(wb_controller_t *controller, const char *service,
+                         const wb_placement_engine_t *candidate, int64_t now_ms) {
+    gboolean available = wb_engine_stays(candidate->engine);
+    if (!available && candidate->engine->leaving_ms != 0 && !candidate->engine->told_leaving) {
         return;
     }
     GHashTableIter iter;
     gpointer name;
-    g_hash_table_iter_init(&iter, place->state->models);
+    g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        wb_usage_t *usage = stays ? wb_demand_book_get(controller->book, service, name, "", now_ms)
-                                  : wb_demand_book_find(controller->book, service, name, "");
-        if (stays) {
+        wb_usage_t *usage = available
+                                ? wb_demand_book_get(controller->stats, service, name, "", now_ms)
+                                : wb_demand_book_find(controller->stats, service, name, "");
+        if (available) {
             usage->use.replicas++;
-            usage->use.speed += place->speed;
+            usage->use.speed += candidate->speed;
         } else if (usage != NULL) {
             usage->use.unreliable++;
         }
     }
 }
 
-/* Adds an engine to a snapshot. Returns its place there. @param orders of the engine; NULL: none */
+/* Adds an engine to a snapshot. Returns its entry there, valid until the next one is added.
+ * @param orders of the engine; NULL: none */
 static wb_placement_engine_t *
 snapshot_add_engine(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                     wb_engine_t *engine, const wb_engine_orders_t *orders, int64_t now_ms) {
-    wb_placement_engine_t place = {.engine = engine, .state = engine->state};
-    place.speed = controller->settings->engine_pace != 0
-                      ? 1 / wb_engine_pace_usual(&engine->pace, now_ms)
-                      : 1;
-    place.available = wb_engine_stays(engine) && now_ms >= engine->avoid_until_ms;
-    place.in_need = engine->limit.named || now_ms < engine->rest_until_ms;
+    wb_placement_engine_t candidate = {.engine = engine, .state = engine->state};
+    candidate.speed = controller->settings->engine_pace != 0
+                          ? 1 / wb_engine_pace_usual(&engine->pace, now_ms)
+                          : 1;
+    candidate.available = wb_engine_stays(engine) && now_ms >= engine->avoid_until_ms;
+    candidate.overloaded = engine->limit.named || now_ms < engine->rest_until_ms;
     if (orders != NULL) {
-        place.state = wb_engine_orders_state(orders);
-        place.busy_ms = wb_engine_orders_busy_ms(orders);
-        place.available = place.available && !wb_engine_orders_is_unreachable(orders);
+        candidate.state = wb_engine_orders_state(orders);
+        candidate.busy_ms = wb_engine_orders_busy_ms(orders);
+        candidate.available = candidate.available && !wb_engine_orders_is_unreachable(orders);
     }
-    place.busy_ms +=
+    candidate.busy_ms +=
         (double)controller->events.blocked_ms(engine->state->id, controller->events.context);
-    g_array_append_val(snapshot->engines, place);
+    g_array_append_val(snapshot->engines, candidate);
     snapshot->power.slots = MAX(snapshot->power.slots, engine->state->slots);
     return &g_array_index(snapshot->engines, wb_placement_engine_t, snapshot->engines->len - 1);
 }
 
-/* Counts what an engine holds and what it is about to load. */
-static void engine_count(wb_controller_t *controller, const wb_placement_snapshot_t *snapshot,
-                         wb_placement_engine_t *place, const wb_engine_orders_t *orders,
-                         int64_t now_ms) {
-    if (orders != NULL && wb_engine_stays(place->engine)) {
-        wb_loading_scene_t scene = {controller, snapshot->service, place};
-        wb_engine_orders_each(orders, loading_count, &scene);
+/* Adds what an engine holds and what it has been ordered to load to the models' counts. */
+static void engine_replicas_add(wb_controller_t *controller,
+                                const wb_placement_snapshot_t *snapshot,
+                                wb_placement_engine_t *candidate, const wb_engine_orders_t *orders,
+                                int64_t now_ms) {
+    if (orders != NULL && wb_engine_stays(candidate->engine)) {
+        wb_loading_context_t data = {controller, snapshot->service, candidate};
+        wb_engine_orders_each(orders, loading_replica_add, &data);
     }
-    replicas_count(controller, snapshot->service->name, place, now_ms);
+    replicas_add(controller, snapshot->service->name, candidate, now_ms);
 }
 
-/* Requests a second that an engine's models are asked for, when their replicas share them. */
-static double asked_per_s(wb_controller_t *controller, const char *service,
-                          const wb_placement_engine_t *place) {
+/* Demand for an engine's models, in requests per second, as shared evenly among their replicas. */
+static double demand_per_s(wb_controller_t *controller, const char *service,
+                           const wb_placement_engine_t *candidate) {
     double per_s = 0;
     GHashTableIter iter;
     gpointer name;
-    g_hash_table_iter_init(&iter, place->state->models);
+    g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        const wb_usage_t *usage = wb_demand_book_find(controller->book, service, name, "");
+        const wb_usage_t *usage = wb_demand_book_find(controller->stats, service, name, "");
         per_s += usage != NULL ? usage->use.rate_per_s / MAX(usage->use.replicas, 1) : 0;
     }
     return per_s;
 }
 
-/* What an engine holds that takes less than it is asked for doesn't count as replicas. */
-static void limited_discount(wb_controller_t *controller, const wb_placement_snapshot_t *snapshot,
-                             const wb_placement_engine_t *place) {
+/* Moves the models of an engine from the replicas to the unreliable ones if its request limit is
+ * too low for their demand. */
+static void limited_replicas_discount(wb_controller_t *controller,
+                                      const wb_placement_snapshot_t *snapshot,
+                                      const wb_placement_engine_t *candidate) {
     const char *service = snapshot->service->name;
-    const wb_engine_limit_t *limit = &place->engine->limit;
-    if (!limit->named || !wb_engine_stays(place->engine) ||
-        limit->per_s >= LIMIT_HEADROOM * asked_per_s(controller, service, place)) {
+    const wb_engine_limit_t *limit = &candidate->engine->limit;
+    if (!limit->named || !wb_engine_stays(candidate->engine) ||
+        limit->per_s >= LIMIT_HEADROOM * demand_per_s(controller, service, candidate)) {
         return;
     }
     GHashTableIter iter;
     gpointer name;
-    g_hash_table_iter_init(&iter, place->state->models);
+    g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, name, "");
+        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, name, "");
         if (usage != NULL && usage->use.replicas > 0) {
             usage->use.replicas--;
-            usage->use.speed -= place->speed;
+            usage->use.speed -= candidate->speed;
             usage->use.unreliable++;
         }
     }
 }
 
-/* Requests for a replica, on average over all models. */
+/* Requests per replica, on average over all models. */
 static double place_rate_per_s(const wb_placement_snapshot_t *snapshot) {
     double rate_per_s = 0;
     unsigned replicas = 0;
@@ -162,14 +169,14 @@
         .context = controller};
 }
 
-/* What is known of models' use, once replicas are counted. */
+/* Adds the demand for the service's models, once replicas are counted. */
 static void uses_add(wb_controller_t *controller, wb_placement_snapshot_t *snapshot) {
     GHashTableIter iter;
     gpointer name;
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
         wb_usage_t *usage =
-            wb_demand_book_find(controller->book, snapshot->service->name, name, "");
+            wb_demand_book_find(controller->stats, snapshot->service->name, name, "");
         if (usage != NULL)
             g_hash_table_insert(snapshot->uses, name, &usage->use);
     }
@@ -187,14 +194,14 @@
         wb_engine_t *engine = value;
         if (strcmp(engine->state->service, service->name) == 0) {
             const wb_engine_orders_t *orders = orders_of(controller, engine);
-            wb_placement_engine_t *place =
+            wb_placement_engine_t *candidate =
                 snapshot_add_engine(controller, snapshot, engine, orders, now_ms);
-            engine_count(controller, snapshot, place, orders, now_ms);
+            engine_replicas_add(controller, snapshot, candidate, orders, now_ms);
         }
     }
     for (guint i = 0; i < snapshot->engines->len; i++) {
-        limited_discount(controller, snapshot,
-                         &g_array_index(snapshot->engines, wb_placement_engine_t, i));
+        limited_replicas_discount(controller, snapshot,
+                                  &g_array_index(snapshot->engines, wb_placement_engine_t, i));
     }
     if (snapshot->engines->len > WB_PLACES_JUDGED) {
         snapshot->first = (guint)g_random_int_range(0, (gint32)snapshot->engines->len);
--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -1,6 +1,8 @@
 /**
  * @file controller_types.h
- * @brief The placement controller as its own files share it.
+ * @brief The placement controller's internals, shared by the controller*.c files only.
+ *
+ * Times are in ms of the monotonic clock unless they end in `_us`. Threads: the loop's thread.
  */
 #ifndef WICKBRIDGE_CONTROLLER_TYPES_H
 #define WICKBRIDGE_CONTROLLER_TYPES_H
@@ -23,79 +25,84 @@
     wb_edge_metrics_t *metrics;
     wb_controller_events_t events;
     wb_catalog_t *catalog;
-    uint64_t token; /* 0: not acting */
-    wb_demand_book_t *book;
-    GHashTable *orders;  /* engine id -> wb_engine_orders_t */
-    GHashTable *windows; /* service -> wb_load_window_t */
-    GHashTable *paces;   /* service -> wb_load_pace_t */
-    GHashTable *turns;   /* service -> wb_store_turns_t */
+    uint64_t token; /* 0: this node doesn't hold the lease */
+    wb_demand_book_t *stats;
+    GHashTable *orders;             /* engine id -> wb_engine_orders_t */
+    GHashTable *windows;            /* service -> wb_load_window_t */
+    GHashTable *concurrency_limits; /* service -> wb_load_pace_t */
+    GHashTable *fairness;           /* service -> wb_store_turns_t */
     wb_load_faults_t *faults;
-    int64_t spread_ms;
-    int64_t until_us; /* the decision under way begins no further choice after this */
-    int64_t next_us;  /* not before this is a decision made for a message */
+    int64_t scale_out_ms;     /* when replicas were last considered for busy models */
+    int64_t deadline_us;      /* the current decision starts no further placement after this */
+    int64_t next_decision_us; /* messages trigger no decision before this */
 };
 
 /* controller.c */
-/** @return a service of the configuration in force, or NULL. @param context the controller */
+/** @return a service of the current configuration, or NULL. @param context the controller */
 const wb_service_t *wb_controller_service(const char *name, void *context);
+/** @return a service's rate limit of loads; created when there is none */
 wb_load_window_t *wb_controller_window(wb_controller_t *controller, const char *service);
-/** @return loads from the weight store that may begin now, by its rate and by what it is found to
- * deliver at once */
+/** @return loads from the weight store that may start now, by its rate limit and by its limit of
+ * concurrent loads */
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service);
-/** @return whose turn at the weight store it is; created when there is none */
-wb_store_turns_t *wb_controller_turns(wb_controller_t *controller, const char *service);
-/** @return an engine's orders; they are created when there are none */
-wb_engine_orders_t *wb_controller_orders(wb_controller_t *controller, wb_engine_t *engine);
-/** Tell all gateways of a model or adapter. @param ready_in_ms when it should be there; 0: no load
+/** @return a service's alternation between missing models and replicas; created when there is none
  */
-void wb_controller_tell(wb_controller_t *controller, const wb_engine_t *engine, const char *model,
-                        const char *adapter, gboolean held, unsigned ready_in_ms);
+wb_store_turns_t *wb_controller_fairness(wb_controller_t *controller, const char *service);
+/** @return an engine's orders; created when there are none */
+wb_engine_orders_t *wb_controller_orders(wb_controller_t *controller, wb_engine_t *engine);
+/** Report to all gateways whether an engine holds a model or adapter.
+ * @param ready_in_ms estimated time until it is loaded; 0: no load is under way */
+void wb_controller_send_placement(wb_controller_t *controller, const wb_engine_t *engine,
+                                  const char *model, const char *adapter, gboolean held,
+                                  unsigned ready_in_ms);
 
 /** @return loads from the weight store under way or ordered, over all engines of a service */
 unsigned wb_controller_store_loads(const wb_controller_t *controller, const char *service);
-/** @return loads that the weight store is found to serve at once at full speed */
+/** @return concurrent loads that the weight store is found to serve at full speed */
 unsigned wb_controller_store_limit(wb_controller_t *controller, const char *service);
 
-/** @return TRUE when the decision under way has taken its time: the rest waits for the next */
-gboolean wb_controller_time_is_over(const wb_controller_t *controller);
+/** @return TRUE when the current decision has used up its time; the rest is left to the next one */
+gboolean wb_controller_deadline_passed(const wb_controller_t *controller);
 
 /* controller_snapshot.c */
-/** What decisions are made on; to be cleared. Counts each model's replicas in the demand book. */
+/** Collect the input of a placement decision, to be cleared with wb_controller_snapshot_clear.
+ * Counts each model's replicas in the demand stats. */
 void wb_controller_snapshot(wb_controller_t *controller, const wb_service_t *service,
                             wb_placement_snapshot_t *snapshot);
-/** For a choice at one engine: replicas are those of the last count, which is 300 ms old at most.
- */
+/** As wb_controller_snapshot, with one engine only; replica counts are those of the last full
+ * snapshot, at most 300 ms old. */
 void wb_controller_snapshot_one(wb_controller_t *controller, const wb_service_t *service,
                                 wb_engine_t *engine, wb_placement_snapshot_t *snapshot);
-/** @return TRUE where counting replicas at all engines for each order would take too long */
+/** @return TRUE when the fleet is too large to count all replicas for each order */
 gboolean wb_controller_is_large(const wb_controller_t *controller);
 void wb_controller_snapshot_clear(wb_placement_snapshot_t *snapshot);
 
 /* controller_missing.c */
-/** Place models that no engine holds or loads: those that are waited for, or for which requests
- * were lately refused. Tell gateways when those should be there that must wait for the weight
- * store. */
+/** Place models that no engine holds or loads and for which requests wait or were recently refused.
+ * Gateways get a load estimate for those that must wait for the weight store. */
 void wb_controller_place_missing(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                                  int64_t now_ms);
 
 /* controller_models.c */
-/** Load a model where that costs least. @return FALSE when no engine does it for less than the
- * limit */
+/** Load a model on the cheapest engine.
+ * @param limit_ms maximum cost to other requests
+ * @param why      reason for the event log
+ * @return FALSE when no engine will do within the limit */
 gboolean wb_controller_place_model(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                                    const wb_model_spec_t *spec, double limit_ms, const char *why);
-/** Place models whose prompts, or places among what runs, take more than their engines should
- * give to one. */
-void wb_controller_spread(wb_controller_t *controller, wb_placement_snapshot_t *snapshot);
-/** @return models to drop from an engine so that `model` fits, or NULL. @param context the
- * controller */
+/** Add a replica to models that need more prefill capacity or slots than their engines should give
+ * them, or whose engines are slow. */
+void wb_controller_scale_out(wb_controller_t *controller, wb_placement_snapshot_t *snapshot);
+/** @return models to evict from an engine so that `model` fits, owned by the caller, or NULL.
+ * @param context the controller */
 GPtrArray *wb_controller_pick_victims(const wb_engine_state_t *state, const char *model,
                                       void *context);
 
 /* controller_adapters.c */
-/** Place adapters that are waited for on engines that hold their models. */
+/** Load adapters that requests wait for on engines that hold their models. */
 void wb_controller_place_adapters(wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot);
-/** @return an adapter to drop, as MODEL/ADAPTER, owned by the caller, or NULL. @param context the
+/** @return an adapter to evict, as MODEL/ADAPTER, owned by the caller, or NULL. @param context the
  * controller */
 char *wb_controller_pick_adapter_victim(const wb_engine_state_t *state, void *context);
 
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -50,10 +50,10 @@
         orders->engine->state->id, task->model, task->adapter, outcome,
         (long long)(wb_clock_ms() - task->created_ms));
     wb_task_free(task);
-    if (orders->settle != WB_SETTLE_NONE) {
+    if (orders->awaited != WB_AWAIT_NONE) {
         /* An order was taken and nothing shows yet what came of it: it still takes room. */
         state_forget(orders);
-        orders->settle = WB_SETTLE_NONE;
+        orders->awaited = WB_AWAIT_NONE;
     }
     advance_after(orders, 0);
 }
@@ -81,17 +81,17 @@
     state_forget(orders);
     if (wb_task_first(&orders->tasks) != NULL)
         task_over(orders, "crashed");
-    orders->settle = WB_SETTLE_NONE;
+    orders->awaited = WB_AWAIT_NONE;
 }
 
-void wb_engine_orders_ended(wb_engine_orders_t *orders) {
-    if (orders->settle == WB_SETTLE_LOADED) {
+void wb_engine_orders_on_engine_ended(wb_engine_orders_t *orders) {
+    if (orders->awaited == WB_AWAIT_LOADED) {
         load_crashed(orders);
         return;
     }
     unreachable_begin(orders);
     state_forget(orders);
-    orders->settle = WB_SETTLE_NONE;
+    orders->awaited = WB_AWAIT_NONE;
     if (wb_task_first(&orders->tasks) != NULL) {
         task_over(orders, "engine-restarted");
     }
@@ -121,7 +121,7 @@
     if (orders->order_from_store && *task->adapter == '\0' &&
         strcmp(task->model, orders->order_model) == 0) {
         orders->order_from_store = FALSE;
-        orders->owner.store_load_ended(orders->engine->state->service, orders->order_at_once,
+        orders->owner.store_load_ended(orders->engine->state->service, orders->order_concurrent_loads,
                                        wb_clock_ms() - orders->order_sent_ms, orders->order_load_ms,
                                        orders->owner.context);
     }
@@ -136,21 +136,21 @@
 }
 
 /* Compares a fresh report with what is waited for. */
-static void settle_check(wb_engine_orders_t *orders) {
+static void awaited_check(wb_engine_orders_t *orders) {
     gboolean has = state_has(orders->state, orders->order_model, "");
-    gboolean settled = !orders->state->busy && (orders->settle == WB_SETTLE_LOADED ? has : !has);
+    gboolean settled = !orders->state->busy && (orders->awaited == WB_AWAIT_LOADED ? has : !has);
     if (!settled) {
-        gboolean lost = !orders->state->busy && orders->settle == WB_SETTLE_LOADED &&
-                        wb_clock_ms() > orders->settle_due_ms + 4 * LOAD_LATE_MS;
+        gboolean lost = !orders->state->busy && orders->awaited == WB_AWAIT_LOADED &&
+                        wb_clock_ms() > orders->load_due_ms + 4 * LOAD_LATE_MS;
         if (lost)
-            orders->settle = WB_SETTLE_NONE;
-        else if (orders->settle == WB_SETTLE_LOADED && orders->state->busy)
-            wb_engine_orders_load_is_late(orders);
+            orders->awaited = WB_AWAIT_NONE;
+        else if (orders->awaited == WB_AWAIT_LOADED && orders->state->busy)
+            wb_engine_orders_report_load_overdue(orders);
         advance_after(orders, look_again_ms(orders));
         return;
     }
-    gboolean loaded = orders->settle == WB_SETTLE_LOADED;
-    orders->settle = WB_SETTLE_NONE;
+    gboolean loaded = orders->awaited == WB_AWAIT_LOADED;
+    orders->awaited = WB_AWAIT_NONE;
     if (loaded && wb_task_first(&orders->tasks) != NULL)
         task_done(orders);
     else
@@ -164,7 +164,7 @@
     if (result->outcome == WB_HTTP_ANSWERED && result->status == 200)
         state =
             orders->dialect->report_parse(orders->engine->state->id, result->body, result->length);
-    if (result->refused && orders->settle == WB_SETTLE_LOADED) {
+    if (result->refused && orders->awaited == WB_AWAIT_LOADED) {
         load_crashed(orders);
         return;
     }
@@ -177,7 +177,7 @@
     if (start > 0) {
         /* Its row will tell, too; until then nothing is known of what it holds. */
         wb_engine_state_free(state);
-        wb_engine_orders_ended(orders);
+        wb_engine_orders_on_engine_ended(orders);
         return;
     }
     if (start < 0 || (orders->state != NULL && state->sequence < orders->state->sequence)) {
@@ -188,8 +188,8 @@
     }
     wb_engine_state_free(orders->state);
     orders->state = state;
-    if (orders->settle != WB_SETTLE_NONE) {
-        settle_check(orders);
+    if (orders->awaited != WB_AWAIT_NONE) {
+        awaited_check(orders);
     } else if (state->busy) {
         state_forget(orders);
         advance_after(orders, LOOK_AGAIN_MS);
@@ -254,7 +254,7 @@
             advance_after(orders, 0);
             return;
         }
-        orders->settle = WB_SETTLE_UNLOADED;
+        orders->awaited = WB_AWAIT_UNLOADED;
         advance_after(orders, UNLOAD_LOOK_MS);
         return;
     }
@@ -267,8 +267,8 @@
         advance_after(orders, orders->settings->adapter_load_ms);
         return;
     }
-    orders->settle = WB_SETTLE_LOADED;
-    advance_after(orders, orders->settle_due_ms + LOAD_LATE_MS - now_ms);
+    orders->awaited = WB_AWAIT_LOADED;
+    advance_after(orders, orders->load_due_ms + LOAD_LATE_MS - now_ms);
 }
 
 static void order_answered(const wb_http_result_t *result, void *context) {
@@ -320,7 +320,7 @@
     }
     orders->order_sent_ms = wb_clock_ms();
     if (orders->order_from_store)
-        orders->order_at_once =
+        orders->order_concurrent_loads =
             orders->owner.store_load_begins(orders->engine->state->service, orders->owner.context);
     orders->metrics->orders++;
     g_autofree char *body = orders->dialect->order_body(&orders->order);
@@ -388,7 +388,7 @@
     order_give(orders, WB_ORDER_LOAD, task->model, "");
     orders->order_from_store = from_store;
     orders->order_load_ms = (int64_t)load_ms;
-    orders->settle_due_ms = wb_clock_ms() + (int64_t)load_ms;
+    orders->load_due_ms = wb_clock_ms() + (int64_t)load_ms;
     order_send(orders);
 }
 
@@ -443,7 +443,7 @@
     /* The leave to order is asked for beside the report. */
     int64_t wait_ms = order_wait_ms(orders);
     gboolean may_act = orders->owner.may_act(orders->owner.context);
-    if (may_act && (orders->state == NULL || orders->settle != WB_SETTLE_NONE))
+    if (may_act && (orders->state == NULL || orders->awaited != WB_AWAIT_NONE))
         report_ask(orders);
     else if (wait_ms == 0)
         task_advance(orders, task);
@@ -451,7 +451,7 @@
         task_over(orders, "given-up");
     else {
         if (may_act)
-            wb_engine_orders_leave_is_late(orders, task);
+            wb_engine_orders_report_grant_overdue(orders, task);
         advance_after(orders, wait_ms);
     }
 }
@@ -461,30 +461,30 @@
         return;
     }
     gboolean idle = orders->tasks.len == 0;
-    gboolean first_has_begun = orders->calling || orders->settle != WB_SETTLE_NONE;
+    gboolean first_has_begun = orders->calling || orders->awaited != WB_AWAIT_NONE;
     wb_task_queue(&orders->tasks, wb_task_create(model, adapter, wb_clock_ms()), first_has_begun);
     if (idle && !orders->calling) {
         advance_after(orders, 0);
     }
 }
 
-void wb_engine_orders_announced(wb_engine_orders_t *orders) {
-    if (orders->settle == WB_SETTLE_NONE || orders->calling || orders->state == NULL)
+void wb_engine_orders_on_engine_announced(wb_engine_orders_t *orders) {
+    if (orders->awaited == WB_AWAIT_NONE || orders->calling || orders->state == NULL)
         return;
     gboolean has = state_has(orders->engine->state, orders->order_model, "");
-    if (has != (orders->settle == WB_SETTLE_LOADED))
+    if (has != (orders->awaited == WB_AWAIT_LOADED))
         return;
     /* The announcement shows that the order is carried out. */
-    if (orders->settle == WB_SETTLE_LOADED) {
+    if (orders->awaited == WB_AWAIT_LOADED) {
         const wb_engine_model_t *held =
             g_hash_table_lookup(orders->engine->state->models, orders->order_model);
         wb_engine_state_add_model(orders->state, orders->order_model, held->version);
-        orders->settle = WB_SETTLE_NONE;
+        orders->awaited = WB_AWAIT_NONE;
         if (wb_task_first(&orders->tasks) != NULL)
             task_done(orders);
         return;
     }
     g_hash_table_remove(orders->state->models, orders->order_model);
-    orders->settle = WB_SETTLE_NONE;
+    orders->awaited = WB_AWAIT_NONE;
     advance_after(orders, 0);
 }
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -72,8 +72,8 @@
 const wb_engine_state_t *wb_engine_orders_state(const wb_engine_orders_t *orders);
 /** The engine has ended, and may have started again: nothing that was believed of it holds. If it
  * was loading a model, that load may have crashed it. */
-void wb_engine_orders_ended(wb_engine_orders_t *orders);
+void wb_engine_orders_on_engine_ended(wb_engine_orders_t *orders);
 /** The engine announced itself anew. */
-void wb_engine_orders_announced(wb_engine_orders_t *orders);
+void wb_engine_orders_on_engine_announced(wb_engine_orders_t *orders);
 
 #endif
--- a/src/control/engine_orders_late.c
+++ b/src/control/engine_orders_late.c
@@ -12,19 +12,19 @@
 /* Tells when the model is expected, unless that was told lately. */
 static void late_tell(wb_engine_orders_t *orders, const char *model, int64_t ready_in_ms) {
     int64_t now_ms = wb_clock_ms();
-    if (now_ms < orders->late_told_ms + LATE_TELL_MS) {
+    if (now_ms < orders->estimate_sent_ms + LATE_TELL_MS) {
         return;
     }
-    orders->late_told_ms = now_ms;
+    orders->estimate_sent_ms = now_ms;
     orders->owner.expect(orders->engine, model, (unsigned)ready_in_ms, orders->owner.context);
 }
 
-void wb_engine_orders_load_is_late(wb_engine_orders_t *orders) {
+void wb_engine_orders_report_load_overdue(wb_engine_orders_t *orders) {
     int64_t passed_ms = wb_clock_ms() - orders->order_sent_ms;
     late_tell(orders, orders->order_model, passed_ms / LATE_SHARE);
 }
 
-void wb_engine_orders_leave_is_late(wb_engine_orders_t *orders, const wb_task_t *task) {
+void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders, const wb_task_t *task) {
     const wb_service_t *service =
         orders->owner.service(orders->engine->state->service, orders->owner.context);
     const wb_model_spec_t *spec =
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -11,7 +11,7 @@
 #include "wickbridge/http_peer.h"
 
 /* What the engine is waited for. */
-typedef enum wb_settle_t { WB_SETTLE_NONE, WB_SETTLE_LOADED, WB_SETTLE_UNLOADED } wb_settle_t;
+typedef enum wb_awaited_t { WB_AWAIT_NONE, WB_AWAIT_LOADED, WB_AWAIT_UNLOADED } wb_awaited_t;
 
 struct wb_engine_orders_t {
     wb_loop_t *loop;
@@ -31,22 +31,22 @@
     char *order_model;
     char *order_adapter;
     gboolean order_from_store;
-    unsigned order_at_once; /* loads from the weight store when it began */
+    unsigned order_concurrent_loads; /* loads from the weight store when it began */
     int64_t order_sent_ms;
     int64_t order_load_ms; /* what the load takes alone */
     unsigned resends;
     unsigned failures;
     int64_t unreachable_until_ms;
-    wb_settle_t settle;
-    int64_t settle_due_ms;
-    int64_t late_told_ms; /* when gateways were last told that the load is late; 0: never */
+    wb_awaited_t awaited;
+    int64_t load_due_ms;
+    int64_t estimate_sent_ms; /* when gateways were last told that the load is late; 0: never */
 };
 
 /* engine_orders_late.c */
 /** The load under way goes on beyond its time. */
-void wb_engine_orders_load_is_late(wb_engine_orders_t *orders);
+void wb_engine_orders_report_load_overdue(wb_engine_orders_t *orders);
 /** The leave to order takes longer than a decision should: beside a slow store it is one write of
  * the lease's row, or two. */
-void wb_engine_orders_leave_is_late(wb_engine_orders_t *orders, const wb_task_t *task);
+void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders, const wb_task_t *task);
 
 #endif
--- a/src/control/load_queue.c
+++ b/src/control/load_queue.c
@@ -4,8 +4,8 @@
 gint wb_load_queue_order(gconstpointer left, gconstpointer right) {
     const wb_missing_model_t *a = left;
     const wb_missing_model_t *b = right;
-    if (a->missed != b->missed) {
-        return a->missed > b->missed ? -1 : 1;
+    if (a->missed_requests != b->missed_requests) {
+        return a->missed_requests > b->missed_requests ? -1 : 1;
     }
     return a->time_left_ms < b->time_left_ms ? -1 : a->time_left_ms > b->time_left_ms;
 }
--- a/src/control/load_queue.h
+++ b/src/control/load_queue.h
@@ -17,11 +17,11 @@
 /** A model that no engine holds or is about to load. */
 typedef struct wb_missing_model_t {
     const wb_model_spec_t *spec;
-    unsigned missed;       /**< requests for it since it is missing; 0: none yet */
+    unsigned missed_requests;       /**< requests for it since it is missing; 0: none yet */
     unsigned time_left_ms; /**< of the tightest that waits; G_MAXUINT: nobody does */
 } wb_missing_model_t;
 
-/** Order of loading: most missed first, then by the time left to those that wait. For
+/** Order of loading: most missed_requests first, then by the time left to those that wait. For
  * g_array_sort. */
 gint wb_load_queue_order(gconstpointer left, gconstpointer right);
 
--- a/src/control/placement.h
+++ b/src/control/placement.h
@@ -1,9 +1,12 @@
 /**
  * @file placement.h
- * @brief Where a model is loaded, and what makes room for it: pure functions on a snapshot.
+ * @brief Decides on which engine a model is loaded and which models are evicted to make room for
+ * it.
  *
- * No clock, no socket, no lock: the same code runs in a node, in tests and under a fuzzer. Costs
- * are estimated times in ms that requests lose.
+ * Pure functions on a snapshot of the fleet: no clock, no sockets, no locks. They don't fail; where
+ * no engine or no set of victims will do they return NULL. Costs and gains are estimates of the
+ * time that requests lose or save, in ms summed over requests. Speeds are relative: a baseline
+ * engine has speed 1. Weights and adapters are in MB.
  */
 #ifndef WICKBRIDGE_PLACEMENT_H
 #define WICKBRIDGE_PLACEMENT_H
@@ -11,118 +14,126 @@
 #include "wickbridge/catalog.h"
 #include "wickbridge/fleet.h"
 
-/** A model that is waited for though an engine should hold it gets another engine after this time.
- */
+/** If requests still wait for a model after this time although an engine holds it, it is loaded on
+ * one more engine. */
 #define WB_PLACEMENT_STUCK_MS 600
 
-/** How much a model is asked for, over all nodes. */
+/** Demand for a model over all nodes, and the engines that serve it. */
 typedef struct wb_model_use_t {
-    unsigned waiting;          /**< requests that wait for it to be loaded */
-    unsigned running;          /**< requests under way */
-    double rate_per_s;         /**< arrivals, decayed */
-    double work_per_s;         /**< prompt tokens of arrivals, decayed */
-    double recent_rate_per_s;  /**< arrivals of the last moments */
-    double recent_work_per_s;  /**< prompt tokens of the last moments' arrivals */
-    double adapter_rate_per_s; /**< those arrivals that name an adapter, decayed */
-    unsigned replicas;         /**< engines that hold it and stay */
-    unsigned unreliable;       /**< engines that hold it and don't count: their zones are being
-                                  evacuated, or they take less than they are asked for */
-    unsigned in_loading;       /**< engines that are about to load it */
-    double speed;         /**< of the engines that hold it, together; 0: one for each replica */
-    double loading_speed; /**< of those that are about to load it; 0: one for each */
+    unsigned waiting;          /**< requests that wait until it is loaded */
+    unsigned running;          /**< requests sent to engines and not finished */
+    double rate_per_s;         /**< arrivals, exponentially decayed */
+    double work_per_s;         /**< prompt tokens of arrivals, exponentially decayed */
+    double recent_rate_per_s;  /**< as rate_per_s, with a shorter time constant */
+    double recent_work_per_s;  /**< as work_per_s, with a shorter time constant */
+    double adapter_rate_per_s; /**< arrivals that name an adapter, exponentially decayed */
+    unsigned replicas;         /**< available engines that hold it */
+    unsigned unreliable;       /**< engines that hold it but don't count as replicas: they are
+                                  draining, their zone is being evacuated, or they limit their
+                                  requests below the demand */
+    unsigned loading_replicas; /**< engines that are loading it or have been ordered to */
+    double speed;              /**< sum over the replicas; 0: each counts as 1 */
+    double loading_speed;      /**< sum over the loading replicas; 0: each counts as 1 */
 } wb_model_use_t;
 
-/** An engine as the controller believes it to be. */
+/** An engine as the controller expects it to be. */
 typedef struct wb_placement_engine_t {
     wb_engine_t *engine;
     const wb_engine_state_t *state; /**< its last report, or its announcement */
-    double busy_ms;                 /**< time until it can take an order */
+    double busy_ms;                 /**< time until it can take another order */
     double pending_mb;              /**< weights ordered there that it doesn't hold yet */
-    gboolean available;             /**< it stays, and answers */
-    gboolean in_need;               /**< it wants fewer requests: no more models go there */
-    double speed;                   /**< beside a usual engine's; 0: as a usual one */
+    gboolean available;             /**< it can be reached and isn't draining */
+    gboolean overloaded;            /**< it limits its requests or asked for backoff: no more
+                                       models are loaded there */
+    double speed;                   /**< relative to a baseline engine; 0: 1 */
 } wb_placement_engine_t;
 
-/** What one engine does. */
+/** Capacity of one engine. */
 typedef struct wb_engine_power_t {
-    double tokens_per_ms; /**< prompt tokens that it reads in a millisecond */
-    unsigned slots;       /**< requests that it runs at once; 0: not known */
+    double tokens_per_ms; /**< prompt tokens processed in a millisecond */
+    unsigned slots;       /**< requests that it runs concurrently; 0: unknown */
 } wb_engine_power_t;
 
-/** A choice of a place judges so many engines at most, from a random one on. Judging one takes 2
- * us, so among 10,000 a choice would take 20 ms, and 600 models wait at a start. The best of 512 is
- * among the best 0.6 in 100 of all in 19 of 20 choices. Fleets of up to so many are judged whole.
- */
+/** Engines evaluated for one placement. In a larger fleet a placement evaluates this many from a
+ * random one on, to bound the time of a decision; the best of 512 is among the best 0.6 % of all
+ * with a probability of 95 %. */
 #define WB_PLACES_JUDGED 512
 
-/** Says whether an engine is about to load a model. */
+/** @return TRUE when an engine is loading a model or has been ordered to */
 typedef gboolean (*wb_placement_loading_fn)(const wb_engine_t *engine, const char *model,
                                             void *context);
 
+/** The input of one placement decision for one service. */
 typedef struct wb_placement_snapshot_t {
     const wb_service_t *service;
     GArray *engines;                    /**< of wb_placement_engine_t */
-    guint first;                        /**< engine that a choice among them begins at */
+    guint first;                        /**< index of the engine that an evaluation starts at */
     GHashTable *uses;                   /**< model -> wb_model_use_t */
-    wb_engine_power_t power;            /**< what an engine does */
-    double place_rate_per_s;            /**< requests for a replica, on average over all */
-    unsigned store_room;                /**< loads from the weight store that may begin now */
-    wb_placement_loading_fn is_loading; /**< NULL: none loads anything */
+    wb_engine_power_t power;            /**< capacity of an engine of speed 1 */
+    double place_rate_per_s;            /**< requests per replica, on average over all models */
+    unsigned store_room;                /**< loads from the weight store that may start now */
+    wb_placement_loading_fn is_loading; /**< NULL: no engine is loading */
     void *context;                      /**< of is_loading */
 } wb_placement_snapshot_t;
 
-/** @return MB that an engine's models and adapters take */
+/** @return MB that an engine's models and adapters take, including adapters being loaded */
 double wb_placement_used_mb(const wb_service_t *service, const wb_engine_state_t *state);
 
-/** @return TRUE when one more adapter of a model has room and a place; those on their way count */
+/** @return TRUE when the engine has memory and a slot for one more adapter of the model; adapters
+ * being loaded count as present */
 gboolean wb_placement_adapter_fits(const wb_service_t *service, const wb_engine_state_t *state,
                                    const wb_model_spec_t *spec);
 
-/** Time to load a model on an engine, by where its weights are. @param from_store out, may be NULL
+/**
+ * Estimate the time to load a model on an engine.
+ * @param from_store out: the weights come from the weight store rather than from the engine's
+ * memory or disk; may be NULL
  */
 double wb_placement_load_ms(const wb_model_spec_t *model, const wb_engine_state_t *state,
                             gboolean *from_store);
 
 /**
- * Find what costs least to drop on an engine so that a model fits.
- * @param cost_ms out: what dropping costs; 0 when it fits as it is
- * @return names of models to drop, owned by the caller, empty when it fits; NULL when it can't be
- * made to fit
+ * Find the cheapest models to evict from an engine so that a model fits.
+ * @param cost_ms out: cost of the evictions; 0 when it fits already
+ * @return names of models to evict, owned by the caller, empty when it fits already; NULL when it
+ * can't be made to fit
  */
 GPtrArray *wb_placement_victims(const wb_placement_snapshot_t *snapshot,
                                 const wb_engine_state_t *state, const wb_model_spec_t *model,
                                 double *cost_ms);
 
 /**
- * Choose an engine to load a model on, that neither holds nor loads it.
- * @param cost_ms out: the whole cost, with the load's time
- * @param victim_cost_ms out: the part of it that dropping others makes
- * @return NULL when there is none
+ * Choose the cheapest engine to load a model on, among those that neither hold nor load it.
+ * @param cost_ms out: total cost, including the load's time
+ * @param victim_cost_ms out: the part of it that evictions cause
+ * @return owned by the snapshot; NULL when no engine will do
  */
 wb_placement_engine_t *wb_placement_choose(const wb_placement_snapshot_t *snapshot,
                                            const wb_model_spec_t *model, double *cost_ms,
                                            double *victim_cost_ms);
 
-/** Engines that a model's measured work asks for, by its prompts and by what runs. */
+/** @return baseline engines that a model's prompt tokens and running requests call for */
 unsigned wb_placement_wanted(const wb_model_use_t *use, const wb_engine_power_t *power);
 
-/** @return speeds of the engines that hold a model or load it, together */
+/** @return total speed of the engines that hold or load a model */
 double wb_placement_speed(const wb_model_use_t *use);
 
-/** @return speed of the service's fastest engine that can take a model */
+/** @return speed of the service's fastest available engine */
 double wb_placement_fastest(const wb_placement_snapshot_t *snapshot);
 
-/** @return TRUE when a model's engines are slower on average than the fastest by so much that one
- * more at a fast one may be worth its load, though they could read its prompts
- * @param fastest as wb_placement_fastest gives it */
+/**
+ * Check whether a model's engines are so much slower on average than the fastest that one more,
+ * fast engine may be worth its load even if their capacity suffices.
+ * @param fastest as returned by wb_placement_fastest
+ */
 gboolean wb_placement_is_slow(const wb_model_use_t *use, double fastest);
 
 /**
- * What one more engine of a speed would save a model's requests, in ms, over the time that its
- * rate is believed: the waits, and the time that they run. Requests are shared among engines by
- * their speeds. The delay for reading is that of a single queue, so it grows without bound as an
- * engine's reading fills up; that for a place among those that run is Sakasegawa's approximation of
- * a queue with many servers (1977).
+ * Estimate what one more engine of the given speed would save a model's requests, in waiting and in
+ * running time, over the period for which the present rate is extrapolated. Requests are assumed to
+ * be shared among engines in proportion to speed. The prefill delay is that of a single-server
+ * queue, which grows without bound as utilization approaches 1; the delay for a slot is
+ * Sakasegawa's approximation for a multi-server queue (1977).
  */
 double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_power_t *power,
                             double speed);
@@ -130,7 +141,7 @@
 /** As wb_placement_load_price_ms, for a load from the weight store. */
 double wb_placement_store_price_ms(const wb_model_spec_t *model);
 
-/** What a load costs all others, in ms, besides what it displaces. */
+/** @return cost of a load to other requests, without that of evictions */
 double wb_placement_load_price_ms(const wb_model_spec_t *model, const wb_engine_state_t *state);
 
 #endif
--- a/src/control/store_turns.h
+++ b/src/control/store_turns.h
@@ -6,7 +6,7 @@
  * Where a load takes longer than those wait who ask for it, it is for those who come later in
  * either case, so what counts is how much these gain. A missing model that waits is there first,
  * every time; a busy model with one slow engine, at which nine of ten answers were late, never got
- * its second. So they take turns while the replica gains more: no kind is put off by more than one
+ * its second. So they take fairness while the replica gains more: no kind is put off by more than one
  * load. Pure.
  */
 #ifndef WICKBRIDGE_STORE_TURNS_H
@@ -23,17 +23,17 @@
 } wb_store_turns_t;
 
 /** A replica would be loaded, had the store room. @param gain_ms what its requests gain */
-void wb_store_turns_wish(wb_store_turns_t *turns, double gain_ms, int64_t now_ms);
+void wb_store_turns_wish(wb_store_turns_t *fairness, double gain_ms, int64_t now_ms);
 /** @return TRUE when some replica only lacks the store */
-gboolean wb_store_turns_is_wished(const wb_store_turns_t *turns, int64_t now_ms);
+gboolean wb_store_turns_is_wished(const wb_store_turns_t *fairness, int64_t now_ms);
 /**
  * @param gain_ms  what requests for the missing model gain
  * @param load_ms  what a load takes
  * @return FALSE while a replica's turn is next
  */
-gboolean wb_store_turns_missing_may(const wb_store_turns_t *turns, double gain_ms, int64_t load_ms,
+gboolean wb_store_turns_missing_may(const wb_store_turns_t *fairness, double gain_ms, int64_t load_ms,
                                     int64_t now_ms);
 /** A load from the store was ordered. */
-void wb_store_turns_loaded(wb_store_turns_t *turns, gboolean is_missing);
+void wb_store_turns_loaded(wb_store_turns_t *fairness, gboolean is_missing);
 
 #endif
