--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -145,7 +145,7 @@
     return ((wb_controller_t *)context)->token;
 }
 
-static void owner_engine_state(wb_engine_t *engine, void *context) {
+static void owner_engine_state_changed(wb_engine_t *engine, void *context) {
     const wb_controller_t *controller = context;
     controller->events.on_engine_state(engine, controller->events.context);
 }
@@ -181,7 +181,7 @@
                                       owner_report_holding,
                                       owner_report_estimate,
                                       owner_token,
-                                      owner_engine_state,
+                                      owner_engine_state_changed,
                                       controller};
     orders = wb_engine_orders_create(controller->loop, controller->settings, controller->dialect,
                                      engine, controller->metrics, &owner);
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -1,4 +1,4 @@
-/* Carries out tasks on one engine. */
+/* Carries out tasks on one engine: reads its state, sends orders, checks their outcome. */
 #include "control/engine_orders_types.h"
 
 #include "control/placement.h"
@@ -8,20 +8,19 @@
 
 #include <string.h>
 
-#define LOOK_AGAIN_MS 60
-#define LOOK_RARELY_MS 400
-#define LOOK_SHARE 8
-#define STORE_WAIT_MS 40
-/* A row that lets an engine be ordered is in the store after one of its answers (4 ms) and a round
- * trip. */
-#define GRANT_LOOK_MS 8
-#define UNLOAD_LOOK_MS 80
-#define LOAD_LATE_MS 250
+#define POLL_MIN_MS 60
+#define POLL_MAX_MS 400
+#define POLL_DIVISOR 8
+#define STORE_RETRY_MS 40
+/* About the time of a lease row's write, which a pending grant waits for. */
+#define GRANT_POLL_MS 8
+#define UNLOAD_POLL_MS 80
+#define LOAD_GRACE_MS 250
 #define RETRY_MS 150
-#define RESENDS_LIMIT 8
-#define FAILURES_LIMIT 3
+#define MAX_RESENDS 8
+#define MAX_FAILURES 3
 #define UNREACHABLE_MS 2000
-#define TASK_LIFE_MS 12000
+#define TASK_TIMEOUT_MS 12000
 
 static void orders_advance(wb_engine_orders_t *orders);
 
@@ -37,12 +36,12 @@
     orders->timer = wb_loop_after(orders->loop, MAX(delay_ms, 0), advance_now, orders);
 }
 
-static void state_forget(wb_engine_orders_t *orders) {
+static void state_discard(wb_engine_orders_t *orders) {
     wb_engine_state_free(orders->state);
     orders->state = NULL;
 }
 
-static void task_over(wb_engine_orders_t *orders, const char *outcome) {
+static void task_end(wb_engine_orders_t *orders, const char *outcome) {
     wb_task_t *task = wb_task_pop(&orders->tasks);
     wb_event(
         "task-over",
@@ -51,8 +50,8 @@
         (long long)(wb_clock_ms() - task->created_ms));
     wb_task_free(task);
     if (orders->awaited != WB_AWAIT_NONE) {
-        /* An order was taken and nothing shows yet what came of it: it still takes room. */
-        state_forget(orders);
+        /* The outcome of an accepted order is unknown: its model may still take memory. */
+        state_discard(orders);
         orders->awaited = WB_AWAIT_NONE;
     }
     advance_after(orders, 0);
@@ -65,22 +64,22 @@
 
 static void call_failed(wb_engine_orders_t *orders) {
     orders->failures++;
-    if (orders->failures < FAILURES_LIMIT) {
+    if (orders->failures < MAX_FAILURES) {
         advance_after(orders, RETRY_MS);
         return;
     }
     unreachable_begin(orders);
     if (wb_task_first(&orders->tasks) != NULL)
-        task_over(orders, "unreachable");
+        task_end(orders, "unreachable");
 }
 
-/* Nobody listens at the engine's address any more, and it was loading a model. */
+/* Handles the end of an engine that was loading a model. */
 static void load_crashed(wb_engine_orders_t *orders) {
     orders->owner.load_crashed(orders->engine, orders->order_model, orders->owner.context);
     unreachable_begin(orders);
-    state_forget(orders);
+    state_discard(orders);
     if (wb_task_first(&orders->tasks) != NULL)
-        task_over(orders, "crashed");
+        task_end(orders, "crashed");
     orders->awaited = WB_AWAIT_NONE;
 }
 
@@ -90,17 +89,17 @@
         return;
     }
     unreachable_begin(orders);
-    state_forget(orders);
+    state_discard(orders);
     orders->awaited = WB_AWAIT_NONE;
     if (wb_task_first(&orders->tasks) != NULL) {
-        task_over(orders, "engine-restarted");
+        task_end(orders, "engine-restarted");
     }
 }
 
-/* Which start of the engine has reported: -1 an earlier one than is known, 1 a later one. */
+/* Compares the start of the engine that sent a report with the known one: -1: earlier, 1: later. */
 static int start_compare(const wb_engine_orders_t *orders, const wb_engine_state_t *state) {
     if (state->born_ms == 0) {
-        return 0; /* it doesn't tell */
+        return 0; /* the engine doesn't report its start */
     }
     if (wb_engine_state_is_later(orders->engine->state, state)) {
         return 1;
@@ -115,38 +114,40 @@
     return *adapter == '\0' || g_hash_table_contains(held->adapters, adapter);
 }
 
-/* The engine holds what the first task asks for. */
+/* Ends the first task, as the engine holds its model or adapter. */
 static void task_done(wb_engine_orders_t *orders) {
     const wb_task_t *task = wb_task_first(&orders->tasks);
     if (orders->order_from_store && *task->adapter == '\0' &&
         strcmp(task->model, orders->order_model) == 0) {
         orders->order_from_store = FALSE;
-        orders->owner.store_load_ended(orders->engine->state->service, orders->order_concurrent_loads,
-                                       wb_clock_ms() - orders->order_sent_ms, orders->order_load_ms,
-                                       orders->owner.context);
+        orders->owner.store_load_ended(
+            orders->engine->state->service, orders->order_concurrent_loads,
+            wb_clock_ms() - orders->order_sent_ms, orders->order_load_ms, orders->owner.context);
     }
-    orders->owner.announce(orders->engine, task->model, task->adapter, TRUE, orders->owner.context);
-    task_over(orders, "done");
+    orders->owner.report_holding(orders->engine, task->model, task->adapter, TRUE,
+                                 orders->owner.context);
+    task_end(orders, "done");
 }
 
-/* The longer an order has taken, the rarer the looks: each comes late by an eighth at most. */
-static int64_t look_again_ms(const wb_engine_orders_t *orders) {
-    int64_t passed_ms = wb_clock_ms() - orders->order_sent_ms;
-    return CLAMP(passed_ms / LOOK_SHARE, LOOK_AGAIN_MS, LOOK_RARELY_MS);
+/* Polls less often the longer an order takes, so that its end is seen at most an eighth of its time
+ * late. */
+static int64_t poll_delay_ms(const wb_engine_orders_t *orders) {
+    int64_t elapsed_ms = wb_clock_ms() - orders->order_sent_ms;
+    return CLAMP(elapsed_ms / POLL_DIVISOR, POLL_MIN_MS, POLL_MAX_MS);
 }
 
-/* Compares a fresh report with what is waited for. */
+/* Checks whether a new report shows the awaited effect of an order. */
 static void awaited_check(wb_engine_orders_t *orders) {
     gboolean has = state_has(orders->state, orders->order_model, "");
     gboolean settled = !orders->state->busy && (orders->awaited == WB_AWAIT_LOADED ? has : !has);
     if (!settled) {
         gboolean lost = !orders->state->busy && orders->awaited == WB_AWAIT_LOADED &&
-                        wb_clock_ms() > orders->load_due_ms + 4 * LOAD_LATE_MS;
+                        wb_clock_ms() > orders->load_due_ms + 4 * LOAD_GRACE_MS;
         if (lost)
             orders->awaited = WB_AWAIT_NONE;
         else if (orders->awaited == WB_AWAIT_LOADED && orders->state->busy)
             wb_engine_orders_report_load_overdue(orders);
-        advance_after(orders, look_again_ms(orders));
+        advance_after(orders, poll_delay_ms(orders));
         return;
     }
     gboolean loaded = orders->awaited == WB_AWAIT_LOADED;
@@ -175,15 +176,15 @@
     orders->failures = 0;
     int start = start_compare(orders, state);
     if (start > 0) {
-        /* Its row will tell, too; until then nothing is known of what it holds. */
+        /* The engine has restarted; its new announcement will follow. */
         wb_engine_state_free(state);
         wb_engine_orders_on_engine_ended(orders);
         return;
     }
     if (start < 0 || (orders->state != NULL && state->sequence < orders->state->sequence)) {
-        /* The report is older than what is known of the engine. */
+        /* The report is older than the cached state. */
         wb_engine_state_free(state);
-        advance_after(orders, LOOK_AGAIN_MS);
+        advance_after(orders, POLL_MIN_MS);
         return;
     }
     wb_engine_state_free(orders->state);
@@ -191,28 +192,28 @@
     if (orders->awaited != WB_AWAIT_NONE) {
         awaited_check(orders);
     } else if (state->busy) {
-        state_forget(orders);
-        advance_after(orders, LOOK_AGAIN_MS);
+        state_discard(orders);
+        advance_after(orders, POLL_MIN_MS);
     } else {
         advance_after(orders, 0);
     }
 }
 
-/* What the engine tells of itself beside a report or an order's outcome. */
-static void head_hear(const wb_http_head_t *head, void *context) {
+/* Applies the engine-reported state in the response headers of a report or order. */
+static void response_head_apply(const wb_http_head_t *head, void *context) {
     wb_engine_orders_t *orders = context;
     wb_heard_t heard = {orders->dialect,      head,          WB_HEARD_ON_CALL,
                         orders->call_sent_ms, wb_clock_ms(), orders->settings->drain_ms};
     if (wb_engine_hear(orders->engine, &heard, orders->metrics)) {
-        orders->owner.heard(orders->engine, orders->owner.context);
+        orders->owner.engine_state_changed(orders->engine, orders->owner.context);
     }
 }
 
-static void report_ask(wb_engine_orders_t *orders) {
+static void report_request(wb_engine_orders_t *orders) {
     wb_http_request_t request = {.method = "GET",
                                  .target = orders->dialect->report_target,
                                  .timeout_ms = orders->settings->order_timeout_ms,
-                                 .on_head = head_hear,
+                                 .on_head = response_head_apply,
                                  .on_result = report_answered,
                                  .context = orders};
     orders->calling = TRUE;
@@ -220,13 +221,13 @@
     wb_http_peer_call(orders->peer, &request);
 }
 
-/* Returns 0 when an order may be given now, else ms after which to ask again. */
+/* Returns 0 when an order may be sent now, else ms after which to ask again. */
 static int64_t order_wait_ms(const wb_engine_orders_t *orders) {
     if (!orders->owner.may_act(orders->owner.context)) {
         return RETRY_MS;
     }
     int64_t wait_ms = orders->owner.ask_order(orders->engine->state->id, orders->owner.context);
-    return wait_ms < 0 ? GRANT_LOOK_MS : MIN(wait_ms, RETRY_MS);
+    return wait_ms < 0 ? GRANT_POLL_MS : MIN(wait_ms, RETRY_MS);
 }
 
 static gboolean order_may_send(void *context) {
@@ -235,13 +236,14 @@
 
 static void order_send(wb_engine_orders_t *orders);
 
-/* The engine took the order: the belief follows it. */
-static void order_taken(wb_engine_orders_t *orders, gboolean had_it) {
+/* Updates the cached state, as the engine accepted the order.
+ * @param already_done the engine held, or didn't hold, the model or adapter already */
+static void order_accepted(wb_engine_orders_t *orders, gboolean already_done) {
     wb_engine_state_t *state = orders->state;
     int64_t now_ms = wb_clock_ms();
     gboolean is_adapter = *orders->order_adapter != '\0';
-    if (had_it && !(is_adapter && orders->order.kind == WB_ORDER_UNLOAD)) {
-        state_forget(orders); /* whether this counted in its sequence is not known */
+    if (already_done && !(is_adapter && orders->order.kind == WB_ORDER_UNLOAD)) {
+        state_discard(orders); /* unknown whether the engine's sequence number has changed */
         advance_after(orders, 0);
         return;
     }
@@ -255,7 +257,7 @@
             return;
         }
         orders->awaited = WB_AWAIT_UNLOADED;
-        advance_after(orders, UNLOAD_LOOK_MS);
+        advance_after(orders, UNLOAD_POLL_MS);
         return;
     }
     if (is_adapter) {
@@ -268,7 +270,7 @@
         return;
     }
     orders->awaited = WB_AWAIT_LOADED;
-    advance_after(orders, orders->load_due_ms + LOAD_LATE_MS - now_ms);
+    advance_after(orders, orders->load_due_ms + LOAD_GRACE_MS - now_ms);
 }
 
 static void order_answered(const wb_http_result_t *result, void *context) {
@@ -281,7 +283,7 @@
              orders->order_model, orders->order_adapter, (long long)orders->order.expected_sequence,
              (unsigned long long)orders->order.token, result->status, (int)result->outcome);
     if (result->outcome == WB_HTTP_NOT_SENT) {
-        /* It may have taken the order whose answer never came. */
+        /* An earlier attempt, whose answer was lost, may have started the load. */
         gboolean may_load = orders->resends > 0 && orders->order.kind == WB_ORDER_LOAD &&
                             *orders->order_adapter == '\0';
         if (result->refused && may_load)
@@ -291,9 +293,9 @@
         return;
     }
     if (result->outcome == WB_HTTP_UNKNOWN) {
-        /* It may still be carried out; at this sequence only one of the two will be. */
+        /* The order may still be carried out; at most one with this sequence number will be. */
         orders->metrics->orders_unknown++;
-        if (++orders->resends > RESENDS_LIMIT)
+        if (++orders->resends > MAX_RESENDS)
             call_failed(orders);
         else
             order_send(orders);
@@ -302,14 +304,14 @@
     orders->resends = 0;
     if (result->status == 202 || result->status == 200) {
         orders->failures = 0;
-        order_taken(orders, result->status == 200);
+        order_accepted(orders, result->status == 200);
         return;
     }
-    state_forget(orders);
+    state_discard(orders);
     if (result->status == 400 && wb_task_first(&orders->tasks) != NULL)
-        task_over(orders, "refused");
+        task_end(orders, "refused");
     else
-        advance_after(orders, LOOK_AGAIN_MS);
+        advance_after(orders, POLL_MIN_MS);
 }
 
 static void order_send(wb_engine_orders_t *orders) {
@@ -321,7 +323,7 @@
     orders->order_sent_ms = wb_clock_ms();
     if (orders->order_from_store)
         orders->order_concurrent_loads =
-            orders->owner.store_load_begins(orders->engine->state->service, orders->owner.context);
+            orders->owner.store_load_started(orders->engine->state->service, orders->owner.context);
     orders->metrics->orders++;
     g_autofree char *body = orders->dialect->order_body(&orders->order);
     g_autofree char *headers =
@@ -333,7 +335,7 @@
                                  .timeout_ms = orders->settings->order_timeout_ms,
                                  .fresh = TRUE,
                                  .may_send = order_may_send,
-                                 .on_head = head_hear,
+                                 .on_head = response_head_apply,
                                  .on_result = order_answered,
                                  .context = orders};
     orders->calling = TRUE;
@@ -341,8 +343,8 @@
     wb_http_peer_call(orders->peer, &request);
 }
 
-static void order_give(wb_engine_orders_t *orders, wb_order_kind_t kind, const char *model,
-                       const char *adapter) {
+static void order_prepare(wb_engine_orders_t *orders, wb_order_kind_t kind, const char *model,
+                          const char *adapter) {
     g_free(orders->order_model);
     g_free(orders->order_adapter);
     orders->order_model = g_strdup(model);
@@ -357,7 +359,7 @@
                                  orders->owner.token(orders->owner.context)};
     if (kind == WB_ORDER_UNLOAD) {
         orders->metrics->unloads++;
-        orders->owner.announce(orders->engine, model, adapter, FALSE, orders->owner.context);
+        orders->owner.report_holding(orders->engine, model, adapter, FALSE, orders->owner.context);
     }
 }
 
@@ -366,26 +368,26 @@
     g_autoptr(GPtrArray) victims =
         orders->owner.pick_victims(orders->state, task->model, orders->owner.context);
     if (victims == NULL) {
-        task_over(orders, "no-room");
+        task_end(orders, "no-room");
         return;
     }
     if (victims->len > 0) {
-        order_give(orders, WB_ORDER_UNLOAD, g_ptr_array_index(victims, 0), "");
+        order_prepare(orders, WB_ORDER_UNLOAD, g_ptr_array_index(victims, 0), "");
         order_send(orders);
         return;
     }
     gboolean from_store;
     double load_ms = wb_placement_load_ms(spec, orders->engine->state, &from_store);
     if (from_store &&
-        !orders->owner.store_has_room(orders->engine->state->service, orders->owner.context)) {
-        advance_after(orders, STORE_WAIT_MS);
+        !orders->owner.store_allows_load(orders->engine->state->service, orders->owner.context)) {
+        advance_after(orders, STORE_RETRY_MS);
         return;
     }
     if (from_store)
         orders->metrics->store_loads++;
     else
         orders->metrics->local_loads++;
-    order_give(orders, WB_ORDER_LOAD, task->model, "");
+    order_prepare(orders, WB_ORDER_LOAD, task->model, "");
     orders->order_from_store = from_store;
     orders->order_load_ms = (int64_t)load_ms;
     orders->load_due_ms = wb_clock_ms() + (int64_t)load_ms;
@@ -395,29 +397,29 @@
 static void load_adapter(wb_engine_orders_t *orders, const wb_task_t *task,
                          const wb_service_t *service, const wb_model_spec_t *spec) {
     if (!state_has(orders->state, task->model, "")) {
-        task_over(orders, "no-model");
+        task_end(orders, "no-model");
         return;
     }
     if (!wb_placement_adapter_fits(service, orders->state, spec)) {
         g_autofree char *victim =
             orders->owner.pick_adapter_victim(orders->state, orders->owner.context);
         if (victim == NULL && g_hash_table_size(orders->state->arriving) > 0) {
-            /* What is on its way can't be dropped: whether it is there by now, a report tells. */
-            state_forget(orders);
-            advance_after(orders, LOOK_AGAIN_MS);
+            /* An adapter being loaded can't be evicted; a new report shows whether it is there. */
+            state_discard(orders);
+            advance_after(orders, POLL_MIN_MS);
             return;
         }
         if (victim == NULL) {
-            task_over(orders, "no-room");
+            task_end(orders, "no-room");
             return;
         }
         char *slash = strchr(victim, '/');
         *slash = '\0';
-        order_give(orders, WB_ORDER_UNLOAD, victim, slash + 1);
+        order_prepare(orders, WB_ORDER_UNLOAD, victim, slash + 1);
         order_send(orders);
         return;
     }
-    order_give(orders, WB_ORDER_LOAD, task->model, task->adapter);
+    order_prepare(orders, WB_ORDER_LOAD, task->model, task->adapter);
     order_send(orders);
 }
 
@@ -426,8 +428,8 @@
         orders->owner.service(orders->engine->state->service, orders->owner.context);
     const wb_model_spec_t *spec =
         service != NULL ? g_hash_table_lookup(service->models, task->model) : NULL;
-    if (spec == NULL || wb_clock_ms() - task->created_ms > TASK_LIFE_MS)
-        task_over(orders, "given-up");
+    if (spec == NULL || wb_clock_ms() - task->created_ms > TASK_TIMEOUT_MS)
+        task_end(orders, "given-up");
     else if (state_has(orders->state, task->model, task->adapter))
         task_done(orders);
     else if (*task->adapter != '\0')
@@ -440,15 +442,15 @@
     const wb_task_t *task = wb_task_first(&orders->tasks);
     if (orders->calling || task == NULL)
         return;
-    /* The leave to order is asked for beside the report. */
+    /* Requests the grant now, so that its write runs in parallel with the report. */
     int64_t wait_ms = order_wait_ms(orders);
     gboolean may_act = orders->owner.may_act(orders->owner.context);
     if (may_act && (orders->state == NULL || orders->awaited != WB_AWAIT_NONE))
-        report_ask(orders);
+        report_request(orders);
     else if (wait_ms == 0)
         task_advance(orders, task);
-    else if (wb_clock_ms() - task->created_ms > TASK_LIFE_MS)
-        task_over(orders, "given-up");
+    else if (wb_clock_ms() - task->created_ms > TASK_TIMEOUT_MS)
+        task_end(orders, "given-up");
     else {
         if (may_act)
             wb_engine_orders_report_grant_overdue(orders, task);
@@ -461,8 +463,8 @@
         return;
     }
     gboolean idle = orders->tasks.len == 0;
-    gboolean first_has_begun = orders->calling || orders->awaited != WB_AWAIT_NONE;
-    wb_task_queue(&orders->tasks, wb_task_create(model, adapter, wb_clock_ms()), first_has_begun);
+    gboolean first_is_started = orders->calling || orders->awaited != WB_AWAIT_NONE;
+    wb_task_queue(&orders->tasks, wb_task_create(model, adapter, wb_clock_ms()), first_is_started);
     if (idle && !orders->calling) {
         advance_after(orders, 0);
     }
@@ -474,7 +476,7 @@
     gboolean has = state_has(orders->engine->state, orders->order_model, "");
     if (has != (orders->awaited == WB_AWAIT_LOADED))
         return;
-    /* The announcement shows that the order is carried out. */
+    /* The announcement shows the order's effect. */
     if (orders->awaited == WB_AWAIT_LOADED) {
         const wb_engine_model_t *held =
             g_hash_table_lookup(orders->engine->state->models, orders->order_model);
--- a/src/control/engine_orders_life.c
+++ b/src/control/engine_orders_life.c
@@ -1,4 +1,4 @@
-/* Makes and frees what one engine's orders need. */
+/* Creates and frees one engine's orders. */
 #include "control/engine_orders_types.h"
 
 wb_engine_orders_t *wb_engine_orders_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
--- a/src/control/engine_orders_state.c
+++ b/src/control/engine_orders_state.c
@@ -1,4 +1,4 @@
-/* What the orders of one engine are asked: tasks, time, loads, belief. They change nothing. */
+/* Read-only queries on one engine's orders. */
 #include "control/engine_orders_types.h"
 #include "control/placement.h"
 
@@ -20,11 +20,13 @@
     return orders->tasks.len > 0;
 }
 
-/* What the model loads among the tasks take, and how many of them read from the weight store. */
-static double loads_sum(const wb_engine_orders_t *orders, unsigned *from_store) {
+/* Sums up the estimated times of the tasks that load models, and counts those from the weight
+ * store.
+ */
+static double total_load_ms(const wb_engine_orders_t *orders, unsigned *from_store) {
     const wb_service_t *service =
         orders->owner.service(orders->engine->state->service, orders->owner.context);
-    double sum_ms = 0;
+    double total_ms = 0;
     *from_store = 0;
     if (service == NULL) {
         return 0;
@@ -32,24 +34,24 @@
     WB_LIST_EACH(item, &orders->tasks) {
         const wb_task_t *task = WB_LIST_OF(item, wb_task_t, queued);
         const wb_model_spec_t *spec = g_hash_table_lookup(service->models, task->model);
-        gboolean reads_store;
+        gboolean from_weight_store;
         if (spec == NULL || *task->adapter != '\0') {
             continue;
         }
-        sum_ms += wb_placement_load_ms(spec, orders->engine->state, &reads_store);
-        *from_store += reads_store ? 1 : 0;
+        total_ms += wb_placement_load_ms(spec, orders->engine->state, &from_weight_store);
+        *from_store += from_weight_store ? 1 : 0;
     }
-    return sum_ms;
+    return total_ms;
 }
 
 double wb_engine_orders_busy_ms(const wb_engine_orders_t *orders) {
     unsigned from_store;
-    return loads_sum(orders, &from_store);
+    return total_load_ms(orders, &from_store);
 }
 
 unsigned wb_engine_orders_store_loads(const wb_engine_orders_t *orders) {
     unsigned from_store;
-    loads_sum(orders, &from_store);
+    total_load_ms(orders, &from_store);
     return from_store;
 }
 
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -1,6 +1,8 @@
 /**
  * @file engine_orders_types.h
- * @brief One engine's orders as their own files share them.
+ * @brief Internals of one engine's orders, shared by the engine_orders*.c files only.
+ *
+ * Times are in ms of the monotonic clock. Threads: the loop's thread.
  */
 #ifndef WICKBRIDGE_ENGINE_ORDERS_TYPES_H
 #define WICKBRIDGE_ENGINE_ORDERS_TYPES_H
@@ -10,7 +12,7 @@
 
 #include "wickbridge/http_peer.h"
 
-/* What the engine is waited for. */
+/* Effect of an accepted order that must still show in a report. */
 typedef enum wb_awaited_t { WB_AWAIT_NONE, WB_AWAIT_LOADED, WB_AWAIT_UNLOADED } wb_awaited_t;
 
 struct wb_engine_orders_t {
@@ -22,31 +24,32 @@
     wb_engine_orders_owner_t owner;
     wb_http_peer_t *peer;
     wb_list_t tasks;          /* of wb_task_t; the first is under way */
-    wb_engine_state_t *state; /* as believed; NULL until it was read */
-    gboolean calling;
-    int64_t call_sent_ms; /* of the report or order under way, or the last one */
+    wb_engine_state_t *state; /* as last read, updated with orders; NULL: must be read */
+    gboolean calling;         /* a report or order is under way */
+    int64_t call_sent_ms;     /* of the report or order under way, or the last one */
     wb_timer_t *timer;
     /* The order under way, or the last one. */
     wb_order_t order;
     char *order_model;
     char *order_adapter;
     gboolean order_from_store;
-    unsigned order_concurrent_loads; /* loads from the weight store when it began */
+    unsigned order_concurrent_loads; /* loads from the weight store when it started */
     int64_t order_sent_ms;
-    int64_t order_load_ms; /* what the load takes alone */
-    unsigned resends;
-    unsigned failures;
+    int64_t order_load_ms; /* nominal time of the load */
+    unsigned resends;      /* of the order, after calls with unknown outcome */
+    unsigned failures;     /* calls in a row */
     int64_t unreachable_until_ms;
     wb_awaited_t awaited;
-    int64_t load_due_ms;
-    int64_t estimate_sent_ms; /* when gateways were last told that the load is late; 0: never */
+    int64_t load_due_ms;      /* when the load should be complete */
+    int64_t estimate_sent_ms; /* when gateways last got a new estimate for an overdue load; 0: never
+                               */
 };
 
 /* engine_orders_late.c */
-/** The load under way goes on beyond its time. */
+/** The load under way takes longer than estimated: report a new estimate. */
 void wb_engine_orders_report_load_overdue(wb_engine_orders_t *orders);
-/** The leave to order takes longer than a decision should: beside a slow store it is one write of
- * the lease's row, or two. */
+/** The grant for an order takes longer than a decision should, as when the store is slow: report a
+ * new estimate for the task's model. The grant takes one write of the lease row, or two. */
 void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders, const wb_task_t *task);
 
 #endif
--- a/src/control/engine_task.c
+++ b/src/control/engine_task.c
@@ -1,4 +1,4 @@
-/* What one engine is wanted to hold, in the order in which it is gone about. */
+/* The queue of models and adapters to load on one engine. */
 #include "control/engine_task.h"
 
 #include <string.h>
@@ -36,17 +36,17 @@
     return NULL;
 }
 
-void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun) {
+void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_is_started) {
     const wb_list_item_t *first = wb_list_first(tasks);
-    wb_list_item_t *place = &tasks->ring;
+    wb_list_item_t *position = &tasks->ring;
     if (*task->adapter != '\0') {
         WB_LIST_EACH(item, tasks) {
-            gboolean has_begun = item == first && first_has_begun;
-            if (!has_begun && *WB_LIST_OF(item, wb_task_t, queued)->adapter == '\0') {
-                place = item;
+            gboolean is_started = item == first && first_is_started;
+            if (!is_started && *WB_LIST_OF(item, wb_task_t, queued)->adapter == '\0') {
+                position = item;
                 break;
             }
         }
     }
-    wb_list_add_before(tasks, place, &task->queued);
+    wb_list_add_before(tasks, position, &task->queued);
 }
--- a/src/control/engine_task.h
+++ b/src/control/engine_task.h
@@ -1,6 +1,9 @@
 /**
  * @file engine_task.h
- * @brief What one engine is wanted to hold, in the order in which it is gone about.
+ * @brief The queue of models and adapters to load on one engine.
+ *
+ * Tasks are kept in an intrusive list that the caller owns. Adapters go before models, as they load
+ * much faster. Pure: the time is passed in, in ms of the monotonic clock. Nothing here fails.
  */
 #ifndef WICKBRIDGE_ENGINE_TASK_H
 #define WICKBRIDGE_ENGINE_TASK_H
@@ -9,7 +12,7 @@
 
 #include <stdint.h>
 
-/** A model or adapter that is wanted on an engine. */
+/** A model or adapter to load on an engine. */
 typedef struct wb_task_t {
     wb_list_item_t queued;
     char *model;
@@ -17,19 +20,20 @@
     int64_t created_ms;
 } wb_task_t;
 
+/** @return a task on no list; the names are copied */
 wb_task_t *wb_task_create(const char *model, const char *adapter, int64_t now_ms);
 /** Free a task that is on no list. */
 void wb_task_free(wb_task_t *task);
-/** @return the first task, which stays; NULL when there is none */
+/** @return the first task, which stays on the list; NULL when the list is empty */
 wb_task_t *wb_task_first(const wb_list_t *tasks);
-/** Take the first task out; there must be one. */
+/** Remove the first task of a list that isn't empty. @return the task, owned by the caller */
 wb_task_t *wb_task_pop(wb_list_t *tasks);
-/** @return the task for a model or adapter, or NULL */
+/** @return the task for a model (adapter "") or adapter, or NULL */
 wb_task_t *wb_task_find(const wb_list_t *tasks, const char *model, const char *adapter);
 /**
- * Put a task where it belongs: adapters come in moments, so they go before models.
- * @param first_has_begun the first task is under way and stays first
+ * Insert a task: an adapter before all models, a model at the end.
+ * @param first_is_started the first task is under way and stays first
  */
-void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun);
+void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_is_started);
 
 #endif
