--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -5,13 +5,14 @@
 
 #include <string.h>
 
-/* Writes whose outcome may still show; an older one counts for nothing any more. */
-#define WRITES_REMEMBERED 16
-/* Tries to take a lease over that fail are so many times as far apart as renewals, at most. */
-#define TAKEOVER_PAUSES 6
-/* After the store was away its holder is as well as the others: it gets the time of so many
- * renewals to go on. It tries at least twice in one. */
-#define HOLDER_FIRST_RENEWALS 2
+/* Number of own writes that are remembered to recognize their rows; an older row renews nothing. */
+#define WRITE_HISTORY 16
+/* Maximum backoff after failed takeovers, as a multiple of the delay before a failed renewal is
+ * retried. */
+#define TAKEOVER_BACKOFF_MAX 6
+/* After the store was unavailable, the holder may renew first: other nodes leave it this many
+ * renewal intervals, in each of which it tries at least twice. */
+#define HOLDER_PRIORITY_RENEWALS 2
 
 typedef struct wb_lease_write_t {
     uint64_t beat;
@@ -20,28 +21,29 @@
 
 struct wb_lease_t {
     wb_lease_settings_t settings;
-    wb_lease_row_t known; /* holder NULL: nobody */
-    int64_t version;      /* of the row; 0: not there; -1: never read */
-    int64_t version_since_ms;
-    uint64_t own_token; /* 0: never held by this process */
-    uint64_t beat;      /* of the last write; begins at random, so that no other process has it */
-    wb_lease_write_t writes[WRITES_REMEMBERED];
-    int64_t held_until_ms;
+    wb_lease_row_t known;     /* holder NULL: the lease isn't held */
+    int64_t version;          /* of the row; 0: not there; -1: never read */
+    int64_t version_since_ms; /* when this node learned of the version */
+    uint64_t own_token;       /* 0: never held by this process */
+    uint64_t beat; /* heartbeat counter of the last write; starts at a random value, so that
+                      rows of different processes can be told apart */
+    wb_lease_write_t writes[WRITE_HISTORY];
+    int64_t held_until_ms; /* the margin is not yet subtracted */
     int64_t last_write_ms;
     int64_t retry_at_ms;
     gboolean writing;
     wb_lease_grants_t *grants;
-    wb_lease_row_t written; /* the write under way */
-    int64_t written_expected;
+    wb_lease_row_t written_row; /* the write under way */
+    int64_t written_expected_version;
     int64_t written_sent_ms;
-    wb_lease_predecessor_t predecessor; /* the last row of another process */
+    wb_lease_predecessor_t predecessor; /* from the last row of another process */
     gboolean releasing;
-    gboolean given_up;
-    int64_t holder_first_ms; /* until then a holder that lost the store may renew first */
-    double takeover_share;   /* this node's place in the spread, 0 to 1 */
-    int64_t first_ms;        /* before the spread begins */
-    int64_t spread_ms;
-    int64_t takeover_pause_ms; /* after the last try in a row that failed */
+    gboolean was_released;            /* this process doesn't take the lease again */
+    int64_t holder_priority_until_ms; /* no takeover before this, so that a holder can renew */
+    double takeover_fraction;         /* random share of takeover_spread_ms, 0 to 1 */
+    int64_t takeover_min_delay_ms;
+    int64_t takeover_spread_ms;
+    int64_t takeover_backoff_ms; /* after failed takeovers in a row; 0: none failed */
 };
 
 static char **names_copy(char **names, guint count) {
@@ -75,15 +77,15 @@
     lease->settings = *settings;
     lease->version = -1;
     lease->grants = wb_lease_grants_create(settings->quiet_ms + settings->margin_ms);
-    lease->spread_ms = settings->spread_ms;
-    lease->takeover_share = g_random_double();
+    lease->takeover_spread_ms = settings->spread_ms;
+    lease->takeover_fraction = g_random_double();
     lease->beat = ((uint64_t)g_random_int() << 24) + 1;
     return lease;
 }
 
 void wb_lease_free(wb_lease_t *lease) {
     wb_lease_row_clear(&lease->known);
-    wb_lease_row_clear(&lease->written);
+    wb_lease_row_clear(&lease->written_row);
     wb_lease_grants_free(lease->grants);
     g_free(lease);
 }
@@ -92,23 +94,23 @@
     return row->holder != NULL && strcmp(row->holder, lease->settings.machine) == 0;
 }
 
-/* Returns when this process sent the write that made the row, or -1 when it wasn't this process. */
+/* Returns when this process sent the write that made the row, or -1 if another process made it. */
 static int64_t own_write_sent_ms(const wb_lease_t *lease, const wb_lease_row_t *row) {
-    const wb_lease_write_t *write = &lease->writes[row->beat % WRITES_REMEMBERED];
+    const wb_lease_write_t *write = &lease->writes[row->beat % WRITE_HISTORY];
     return is_own(lease, row) && write->beat == row->beat ? write->sent_ms : -1;
 }
 
-/* The row is as this process wrote it at some time. */
-static void own_row_take(wb_lease_t *lease, int64_t sent_ms) {
+/* Applies a row that this process has written; it extends the lease from when it was sent. */
+static void own_row_apply(wb_lease_t *lease, int64_t sent_ms) {
     lease->own_token = lease->known.token;
     wb_lease_grants_written(lease->grants, lease->known.beat);
     if (lease->known.released)
-        lease->given_up = TRUE;
+        lease->was_released = TRUE;
     else if (!lease->releasing)
         lease->held_until_ms = MAX(lease->held_until_ms, sent_ms + lease->settings.duration_ms);
 }
 
-static void predecessor_seen(wb_lease_t *lease, int64_t now_ms) {
+static void predecessor_update(wb_lease_t *lease, int64_t now_ms) {
     lease->held_until_ms = 0;
     lease->predecessor.loads = lease->known.recent_loads;
     lease->predecessor.seen_ms = now_ms;
@@ -117,7 +119,7 @@
 void wb_lease_on_row(wb_lease_t *lease, const wb_lease_row_t *row, int64_t version,
                      int64_t now_ms) {
     if (version == lease->version && row != NULL && row->grants_known) {
-        /* Another node told of this row before, in short; now the store has shown it whole. */
+        /* A peer sent this version of the row before, without its engines; this one is complete. */
         wb_lease_row_copy(&lease->known, row);
         return;
     }
@@ -132,9 +134,9 @@
     wb_lease_row_copy(&lease->known, row);
     int64_t sent_ms = own_write_sent_ms(lease, row);
     if (sent_ms >= 0)
-        own_row_take(lease, sent_ms);
+        own_row_apply(lease, sent_ms);
     else
-        predecessor_seen(lease, now_ms);
+        predecessor_update(lease, now_ms);
 }
 
 static gboolean is_holding(const wb_lease_t *lease) {
@@ -142,36 +144,38 @@
            is_own(lease, &lease->known) && !lease->known.released;
 }
 
-/* Until when the holder of the known row may act, as far as this node can tell. */
-static int64_t holder_acts_until_ms(const wb_lease_t *lease) {
+/* Time until which the holder of the known row may send orders, as far as this node can tell. */
+static int64_t holder_expires_ms(const wb_lease_t *lease) {
     const wb_lease_settings_t *settings = &lease->settings;
-    int64_t acts_ms = lease->known.released ? 0 : settings->duration_ms + settings->margin_ms;
-    return lease->version_since_ms + acts_ms;
+    int64_t valid_ms = lease->known.released ? 0 : settings->duration_ms + settings->margin_ms;
+    return lease->version_since_ms + valid_ms;
 }
 
-/* When the lease may be taken over, if the row stays as it is. */
+/* Time from which the lease may be taken over if the row doesn't change. */
 static int64_t takeover_at_ms(const wb_lease_t *lease) {
     if (lease->known.holder == NULL || is_own(lease, &lease->known))
         return lease->version_since_ms;
-    return MAX(holder_acts_until_ms(lease), lease->holder_first_ms);
+    return MAX(holder_expires_ms(lease), lease->holder_priority_until_ms);
 }
 
-/* Time after that at which this node tries, so that not all try at once. */
+/* Delay of this node's takeover after that, so that nodes don't all try at the same time. */
 static int64_t takeover_delay_ms(const wb_lease_t *lease) {
     if (is_own(lease, &lease->known))
         return 0;
-    return lease->first_ms + (int64_t)(lease->takeover_share * (double)lease->spread_ms);
+    return lease->takeover_min_delay_ms +
+           (int64_t)(lease->takeover_fraction * (double)lease->takeover_spread_ms);
 }
 
-/* Whoever held the lease before may have ordered the engines of its row until its time was over. */
+/* Prepares the grants: the previous holder may have sent orders to the engines of its row until its
+ * lease expired. */
 static void takeover_begin(wb_lease_t *lease, int64_t now_ms) {
     const wb_lease_settings_t *settings = &lease->settings;
-    gboolean anybody = lease->known.holder != NULL;
-    gboolean named = lease->known.grants_known && !lease->known.any_granted;
-    lease->predecessor.engines_most = named ? lease->known.granted_count : G_MAXUINT;
+    gboolean had_holder = lease->known.holder != NULL;
+    gboolean engines_listed = lease->known.grants_known && !lease->known.any_granted;
+    lease->predecessor.engines_most = engines_listed ? lease->known.granted_count : G_MAXUINT;
     wb_lease_grants_begin(
-        lease->grants, anybody ? &lease->known : NULL, is_own(lease, &lease->known),
-        holder_acts_until_ms(lease) + settings->quiet_ms + settings->margin_ms, now_ms);
+        lease->grants, had_holder ? &lease->known : NULL, is_own(lease, &lease->known),
+        holder_expires_ms(lease) + settings->quiet_ms + settings->margin_ms, now_ms);
 }
 
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease) {
@@ -188,7 +192,7 @@
     if (is_holding(lease))
         return lease->releasing || wb_lease_grants_is_short(lease->grants) ||
                now_ms - lease->last_write_ms >= lease->settings.renew_ms;
-    if (lease->releasing || lease->given_up)
+    if (lease->releasing || lease->was_released)
         return FALSE;
     return now_ms >= takeover_at_ms(lease) + takeover_delay_ms(lease);
 }
@@ -204,51 +208,51 @@
     if (is_holding(lease)) {
         next.released = lease->releasing;
         if (lease->releasing)
-            lease->held_until_ms = 0; /* not one act more */
+            lease->held_until_ms = 0; /* send no more orders */
     } else {
         next.token = MAX(lease->known.token, lease->own_token) + 1;
         takeover_begin(lease, now_ms);
     }
     wb_lease_grants_write(lease->grants, &next, now_ms);
-    wb_lease_row_copy(&lease->written, &next);
-    lease->written_expected = lease->version;
+    wb_lease_row_copy(&lease->written_row, &next);
+    lease->written_expected_version = lease->version;
     lease->written_sent_ms = now_ms;
     lease->last_write_ms = now_ms;
-    lease->writes[next.beat % WRITES_REMEMBERED] = (wb_lease_write_t){next.beat, now_ms};
+    lease->writes[next.beat % WRITE_HISTORY] = (wb_lease_write_t){next.beat, now_ms};
     lease->writing = TRUE;
-    *row = lease->written;
-    *expected_version = lease->written_expected;
+    *row = lease->written_row;
+    *expected_version = lease->written_expected_version;
     return TRUE;
 }
 
 void wb_lease_on_written(wb_lease_t *lease, int64_t version, int64_t now_ms) {
     lease->writing = FALSE;
-    lease->takeover_pause_ms = 0;
+    lease->takeover_backoff_ms = 0;
     if (version <= lease->version)
-        return; /* the row was read meanwhile, this write or a later one */
+        return; /* this write's row or a later one has been read meanwhile */
     lease->version = version;
     lease->version_since_ms = now_ms;
-    wb_lease_row_copy(&lease->known, &lease->written);
-    own_row_take(lease, lease->written_sent_ms);
+    wb_lease_row_copy(&lease->known, &lease->written_row);
+    own_row_apply(lease, lease->written_sent_ms);
 }
 
 void wb_lease_on_not_written(wb_lease_t *lease, int64_t now_ms) {
     lease->writing = FALSE;
     int64_t pause_ms = lease->settings.write_timeout_ms / 4;
-    /* A holder must renew soon; who only wants to be one asks ever more rarely. */
+    /* A holder must renew soon; a node that wants to take over backs off exponentially. */
     if (!is_holding(lease)) {
-        lease->takeover_pause_ms =
-            CLAMP(2 * lease->takeover_pause_ms, pause_ms, TAKEOVER_PAUSES * pause_ms);
-        pause_ms = lease->takeover_pause_ms;
+        lease->takeover_backoff_ms =
+            CLAMP(2 * lease->takeover_backoff_ms, pause_ms, TAKEOVER_BACKOFF_MAX * pause_ms);
+        pause_ms = lease->takeover_backoff_ms;
     }
     lease->retry_at_ms = now_ms + pause_ms;
     lease->last_write_ms = now_ms - lease->settings.renew_ms;
 }
 
 void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms) {
-    /* The same condition guards the next try; only one of the two can count. The pause runs from
-     * when the write was sent: after a timeout the next try follows at once, but not when the store
-     * resets each connection. */
+    /* The next attempt has the same condition, so at most one of the two succeeds. The delay starts
+     * when the write was sent: after a timeout the next attempt follows immediately, but not when
+     * the store resets each connection. */
     wb_lease_on_not_written(lease, now_ms);
     lease->retry_at_ms -= now_ms - lease->written_sent_ms;
 }
@@ -286,12 +290,12 @@
 }
 
 void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms) {
-    lease->first_ms = first_ms;
-    lease->spread_ms = spread_ms;
+    lease->takeover_min_delay_ms = first_ms;
+    lease->takeover_spread_ms = spread_ms;
 }
 
 void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms) {
-    lease->holder_first_ms = now_ms + HOLDER_FIRST_RENEWALS * lease->settings.renew_ms;
+    lease->holder_priority_until_ms = now_ms + HOLDER_PRIORITY_RENEWALS * lease->settings.renew_ms;
 }
 
 void wb_lease_release(wb_lease_t *lease) {
--- a/src/control/lease_grants.c
+++ b/src/control/lease_grants.c
@@ -1,26 +1,26 @@
-/* Which engines the lease's holder may order. */
+/* Grants of the lease holder: the engines that it may send orders to. */
 #include "control/lease_grants.h"
 
 #include <string.h>
 
-/* A row with more names than this says "any engine" instead: it would not fit into the store's
- * limit for a row (64 KiB). */
-#define NAMES_LIMIT 1500
+/* A row with more names would exceed the store's limit for a row (64 KiB); it grants any engine
+ * instead. */
+#define MAX_NAMES 1500
 
 typedef struct wb_grant_t {
-    int64_t asked_ms;   /* when an order was last due; 0: never */
-    uint64_t beat;      /* of the first row that names it, all since do too; 0: none does */
-    int64_t blocked_ms; /* until then another holder's orders must be waited out; 0: never */
+    int64_t requested_ms; /* when an order was last requested; 0: never */
+    uint64_t beat; /* of the first row that lists the engine, as all later ones do; 0: none does */
+    int64_t blocked_ms; /* time until which another holder's orders block it; 0: never blocked */
 } wb_grant_t;
 
 struct wb_lease_grants_t {
     int64_t quiet_ms;
     GHashTable *engines;    /* id -> wb_grant_t */
-    int64_t all_blocked_ms; /* until then any engine may have been ordered by another */
-    uint64_t written_beat;  /* newest own row that is known to be in the store */
-    GPtrArray *granted;     /* names of the last row; owned by `engines` or by `dropped` */
+    int64_t all_blocked_ms; /* time until which any engine may have been ordered */
+    uint64_t written_beat;  /* of this node's newest row that is known to be in the store */
+    GPtrArray *granted;     /* names in the last row, owned by `engines` or by `dropped` */
     GPtrArray *inherited;
-    GPtrArray *dropped; /* names that left `engines` and that the last row may still borrow */
+    GPtrArray *dropped; /* names removed from `engines` that the last row may still borrow */
 };
 
 wb_lease_grants_t *wb_lease_grants_create(int64_t quiet_ms) {
@@ -78,7 +78,7 @@
     }
     for (guint i = 0; i < row->granted_count; i++) {
         wb_grant_t *grant = grant_get(grants, row->granted[i]);
-        grant->asked_ms = same ? now_ms : 0;
+        grant->requested_ms = same ? now_ms : 0;
         grant->blocked_ms = same ? 0 : until_ms;
     }
     for (guint i = 0; i < row->inherited_count; i++) {
@@ -95,7 +95,7 @@
 
 int64_t wb_lease_grants_ask(wb_lease_grants_t *grants, const char *engine, int64_t now_ms) {
     wb_grant_t *grant = grant_get(grants, engine);
-    grant->asked_ms = now_ms;
+    grant->requested_ms = now_ms;
     int64_t blocked_ms = wb_lease_grants_blocked_ms(grants, engine, now_ms);
     if (blocked_ms > 0) {
         return blocked_ms;
@@ -109,43 +109,43 @@
     g_hash_table_iter_init(&iter, grants->engines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_grant_t *grant = value;
-        if (grant->asked_ms != 0 && grant->beat == 0) {
+        if (grant->requested_ms != 0 && grant->beat == 0) {
             return TRUE;
         }
     }
     return FALSE;
 }
 
-/* What engine_is_quiet is asked with. */
-typedef struct wb_quiet_scene_t {
+/* Context of engine_expire. */
+typedef struct wb_expiry_context_t {
     wb_lease_grants_t *grants;
     int64_t now_ms;
-} wb_quiet_scene_t;
+} wb_expiry_context_t;
 
-/* Neither this holder nor the one before it can have ordered the engine lately. */
-static gboolean engine_is_quiet(gpointer name, gpointer value, gpointer context) {
+/* Drops an engine that neither this holder nor the previous one can have ordered recently. */
+static gboolean engine_expire(gpointer name, gpointer value, gpointer context) {
     const wb_grant_t *grant = value;
-    wb_quiet_scene_t *scene = context;
-    gboolean asked =
-        grant->asked_ms != 0 && scene->now_ms - grant->asked_ms < scene->grants->quiet_ms;
-    if (asked || scene->now_ms < grant->blocked_ms) {
+    wb_expiry_context_t *data = context;
+    gboolean recently_requested =
+        grant->requested_ms != 0 && data->now_ms - grant->requested_ms < data->grants->quiet_ms;
+    if (recently_requested || data->now_ms < grant->blocked_ms) {
         return FALSE;
     }
-    g_ptr_array_add(scene->grants->dropped, name);
+    g_ptr_array_add(data->grants->dropped, name);
     return TRUE;
 }
 
 void wb_lease_grants_write(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms) {
     names_clear(grants);
-    wb_quiet_scene_t scene = {grants, now_ms};
-    g_hash_table_foreach_remove(grants->engines, engine_is_quiet, &scene);
+    wb_expiry_context_t data = {grants, now_ms};
+    g_hash_table_foreach_remove(grants->engines, engine_expire, &data);
     GHashTableIter iter;
     gpointer name;
     gpointer value;
     g_hash_table_iter_init(&iter, grants->engines);
     while (g_hash_table_iter_next(&iter, &name, &value)) {
         wb_grant_t *grant = value;
-        if (grant->asked_ms != 0 && grant->beat == 0) {
+        if (grant->requested_ms != 0 && grant->beat == 0) {
             grant->beat = row->beat;
         }
         if (now_ms < grant->blocked_ms) {
@@ -156,7 +156,7 @@
     }
     row->grants_known = TRUE;
     row->any_granted =
-        now_ms < grants->all_blocked_ms || g_hash_table_size(grants->engines) > NAMES_LIMIT;
+        now_ms < grants->all_blocked_ms || g_hash_table_size(grants->engines) > MAX_NAMES;
     row->granted = row->any_granted ? NULL : (char **)grants->granted->pdata;
     row->granted_count = row->any_granted ? 0 : grants->granted->len;
     row->inherited = row->any_granted ? NULL : (char **)grants->inherited->pdata;
