--- a/src/control/demand_book.c
+++ b/src/control/demand_book.c
@@ -1,41 +1,41 @@
-/* What all gateways ask for, by model and adapter. */
+/* Aggregates the demand that gateways report, per model and adapter. */
 #include "control/demand_book.h"
 
 #include <math.h>
 #include <string.h>
 
-#define DEMAND_LIFE_MS 2000
-/* Rates are averages over about so long. */
-#define RATE_TIME_S 5.0
-#define RECENT_TIME_S 1.5
-#define WB_USAGE_LIFE_MS 30000
+#define REPORT_TTL_MS 2000
+/* Time constants of the exponential decay of rates. */
+#define RATE_TIME_CONSTANT_S 5.0
+#define RECENT_TIME_CONSTANT_S 1.5
+#define USAGE_TTL_MS 30000
 
-/* What one node said, and when. */
+/* The last report of a gateway's node. */
 typedef struct wb_node_report_t {
     wb_wire_message message;
-    int64_t at_ms;
+    int64_t received_ms;
 } wb_node_report_t;
 
 struct wb_demand_book_t {
-    GHashTable *demands; /* node -> wb_node_report_t */
+    GHashTable *reports; /* node -> wb_node_report_t */
     GHashTable *usages;  /* SERVICE/MODEL/ADAPTER -> wb_usage_t */
 };
 
-static void node_demand_free(gpointer data) {
-    wb_node_report_t *demand = data;
-    wb_message_clear(&demand->message);
-    g_free(demand);
+static void node_report_free(gpointer data) {
+    wb_node_report_t *report = data;
+    wb_message_clear(&report->message);
+    g_free(report);
 }
 
 wb_demand_book_t *wb_demand_book_create(void) {
     wb_demand_book_t *stats = g_new0(wb_demand_book_t, 1);
-    stats->demands = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_demand_free);
+    stats->reports = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_report_free);
     stats->usages = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return stats;
 }
 
 void wb_demand_book_free(wb_demand_book_t *stats) {
-    g_hash_table_unref(stats->demands);
+    g_hash_table_unref(stats->reports);
     g_hash_table_unref(stats->usages);
     g_free(stats);
 }
@@ -64,61 +64,63 @@
 }
 
 static void usage_decay(wb_usage_t *usage, int64_t now_ms) {
-    double passed_s = (double)(now_ms - usage->decayed_ms) / 1000.0;
-    double kept = exp(-passed_s / RATE_TIME_S);
-    double recent_kept = exp(-passed_s / RECENT_TIME_S);
-    usage->use.rate_per_s *= kept;
-    usage->use.work_per_s *= kept;
-    usage->use.adapter_rate_per_s *= kept;
-    usage->use.recent_rate_per_s *= recent_kept;
-    usage->use.recent_work_per_s *= recent_kept;
+    double elapsed_s = (double)(now_ms - usage->decayed_ms) / 1000.0;
+    double factor = exp(-elapsed_s / RATE_TIME_CONSTANT_S);
+    double recent_factor = exp(-elapsed_s / RECENT_TIME_CONSTANT_S);
+    usage->use.rate_per_s *= factor;
+    usage->use.work_per_s *= factor;
+    usage->use.adapter_rate_per_s *= factor;
+    usage->use.recent_rate_per_s *= recent_factor;
+    usage->use.recent_work_per_s *= recent_factor;
     usage->decayed_ms = now_ms;
 }
 
-static void usage_arrivals(wb_usage_t *usage, unsigned arrivals, uint64_t work, int64_t now_ms) {
+static void usage_add_arrivals(wb_usage_t *usage, unsigned arrivals, uint64_t work,
+                               int64_t now_ms) {
     usage_decay(usage, now_ms);
-    usage->use.rate_per_s += arrivals / RATE_TIME_S;
-    usage->use.work_per_s += (double)work / RATE_TIME_S;
-    usage->use.recent_rate_per_s += arrivals / RECENT_TIME_S;
-    usage->use.recent_work_per_s += (double)work / RECENT_TIME_S;
+    usage->use.rate_per_s += arrivals / RATE_TIME_CONSTANT_S;
+    usage->use.work_per_s += (double)work / RATE_TIME_CONSTANT_S;
+    usage->use.recent_rate_per_s += arrivals / RECENT_TIME_CONSTANT_S;
+    usage->use.recent_work_per_s += (double)work / RECENT_TIME_CONSTANT_S;
     if (arrivals > 0)
         usage->last_used_ms = now_ms;
 }
 
-gboolean wb_demand_book_take(wb_demand_book_t *stats, const wb_wire_demand *demand, int64_t now_ms) {
-    wb_node_report_t *kept = g_new0(wb_node_report_t, 1);
-    kept->at_ms = now_ms;
-    /* A copy by way of its bytes: the message belongs to its link. */
+gboolean wb_demand_book_take(wb_demand_book_t *stats, const wb_wire_demand *demand,
+                             int64_t now_ms) {
+    wb_node_report_t *report = g_new0(wb_node_report_t, 1);
+    report->received_ms = now_ms;
+    /* The message belongs to its link, so it is copied by encoding and decoding it. */
     wb_wire_message source = {.kind = WB_WIRE_DEMAND};
     source.wb_wire_message_u.demand = *demand;
     g_autoptr(GByteArray) bytes = g_byte_array_new();
     wb_error_t error;
     if (wb_message_encode(&source, bytes, &error) != APR_SUCCESS ||
         wb_message_decode(bytes->data + sizeof(uint32_t), bytes->len - sizeof(uint32_t),
-                          &kept->message, &error) != APR_SUCCESS) {
-        g_free(kept);
+                          &report->message, &error) != APR_SUCCESS) {
+        g_free(report);
         return FALSE;
     }
-    g_hash_table_replace(stats->demands, g_strdup(demand->node), kept);
-    gboolean waits = FALSE;
+    g_hash_table_replace(stats->reports, g_strdup(demand->node), report);
+    gboolean has_waiting = FALSE;
     for (guint i = 0; i < demand->entries.entries_len; i++) {
         const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
         wb_usage_t *model = wb_demand_book_get(stats, entry->service, entry->model, "", now_ms);
-        usage_arrivals(model, entry->arrivals, entry->work, now_ms);
+        usage_add_arrivals(model, entry->arrivals, entry->work, now_ms);
         if (model->use.replicas == 0)
             model->missed_requests += entry->arrivals;
         if (*entry->adapter != '\0') {
-            usage_arrivals(
+            usage_add_arrivals(
                 wb_demand_book_get(stats, entry->service, entry->model, entry->adapter, now_ms),
                 entry->arrivals, 0, now_ms);
-            model->use.adapter_rate_per_s += entry->arrivals / RATE_TIME_S;
+            model->use.adapter_rate_per_s += entry->arrivals / RATE_TIME_CONSTANT_S;
         }
-        waits |= entry->waiting > 0;
+        has_waiting |= entry->waiting > 0;
     }
-    return waits;
+    return has_waiting;
 }
 
-static void usages_clear(wb_demand_book_t *stats) {
+static void usages_reset(wb_demand_book_t *stats) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, stats->usages);
@@ -135,34 +137,34 @@
     }
 }
 
-static void entry_count(wb_usage_t *usage, const wb_wire_demand_entry *entry, gboolean waits) {
+static void usage_add_entry(wb_usage_t *usage, const wb_wire_demand_entry *entry,
+                            gboolean count_waiting) {
     usage->use.running += entry->running;
-    if (!waits || entry->waiting == 0)
+    if (!count_waiting || entry->waiting == 0)
         return;
     usage->use.waiting += entry->waiting;
     usage->time_left_ms = MIN(usage->time_left_ms, entry->time_left_ms);
 }
 
-/* Adds up what all nodes said lately. */
 void wb_demand_book_count(wb_demand_book_t *stats, int64_t now_ms) {
-    usages_clear(stats);
+    usages_reset(stats);
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, stats->demands);
+    g_hash_table_iter_init(&iter, stats->reports);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const wb_node_report_t *kept = value;
-        if (now_ms - kept->at_ms > DEMAND_LIFE_MS) {
+        const wb_node_report_t *report = value;
+        if (now_ms - report->received_ms > REPORT_TTL_MS) {
             g_hash_table_iter_remove(&iter);
             continue;
         }
-        const wb_wire_demand *demand = &kept->message.wb_wire_message_u.demand;
+        const wb_wire_demand *demand = &report->message.wb_wire_message_u.demand;
         for (guint i = 0; i < demand->entries.entries_len; i++) {
             const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
             wb_usage_t *model = wb_demand_book_get(stats, entry->service, entry->model, "", now_ms);
-            entry_count(model, entry, *entry->adapter == '\0');
+            usage_add_entry(model, entry, *entry->adapter == '\0');
             if (*entry->adapter == '\0')
                 continue;
-            entry_count(
+            usage_add_entry(
                 wb_demand_book_get(stats, entry->service, entry->model, entry->adapter, now_ms),
                 entry, TRUE);
             model->use.waiting += entry->waiting;
@@ -172,18 +174,18 @@
     }
 }
 
-static gboolean usage_is_old(gpointer key, gpointer value, gpointer context) {
+static gboolean usage_is_expired(gpointer key, gpointer value, gpointer context) {
     (void)key;
     const wb_usage_t *usage = value;
     int64_t now_ms = *(int64_t *)context;
     return usage->use.waiting == 0 && usage->use.running == 0 &&
-           now_ms - usage->last_used_ms > WB_USAGE_LIFE_MS;
+           now_ms - usage->last_used_ms > USAGE_TTL_MS;
 }
 
 void wb_demand_book_age(wb_demand_book_t *stats, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_foreach_remove(stats->usages, usage_is_old, &now_ms);
+    g_hash_table_foreach_remove(stats->usages, usage_is_expired, &now_ms);
     g_hash_table_iter_init(&iter, stats->usages);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_usage_t *usage = value;
@@ -199,7 +201,7 @@
                            const char *adapter) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, stats->demands);
+    g_hash_table_iter_init(&iter, stats->reports);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_wire_demand *demand = &((wb_node_report_t *)value)->message.wb_wire_message_u.demand;
         for (guint i = 0; i < demand->entries.entries_len; i++) {
@@ -231,7 +233,7 @@
                                  void *context) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, stats->demands);
+    g_hash_table_iter_init(&iter, stats->reports);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_wire_demand *demand =
             &((wb_node_report_t *)value)->message.wb_wire_message_u.demand;
--- a/src/control/demand_book.h
+++ b/src/control/demand_book.h
@@ -1,9 +1,10 @@
 /**
  * @file demand_book.h
- * @brief What all gateways ask for, by model and adapter: what they said last, and rates of
- * arrivals.
+ * @brief Aggregates the demand that gateways report, per model and adapter: the last report of each
+ * gateway, and decayed arrival rates.
  *
- * Pure but for the copies it keeps: it is told the time.
+ * Pure: the time is passed in, in ms of the monotonic clock; rates are per second. Keeps copies of
+ * the reports. A report that can't be copied is ignored; nothing else fails.
  */
 #ifndef WICKBRIDGE_DEMAND_BOOK_H
 #define WICKBRIDGE_DEMAND_BOOK_H
@@ -12,40 +13,41 @@
 
 #include "wickbridge/message.h"
 
-/** A model's or adapter's use, kept between messages. */
+/** Demand for a model or adapter, kept between reports. */
 typedef struct wb_usage_t {
     wb_model_use_t use;
-    int64_t decayed_ms;      /**< when the rates were last decayed */
-    int64_t waiting_since_ms;     /**< since when it is waited for; 0: it isn't */
-    int64_t last_used_ms;       /**< when it was last asked for */
-    unsigned time_left_ms; /**< of the tightest that waits */
-    unsigned missed_requests;       /**< requests for it since no engine holds it */
-    int64_t announced_ready_ms; /**< steady time for which gateways expect it; 0: they weren't told */
+    int64_t decayed_ms;         /**< when the rates were last decayed */
+    int64_t waiting_since_ms;   /**< when requests began to wait for it; 0: none wait */
+    int64_t last_used_ms;       /**< when the last request for it arrived */
+    unsigned time_left_ms;      /**< minimum over the waiting requests until the client times out */
+    unsigned missed_requests;   /**< requests for it that arrived while no engine held it */
+    int64_t announced_ready_ms; /**< time at which gateways expect it, by the last load estimate; 0:
+                                   none was sent */
 } wb_usage_t;
 
 typedef struct wb_demand_book_t wb_demand_book_t;
 
 wb_demand_book_t *wb_demand_book_create(void);
 void wb_demand_book_free(wb_demand_book_t *stats);
-/** A gateway's message; it replaces what that gateway said before. @return TRUE when someone waits
- */
+/** Take a gateway's report, which replaces its last one. @return TRUE when requests wait in it */
 gboolean wb_demand_book_take(wb_demand_book_t *stats, const wb_wire_demand *demand, int64_t now_ms);
-/** Add up what all gateways said lately; replicas and loads are set to none, for the caller to
- * count. */
+/** Sum up all recent reports. Replicas and loads are set to 0, for the caller to count. */
 void wb_demand_book_count(wb_demand_book_t *stats, int64_t now_ms);
-/** Let rates decay, note since when models are waited for, forget what isn't asked for any more. */
+/** Decay rates, note since when models are waited for, and drop entries that are no longer used. */
 void wb_demand_book_age(wb_demand_book_t *stats, int64_t now_ms);
-/** @return the use of a model (adapter "") or adapter, or NULL */
+/** @return the demand for a model (adapter "") or adapter, owned by the stats, or NULL */
 wb_usage_t *wb_demand_book_find(const wb_demand_book_t *stats, const char *service,
                                 const char *model, const char *adapter);
-/** As wb_demand_book_find, made if it isn't there. */
+/** As the lookup above; creates the entry when there is none. */
 wb_usage_t *wb_demand_book_get(wb_demand_book_t *stats, const char *service, const char *model,
                                const char *adapter, int64_t now_ms);
-/** Who waited for a model or adapter is served now; gateways say so if someone still waits. */
+/** Count requests that wait for a model or adapter as running, as it is loaded now. A gateway's
+ * next report replaces this. */
 void wb_demand_book_served(wb_demand_book_t *stats, const char *service, const char *model,
                            const char *adapter);
+/** @return TRUE when requests wait for any model, by the last sum */
 gboolean wb_demand_book_someone_waits(const wb_demand_book_t *stats);
-/** Call for each adapter that someone waits for, once a gateway. */
+/** Call `visit` for each adapter that requests wait for, once per gateway. */
 void wb_demand_book_each_adapter(const wb_demand_book_t *stats, const char *service,
                                  void (*visit)(const wb_wire_demand_entry *entry, void *context),
                                  void *context);
--- a/src/control/load_faults.c
+++ b/src/control/load_faults.c
@@ -1,14 +1,14 @@
-/* Models whose loads crash engines. */
+/* Exponential backoff for models whose loads crash engines. */
 #include "control/load_faults.h"
 
 typedef struct wb_load_fault_t {
-    guint engines; /* that ended in a row */
-    int64_t pause_ms;
+    guint count; /* crashes in a row */
+    int64_t backoff_ms;
     int64_t until_ms;
 } wb_load_fault_t;
 
 struct wb_load_faults_t {
-    GHashTable *models; /* SERVICE/MODEL -> wb_load_fault_t; few, and of the configuration */
+    GHashTable *models; /* SERVICE/MODEL -> wb_load_fault_t; bounded by the configured models */
 };
 
 wb_load_faults_t *wb_load_faults_create(void) {
@@ -22,32 +22,32 @@
     g_free(faults);
 }
 
-static char *key_of(const char *service, const char *model) {
+static char *model_key(const char *service, const char *model) {
     return g_strjoin("/", service, model, NULL);
 }
 
 guint wb_load_faults_crashed(wb_load_faults_t *faults, const char *service, const char *model,
                              int64_t now_ms) {
-    g_autofree char *key = key_of(service, model);
-    wb_load_fault_t *fault = g_hash_table_lookup(faults->models, key);
-    if (fault == NULL) {
-        fault = g_new0(wb_load_fault_t, 1);
-        g_hash_table_insert(faults->models, g_steal_pointer(&key), fault);
+    g_autofree char *key = model_key(service, model);
+    wb_load_fault_t *crashes = g_hash_table_lookup(faults->models, key);
+    if (crashes == NULL) {
+        crashes = g_new0(wb_load_fault_t, 1);
+        g_hash_table_insert(faults->models, g_steal_pointer(&key), crashes);
     }
-    fault->engines++;
-    if (fault->engines >= WB_LOAD_FAULTS_MOST) {
-        fault->pause_ms =
-            CLAMP(2 * fault->pause_ms, WB_LOAD_FAULTS_PAUSE_MS, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
-        fault->until_ms = now_ms + fault->pause_ms;
+    crashes->count++;
+    if (crashes->count >= WB_LOAD_FAULTS_MOST) {
+        crashes->backoff_ms =
+            CLAMP(2 * crashes->backoff_ms, WB_LOAD_FAULTS_PAUSE_MS, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
+        crashes->until_ms = now_ms + crashes->backoff_ms;
     }
-    return fault->engines;
+    return crashes->count;
 }
 
 void wb_load_faults_loaded(wb_load_faults_t *faults, const char *service, const char *model) {
     if (!wb_load_faults_any(faults)) {
         return;
     }
-    g_autofree char *key = key_of(service, model);
+    g_autofree char *key = model_key(service, model);
     g_hash_table_remove(faults->models, key);
 }
 
@@ -60,7 +60,7 @@
     if (!wb_load_faults_any(faults)) {
         return 0;
     }
-    g_autofree char *key = key_of(service, model);
-    const wb_load_fault_t *fault = g_hash_table_lookup(faults->models, key);
-    return fault != NULL ? MAX(fault->until_ms - now_ms, 0) : 0;
+    g_autofree char *key = model_key(service, model);
+    const wb_load_fault_t *crashes = g_hash_table_lookup(faults->models, key);
+    return crashes != NULL ? MAX(crashes->until_ms - now_ms, 0) : 0;
 }
--- a/src/control/load_faults.h
+++ b/src/control/load_faults.h
@@ -1,14 +1,16 @@
 /**
  * @file load_faults.h
- * @brief Models whose loads crash the engines that are ordered to load them.
+ * @brief Exponential backoff for models whose loads crash engines.
  *
- * Damaged weights, or weights that an engine's software doesn't bear, end each engine that loads
- * them, with all that it runs; whoever waits for the model would have it ordered at the next one.
- * After WB_LOAD_FAULTS_MOST engines in a row a model isn't ordered for a while; the first load
- * after that decides. A load that ends well forgets all.
+ * Damaged weights, or weights that the engine's software can't handle, end each engine that loads
+ * them and all requests that run on it; while requests wait for the model, the controller would
+ * order it on one engine after the other. Once WB_LOAD_FAULTS_MOST engines in a row have crashed,
+ * the model isn't loaded until a backoff has passed; another crash after that doubles the backoff,
+ * a successful load resets it.
  *
- * Pure: the time is passed in. The holder of the lease keeps it; a new holder begins anew, as an
- * engine may have ended for another reason.
+ * Pure: the time is passed in, in ms of the monotonic clock. Nothing here fails. The state belongs
+ * to the lease holder; a new holder starts without it, as an engine may have ended for another
+ * reason.
  */
 #ifndef WICKBRIDGE_LOAD_FAULTS_H
 #define WICKBRIDGE_LOAD_FAULTS_H
@@ -16,10 +18,12 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Engines that must have ended in a row, as for requests (poison_book.h). */
+/** Crashes in a row before a model's loads back off; the same number as for poison requests. */
 #define WB_LOAD_FAULTS_MOST 3
-/** A minute, then twice that and so on. It is what callers of a sound model lose when three engines
- * that loaded it ended for other reasons; a damaged one costs an engine after each pause. */
+/** First backoff, which doubles up to the limit. A sound model is unavailable for this time if
+ * three engines that loaded it ended for other reasons; a damaged one costs an engine after each
+ * backoff.
+ */
 #define WB_LOAD_FAULTS_PAUSE_MS (60 * 1000)
 #define WB_LOAD_FAULTS_PAUSE_LIMIT_MS (16 * 60 * 1000)
 
@@ -27,14 +31,14 @@
 
 wb_load_faults_t *wb_load_faults_create(void);
 void wb_load_faults_free(wb_load_faults_t *faults);
-/** An engine ended while it loaded a model. @return engines in a row so far */
+/** An engine ended while it loaded a model. @return crashes in a row so far */
 guint wb_load_faults_crashed(wb_load_faults_t *faults, const char *service, const char *model,
                              int64_t now_ms);
-/** A load of the model ended well. */
+/** A load of the model succeeded. */
 void wb_load_faults_loaded(wb_load_faults_t *faults, const char *service, const char *model);
-/** @return TRUE when engines have ended under loads lately: else nothing is paused */
+/** @return TRUE when any model has crashed engines since its last successful load */
 gboolean wb_load_faults_any(const wb_load_faults_t *faults);
-/** @return ms for which the model isn't to be loaded; 0: it may be */
+/** @return ms for which the model must not be loaded; 0: it may be */
 int64_t wb_load_faults_paused_ms(const wb_load_faults_t *faults, const char *service,
                                  const char *model, int64_t now_ms);
 
--- a/src/control/load_pace.c
+++ b/src/control/load_pace.c
@@ -1,41 +1,40 @@
-/* How many loads from the weight store are worth having under way at once. */
+/* Adaptive limit on concurrent loads from the weight store. */
 #include "control/load_pace.h"
 
 #include <math.h>
 
-/* Before anything is known. */
-#define FIRST_LIMIT 6.0
-/* A load that takes longer comes too late for nearly all who wait as it begins: callers of streams
- * leave after four targets, 8 s for one of 2 s. It is for those who come later, so the first one
- * is to come as soon as it can: six at once took 30 s each where two are served at full speed in
- * 10 s. */
-#define PATIENCE_MS 8000
-/* Times what a load takes alone: below the first it was timely, above the second it was held up. */
-#define TIMELY 1.25
-#define SLOW 1.5
+/* Limit until the first load has ended. */
+#define INITIAL_LIMIT 6.0
+/* Time after which nearly all clients that wait when a load starts have timed out. Such a load
+ * serves only later requests, so the first one should not be slowed down by others. */
+#define CLIENT_TIMEOUT_MS 8000
+/* Ratio of a load's time to its nominal time: below the first the load was fast, above the second
+ * it was slowed down by others. */
+#define FAST_RATIO 1.25
+#define SLOW_RATIO 1.5
 
 gboolean wb_load_pace_is_late(int64_t nominal_ms) {
-    return nominal_ms > PATIENCE_MS;
+    return nominal_ms > CLIENT_TIMEOUT_MS;
 }
 
-unsigned wb_load_pace_limit(const wb_load_pace_t *pace, int64_t nominal_ms) {
-    if (pace->limit > 0) {
-        return (unsigned)MAX(pace->limit, 1);
+unsigned wb_load_pace_limit(const wb_load_pace_t *concurrency, int64_t nominal_ms) {
+    if (concurrency->limit > 0) {
+        return (unsigned)MAX(concurrency->limit, 1);
     }
-    return wb_load_pace_is_late(nominal_ms) ? 1 : (unsigned)FIRST_LIMIT;
+    return wb_load_pace_is_late(nominal_ms) ? 1 : (unsigned)INITIAL_LIMIT;
 }
 
-void wb_load_pace_note(wb_load_pace_t *pace, unsigned at_once, int64_t took_ms,
+void wb_load_pace_note(wb_load_pace_t *concurrency, unsigned concurrent, int64_t took_ms,
                        int64_t nominal_ms) {
-    if (at_once == 0 || took_ms <= 0 || nominal_ms <= 0) {
+    if (concurrent == 0 || took_ms <= 0 || nominal_ms <= 0) {
         return;
     }
-    double limit = wb_load_pace_limit(pace, nominal_ms);
-    double times = (double)took_ms / (double)nominal_ms;
-    if (times < TIMELY && at_once >= limit) {
+    double limit = wb_load_pace_limit(concurrency, nominal_ms);
+    double slowdown = (double)took_ms / (double)nominal_ms;
+    if (slowdown < FAST_RATIO && concurrent >= limit) {
         limit += 1;
-    } else if (times > SLOW) {
-        limit = MIN(limit, ceil(at_once / times));
+    } else if (slowdown > SLOW_RATIO) {
+        limit = MIN(limit, ceil(concurrent / slowdown));
     }
-    pace->limit = limit;
+    concurrency->limit = limit;
 }
--- a/src/control/load_pace.h
+++ b/src/control/load_pace.h
@@ -1,12 +1,14 @@
 /**
  * @file load_pace.h
- * @brief How many loads from the weight store are worth having under way at once. Pure.
+ * @brief Adaptive limit on concurrent loads from the weight store.
  *
- * Past some number, which nobody tells, each load takes longer by as much as there are more: no
- * more models arrive, all arrive later, and every engine takes no other order meanwhile. The number
- * is learnt from how long loads take: timely ones raise the limit by one, slow ones cut it to what
- * their time shows. A wrong number is found out only when loads have ended, so where they take
- * longer than any caller waits it begins with one.
+ * Beyond some number, which the store doesn't report, concurrent loads only slow each other down:
+ * no more models arrive, each arrives later, and every loading engine takes no other order
+ * meanwhile. The limit is learned from the times of loads: fast ones raise it by one, slow ones cut
+ * it to the concurrency that their time implies. A wrong limit shows only when loads have ended, so
+ * where a load takes longer than clients wait, the limit starts at one.
+ *
+ * Pure; times are in ms. Nothing here fails.
  */
 #ifndef WICKBRIDGE_LOAD_PACE_H
 #define WICKBRIDGE_LOAD_PACE_H
@@ -15,24 +17,26 @@
 #include <stdint.h>
 
 typedef struct wb_load_pace_t {
-    double limit; /**< 0: nothing is known yet */
+    double limit; /**< 0: no load has ended yet */
 } wb_load_pace_t;
 
-/** @return TRUE when a load that takes so long comes too late for nearly all who wait for it */
+/** @return TRUE when a load of this time outlasts the timeouts of nearly all clients that wait for
+ * it */
 gboolean wb_load_pace_is_late(int64_t nominal_ms);
 
 /**
- * @param nominal_ms what a load takes alone
- * @return most loads that may be under way; at least one
+ * @param nominal_ms time of a load without other loads
+ * @return maximum number of loads under way; at least 1
  */
-unsigned wb_load_pace_limit(const wb_load_pace_t *pace, int64_t nominal_ms);
+unsigned wb_load_pace_limit(const wb_load_pace_t *concurrency, int64_t nominal_ms);
 
 /**
- * A load has ended.
- * @param at_once    loads that were under way when it began, with it
- * @param took_ms    from its order until it was seen done
- * @param nominal_ms what it takes alone
+ * Record a load that has ended.
+ * @param concurrent loads that were under way when it started, including it
+ * @param took_ms    time from its order until it was seen to be complete
+ * @param nominal_ms time of a load without other loads
  */
-void wb_load_pace_note(wb_load_pace_t *pace, unsigned at_once, int64_t took_ms, int64_t nominal_ms);
+void wb_load_pace_note(wb_load_pace_t *concurrency, unsigned concurrent, int64_t took_ms,
+                       int64_t nominal_ms);
 
 #endif
--- a/src/control/load_queue.c
+++ b/src/control/load_queue.c
@@ -1,4 +1,4 @@
-/* In which order missing models are loaded, and when the last in line are there. */
+/* Order and time estimates of the loads of missing models. */
 #include "control/load_queue.h"
 
 gint wb_load_queue_order(gconstpointer left, gconstpointer right) {
@@ -10,9 +10,10 @@
     return a->time_left_ms < b->time_left_ms ? -1 : a->time_left_ms > b->time_left_ms;
 }
 
-int64_t wb_load_queue_ready_ms(unsigned at_once, unsigned under_way, unsigned before,
+int64_t wb_load_queue_ready_ms(unsigned concurrent, unsigned in_progress, unsigned ahead,
                                int64_t load_ms) {
-    /* Loads end one after the other, so many in the time of one. */
-    unsigned must_end = under_way + before + 1 > at_once ? under_way + before + 1 - at_once : 0;
-    return (int64_t)must_end * load_ms / at_once + load_ms;
+    /* On average, `concurrent` loads end per load time. */
+    unsigned loads_to_finish =
+        in_progress + ahead + 1 > concurrent ? in_progress + ahead + 1 - concurrent : 0;
+    return (int64_t)loads_to_finish * load_ms / concurrent + load_ms;
 }
--- a/src/control/load_queue.h
+++ b/src/control/load_queue.h
@@ -1,10 +1,11 @@
 /**
  * @file load_queue.h
- * @brief In which order models that no engine holds are loaded, and when the last in line are
- * there.
+ * @brief The order in which models that no engine holds are loaded, and estimates of when they are
+ * ready.
  *
- * The weight store serves a few loads at once at full speed; when more models are missing than
- * that, the others wait their turn, and callers are told how long. Pure.
+ * The weight store serves a few concurrent loads at full speed. When more models are missing, the
+ * others wait for their turn, and clients get the estimate in Retry-After. Pure; times are in ms.
+ * Nothing here fails.
  */
 #ifndef WICKBRIDGE_LOAD_QUEUE_H
 #define WICKBRIDGE_LOAD_QUEUE_H
@@ -14,26 +15,26 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** A model that no engine holds or is about to load. */
+/** A model that is in demand and that no engine holds or loads. */
 typedef struct wb_missing_model_t {
     const wb_model_spec_t *spec;
-    unsigned missed_requests;       /**< requests for it since it is missing; 0: none yet */
-    unsigned time_left_ms; /**< of the tightest that waits; G_MAXUINT: nobody does */
+    unsigned missed_requests; /**< requests for it that arrived while no engine held it */
+    unsigned time_left_ms;    /**< minimum over the waiting requests until the client times out;
+                                 G_MAXUINT: none wait */
 } wb_missing_model_t;
 
-/** Order of loading: most missed_requests first, then by the time left to those that wait. For
- * g_array_sort. */
+/** GCompareFunc for g_array_sort: most missed requests first, then least time left. */
 gint wb_load_queue_order(gconstpointer left, gconstpointer right);
 
 /**
- * When a model that waits for its turn at the weight store should be there.
- * @param at_once   loads that the store serves at once at full speed, 1 or more
- * @param under_way loads that it serves now
- * @param before    models that wait before this one
- * @param load_ms   time of a load at full speed
+ * Estimate when a model that waits for the weight store will be loaded.
+ * @param concurrent  loads that the store serves concurrently at full speed, at least 1
+ * @param in_progress loads under way
+ * @param ahead       models that are loaded before this one
+ * @param load_ms     time of a load at full speed
  * @return ms from now
  */
-int64_t wb_load_queue_ready_ms(unsigned at_once, unsigned under_way, unsigned before,
+int64_t wb_load_queue_ready_ms(unsigned concurrent, unsigned in_progress, unsigned ahead,
                                int64_t load_ms);
 
 #endif
--- a/src/control/store_turns.h
+++ b/src/control/store_turns.h
@@ -1,13 +1,14 @@
 /**
  * @file store_turns.h
- * @brief Who loads next from a slow weight store: a model that no engine holds, or one more replica
- * of a busy one.
+ * @brief Alternates loads from a slow weight store between missing models and replicas of busy
+ * ones.
  *
- * Where a load takes longer than those wait who ask for it, it is for those who come later in
- * either case, so what counts is how much these gain. A missing model that waits is there first,
- * every time; a busy model with one slow engine, at which nine of ten answers were late, never got
- * its second. So they take fairness while the replica gains more: no kind is put off by more than one
- * load. Pure.
+ * Where a load takes longer than clients wait, it serves later requests in either case, so what
+ * counts is how much those gain. Without alternation, missing models that are waited for would
+ * always go first, and a busy model would never get another replica. While the pending replica
+ * gains more than the missing model, the two kinds of loads take turns, so neither is delayed by
+ * more than one load. Pure: the time is passed in, in ms of the monotonic clock. Gains are
+ * estimated ms that requests save. Nothing here fails.
  */
 #ifndef WICKBRIDGE_STORE_TURNS_H
 #define WICKBRIDGE_STORE_TURNS_H
@@ -15,25 +16,27 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Zeroed: nothing was loaded. */
+/** Zero-initialize: nothing has been loaded. */
 typedef struct wb_store_turns_t {
-    double wished_ms; /* what the replica gains that only lacks the store */
-    int64_t wished_at_ms;
-    gboolean was_missing; /* the last load was a missing model's */
+    double replica_gain_ms;       /* gain of the pending replica; 0: none is pending */
+    int64_t replica_requested_ms; /* when it was last requested */
+    gboolean last_was_missing;    /* the last load was a missing model's */
 } wb_store_turns_t;
 
-/** A replica would be loaded, had the store room. @param gain_ms what its requests gain */
+/** Request a replica that waits only for the weight store. Of the requests made at the same time
+ * the one with the largest gain counts. */
 void wb_store_turns_wish(wb_store_turns_t *fairness, double gain_ms, int64_t now_ms);
-/** @return TRUE when some replica only lacks the store */
+/** @return TRUE when a replica waits only for the weight store */
 gboolean wb_store_turns_is_wished(const wb_store_turns_t *fairness, int64_t now_ms);
 /**
- * @param gain_ms  what requests for the missing model gain
- * @param load_ms  what a load takes
- * @return FALSE while a replica's turn is next
+ * Check whether a missing model may be loaded from the weight store now.
+ * @param gain_ms gain of the requests for the missing model
+ * @param load_ms time of a load
+ * @return FALSE when it is a replica's turn
  */
-gboolean wb_store_turns_missing_may(const wb_store_turns_t *fairness, double gain_ms, int64_t load_ms,
-                                    int64_t now_ms);
-/** A load from the store was ordered. */
+gboolean wb_store_turns_missing_may(const wb_store_turns_t *fairness, double gain_ms,
+                                    int64_t load_ms, int64_t now_ms);
+/** Record that a load from the weight store was ordered. */
 void wb_store_turns_loaded(wb_store_turns_t *fairness, gboolean is_missing);
 
 #endif
