--- a/src/control/controller_adapters.c
+++ b/src/control/controller_adapters.c
@@ -78,8 +78,7 @@
 void wb_controller_place_adapters(wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot) {
     wb_adapter_context_t data = {controller, snapshot};
-    wb_demand_book_each_adapter(controller->stats, snapshot->service->name, adapter_place,
-                                &data);
+    wb_demand_book_each_adapter(controller->stats, snapshot->service->name, adapter_place, &data);
 }
 
 /* Picks the least recently used adapter. Skips adapters that are being loaded or waited for. */
--- a/src/control/placement.c
+++ b/src/control/placement.c
@@ -159,7 +159,7 @@
 
 /* Cost of evicting a model from an engine with this speed. */
 static double eviction_cost_ms(const wb_placement_snapshot_t *snapshot, const char *name,
-                           double speed) {
+                               double speed) {
     const wb_model_use_t *use = use_find(snapshot, name);
     const wb_model_spec_t *spec = g_hash_table_lookup(snapshot->service->models, name);
     double expected = use->rate_per_s * HORIZON_S;
@@ -275,8 +275,8 @@
 /* Computes the cost of evictions beyond those that loads already pending there need. Returns FALSE
  * when there can't be room for all of them. */
 static gboolean additional_eviction_cost(const wb_placement_snapshot_t *snapshot,
-                              const wb_placement_engine_t *candidate, const wb_model_spec_t *model,
-                              double *cost_ms) {
+                                         const wb_placement_engine_t *candidate,
+                                         const wb_model_spec_t *model, double *cost_ms) {
     double all_ms;
     double speed = speed_or_baseline(candidate->speed);
     double pending_ms = 0;
@@ -389,7 +389,8 @@
     double speed_now = MAX(wb_placement_speed(use), 0.1);
     double speed_then = speed_now + speed_or_baseline(speed);
     double saved_ms = delay_ms(use, speed_now, power) - delay_ms(use, speed_then, power);
-    saved_ms += shared_run_ms(use, engines, speed_now) - shared_run_ms(use, engines + 1, speed_then);
+    saved_ms +=
+        shared_run_ms(use, engines, speed_now) - shared_run_ms(use, engines + 1, speed_then);
     return use->rate_per_s * HORIZON_S * saved_ms;
 }
 
