--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -34,7 +34,7 @@
     wb_load_faults_t *faults;
     int64_t scale_out_ms;     /* when replicas were last considered for busy models */
     int64_t deadline_us;      /* the current decision starts no further placement after this */
-    int64_t next_decision_us; /* messages trigger no decision before this */
+    int64_t next_decision_us; /* neither messages nor the tick trigger a decision before this */
 };
 
 /* controller.c */
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -139,8 +139,8 @@
 /* Checks whether a new report shows the awaited effect of an order. */
 static void awaited_check(wb_engine_orders_t *orders) {
     gboolean has = state_has(orders->state, orders->order_model, "");
-    gboolean settled = !orders->state->busy && (orders->awaited == WB_AWAIT_LOADED ? has : !has);
-    if (!settled) {
+    gboolean is_done = !orders->state->busy && (orders->awaited == WB_AWAIT_LOADED ? has : !has);
+    if (!is_done) {
         gboolean lost = !orders->state->busy && orders->awaited == WB_AWAIT_LOADED &&
                         wb_clock_ms() > orders->load_due_ms + 4 * LOAD_GRACE_MS;
         if (lost)
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -8,8 +8,9 @@
  * accepted order; when it doesn't match what the engine answers, it is read again.
  *
  * Tasks report no errors to the caller: a task that can't be done (the engine doesn't answer,
- * refuses the order, has no room, or takes too long) is dropped with a `task-over` event, and the
- * controller decides again. Times are in ms of the monotonic clock. Threads: the loop's thread.
+ * refuses the order, has no memory left, or takes too long) is dropped with a `task-over` event,
+ * and the controller decides again. Times are in ms of the monotonic clock. Threads: the loop's
+ * thread.
  */
 #ifndef WICKBRIDGE_ENGINE_ORDERS_H
 #define WICKBRIDGE_ENGINE_ORDERS_H
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -26,7 +26,7 @@
     int64_t version_since_ms; /* when this node learned of the version */
     uint64_t own_token;       /* 0: never held by this process */
     uint64_t beat; /* heartbeat counter of the last write; starts at a random value, so that
-                      rows of different processes can be told apart */
+                      rows of different processes differ */
     wb_lease_write_t writes[WRITE_HISTORY];
     int64_t held_until_ms; /* the margin is not yet subtracted */
     int64_t last_write_ms;
--- a/src/control/load_faults.h
+++ b/src/control/load_faults.h
@@ -2,8 +2,8 @@
  * @file load_faults.h
  * @brief Exponential backoff for models whose loads crash engines.
  *
- * Damaged weights, or weights that the engine's software can't handle, end each engine that loads
- * them and all requests that run on it; while requests wait for the model, the controller would
+ * Damaged weights, or weights that the engine's software can't handle, crash each engine that loads
+ * them, with all requests that run on it; while requests wait for the model, the controller would
  * order it on one engine after the other. Once WB_LOAD_FAULTS_MOST engines in a row have crashed,
  * the model isn't loaded until a backoff has passed; another crash after that doubles the backoff,
  * a successful load resets it.
--- a/src/control/placement.c
+++ b/src/control/placement.c
@@ -273,7 +273,7 @@
 }
 
 /* Computes the cost of evictions beyond those that loads already pending there need. Returns FALSE
- * when there can't be room for all of them. */
+ * when they can't all be made to fit. */
 static gboolean additional_eviction_cost(const wb_placement_snapshot_t *snapshot,
                                          const wb_placement_engine_t *candidate,
                                          const wb_model_spec_t *model, double *cost_ms) {
