--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -41,8 +41,7 @@
     int64_t unreachable_until_ms;
     wb_awaited_t awaited;
     int64_t load_due_ms;      /* when the load should be complete */
-    int64_t estimate_sent_ms; /* when gateways last got a new estimate for an overdue load; 0: never
-                               */
+    int64_t estimate_sent_ms; /* of the last estimate for an overdue load; 0: none was sent */
 };
 
 /* engine_orders_late.c */
