--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -4,7 +4,7 @@
  * engines to load and unload models and adapters.
  *
  * An order carries the sequence number that it expects the engine to have, so of two orders with
- * the same number at most one is carried out. An order without an answer is therefore simply sent
+ * the same number at most one is carried out. An order without a response is therefore simply sent
  * again. Calls to engines that fail are retried internally and show in the log and in metrics;
  * nothing here returns an error. Times are in ms of the monotonic clock (wb_clock_ms). Threads: the
  * loop's thread.
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -283,7 +283,7 @@
              orders->order_model, orders->order_adapter, (long long)orders->order.expected_sequence,
              (unsigned long long)orders->order.token, result->status, (int)result->outcome);
     if (result->outcome == WB_HTTP_NOT_SENT) {
-        /* An earlier attempt, whose answer was lost, may have started the load. */
+        /* An earlier attempt, whose response was lost, may have started the load. */
         gboolean may_load = orders->resends > 0 && orders->order.kind == WB_ORDER_LOAD &&
                             *orders->order_adapter == '\0';
         if (result->refused && may_load)
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -5,9 +5,9 @@
  *
  * A task asks for a model or adapter on the engine; an order is one load or unload command that is
  * sent to it. One order at a time. The engine's state is read once and then updated with each
- * accepted order; when it doesn't match what the engine answers, it is read again.
+ * accepted order; when it doesn't match the engine's response, it is read again.
  *
- * Tasks report no errors to the caller: a task that can't be done (the engine doesn't answer,
+ * Tasks report no errors to the caller: a task that can't be done (the engine doesn't respond,
  * refuses the order, has no memory left, or takes too long) is dropped with a `task-over` event,
  * and the controller decides again. Times are in ms of the monotonic clock. Threads: the loop's
  * thread.
--- a/src/control/table_watch.c
+++ b/src/control/table_watch.c
@@ -331,7 +331,7 @@
     watch->cause = cause_of(watch, now_ms);
     watch->called_ms = now_ms;
     if (watch->state == WB_WATCH_FOLLOWING) {
-        /* Checks and retries need an immediate answer, even if nothing has changed. */
+        /* Checks and retries need an immediate response, even if nothing has changed. */
         gboolean immediately =
             watch->cause == WB_STORE_CAUSE_LOOK || watch->cause == WB_STORE_CAUSE_RETRY;
         int64_t wait_ms = immediately ? 0 : watch->settings.wait_ms;
