--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -77,13 +77,13 @@
                               NULL,
                               NULL};
     apr_status_t status = wb_http_listener_open(edge->loop, edge->settings.listen_callers, &callers,
-                                                &limits, &node->callers, error);
+                                                &limits, &node->client_listener, error);
     if (status == APR_SUCCESS)
         status = wb_http_listener_open(edge->loop, edge->settings.listen_ready, &ready, &limits,
-                                       &node->ready, error);
+                                       &node->ready_listener, error);
     if (status == APR_SUCCESS && *edge->settings.listen_operators != '\0')
         status = wb_http_listener_open(edge->loop, edge->settings.listen_operators, &operators,
-                                       &limits, &node->operators, error);
+                                       &limits, &node->operator_listener, error);
     if (status == APR_SUCCESS)
         status = wb_link_listen(edge->loop, edge->settings.listen_nodes, &links,
                                 &node->link_counters, &node->link_listener, error);
@@ -92,7 +92,7 @@
 
 /* Gives the lease up, answers what is left, and ends the process. */
 static void stop_finish(wb_edge_node_t *node, int64_t now_ms) {
-    if (node->drained)
+    if (node->stopped)
         return;
     if (!node->releasing) {
         node->releasing = TRUE;
@@ -102,7 +102,7 @@
     if (wb_lease_is_owed(node->lease) && now_ms < node->release_until_ms)
         return; /* the lease's last write is under way */
     wb_exchanges_refuse_unanswered(&node->edge);
-    node->drained = TRUE;
+    node->stopped = TRUE;
     wb_event("stopped", ",\"ms\":%lld,\"open\":%u", (long long)(now_ms - node->edge.drain_began_ms),
              g_hash_table_size(node->edge.open));
     wb_event_log_flush();
@@ -113,24 +113,24 @@
  * is read that had come when a look began, however long the loop was held up before. */
 static void stop_look(void *context) {
     wb_edge_node_t *node = context;
-    if (++node->look_rounds <= STOP_READ_ROUNDS) {
+    if (++node->drain_check_rounds <= STOP_READ_ROUNDS) {
         wb_loop_post(node->edge.loop, stop_look, node);
         return;
     }
-    node->look_rounds = 0;
-    if (!node->resting_closed) {
-        node->resting_closed = TRUE;
-        wb_http_listener_close_resting(node->callers);
+    node->drain_check_rounds = 0;
+    if (!node->idle_closed) {
+        node->idle_closed = TRUE;
+        wb_http_listener_close_resting(node->client_listener);
     }
-    if (wb_http_listener_busy(node->callers) > 0)
+    if (wb_http_listener_busy(node->client_listener) > 0)
         return;
-    if (node->refusing) {
+    if (node->listener_stopped) {
         stop_finish(node, wb_clock_ms());
         return;
     }
     /* Who connects from now on is refused by the system; one more look takes up who came before. */
-    node->refusing = TRUE;
-    wb_http_listener_stop(node->callers);
+    node->listener_stopped = TRUE;
+    wb_http_listener_stop(node->client_listener);
     stop_look(node);
 }
 
@@ -145,7 +145,7 @@
         stop_finish(node, now_ms);
         return;
     }
-    if (passed_ms >= STOP_LEAST_MS && node->look_rounds == 0)
+    if (passed_ms >= STOP_LEAST_MS && node->drain_check_rounds == 0)
         stop_look(node);
 }
 
@@ -158,21 +158,21 @@
     wb_edge_node_tick_relay(node, now_ms);
     wb_edge_node_tick_lease(node, now_ms);
     wb_edge_node_tick_link(node, now_ms);
-    wb_edge_node_tick_news(node, now_ms);
-    wb_edge_node_tick_hearing(node, now_ms);
+    wb_edge_node_tick_updates(node, now_ms);
+    wb_edge_node_tick_reach(node, now_ms);
     wb_edge_node_tick_quota(node, now_ms);
     wb_edge_node_tick_poison(node);
     wb_edge_node_tick_pace(node, now_ms);
     wb_edge_node_tick_states(node, now_ms);
     wb_edge_node_tick_announce(node, now_ms);
-    if (now_ms - node->demand_told_ms >= node->edge.settings.demand_interval_ms)
-        wb_edge_node_tell_demand(node);
+    if (now_ms - node->demand_sent_ms >= node->edge.settings.demand_interval_ms)
+        wb_edge_node_send_demand(node);
     if (node->edge.waiting.len > 0) {
         wb_exchanges_retry_waiting(&node->edge);
-        wb_edge_node_hurry(node);
+        wb_edge_node_expedite_engines(node);
     }
-    if (!node->ready_told && wb_edge_node_is_ready(node)) {
-        node->ready_told = TRUE;
+    if (!node->ready_logged && wb_edge_node_is_ready(node)) {
+        node->ready_logged = TRUE;
         wb_event("ready", ",\"catalog\":%lld,\"engines\":%u,\"nodes\":%u",
                  (long long)node->edge.catalog->version,
                  g_hash_table_size(wb_fleet_all(node->edge.fleet)), node->edge.node_count);
@@ -231,7 +231,7 @@
     wb_list_init(&edge->state_news);
     edge->told_engines = g_hash_table_new_full(NULL, NULL, (GDestroyNotify)wb_engine_unref, NULL);
     edge->open = g_hash_table_new(NULL, NULL);
-    edge->on_need = wb_edge_node_need_arose;
+    edge->on_need = wb_edge_node_demand_pending;
     edge->need_context = created;
     edge->controller_view = wb_edge_node_controller_view;
     edge->catalog_age_ms = wb_edge_node_catalog_age_ms;
@@ -242,7 +242,7 @@
     created->directory = wb_edge_node_directory_create(created);
     created->engine_rows =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)wb_table_row_free);
-    edge->engines_known = wb_edge_node_directory_knows;
+    edge->engines_known = wb_edge_node_directory_engines_known;
     created->placements = g_array_new(FALSE, FALSE, sizeof(wb_wire_placement_entry));
     created->placement_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_set_clear_func(created->placements, wb_edge_node_placement_clear);
@@ -252,14 +252,14 @@
     created->quota_book = wb_quota_book_create();
     created->quota_row = g_byte_array_new();
     created->pace_book = wb_pace_book_create(token_ms(settings));
-    created->news_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
+    created->update_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
     apr_status_t status = listeners_open(created, error);
     if (status != APR_SUCCESS)
         return status;
     wb_edge_node_open_lease(created);
-    wb_controller_events_t events = {wb_edge_node_may_act,      wb_edge_node_ask_order,
-                                     wb_edge_node_blocked_ms,   wb_edge_node_tell_news,
-                                     wb_edge_node_states_heard, created};
+    wb_controller_events_t events = {wb_edge_node_may_act,         wb_edge_node_authorize_order,
+                                     wb_edge_node_blocked_ms,      wb_edge_node_publish,
+                                     wb_edge_node_engine_reported, created};
     created->controller =
         wb_controller_create(loop, &edge->settings, dialect, edge->fleet, &edge->metrics, &events);
     wb_edge_node_follow_store(created);
@@ -274,7 +274,7 @@
     if (node->edge.drain_began_ms != 0)
         return;
     node->edge.drain_began_ms = wb_clock_ms();
-    wb_http_listener_drain(node->callers);
+    wb_http_listener_drain(node->client_listener);
     wb_event("stopping", ",\"open\":%u,\"grace_s\":%g", g_hash_table_size(node->edge.open),
              node->edge.settings.stop_grace_s);
 }
@@ -301,7 +301,7 @@
     own->admission = settings->admission;
     own->load_news_ms = settings->load_news_ms;
     own->load_news_bytes_per_s = settings->load_news_bytes_per_s;
-    wb_edge_node_set_paces(node);
+    wb_edge_node_set_poll_policies(node);
     /* What was taken up is the same by now; the rest waits for a start. */
     return wb_settings_differ(&wb_edge_settings_table, own, settings);
 }
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -29,7 +29,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((const wb_node_row_t *)value)->form != WB_WIRE_FORM;
+        count += ((const wb_node_row_t *)value)->protocol_version != WB_WIRE_FORM;
     }
     return count;
 }
@@ -51,7 +51,7 @@
         .evacuated_zones = wb_fleet_closed_zones(edge->fleet),
         .suspected_requests = wb_poison_book_count(edge->poison, WB_POISON_SUSPECT),
         .poison_requests = wb_poison_book_count(edge->poison, WB_POISON_REFUSED),
-        .holds_lease = node->held,
+        .holds_lease = node->lease_held,
         .lease_token = wb_lease_token(node->lease),
         .log_lines_dropped = wb_event_log_dropped(),
     };
@@ -67,7 +67,7 @@
         return json_null();
     return json_pack("{s:s, s:s, s:I, s:b, s:b}", "holder", known->holder, "address",
                      known->address, "token", (json_int_t)known->token, "released", known->released,
-                     "here", node->held);
+                     "here", node->lease_held);
 }
 
 static void status_show(wb_edge_node_t *node, wb_http_connection_t *connection, const char *query) {
@@ -314,7 +314,7 @@
     json_t *body = json_pack("{s:s, s:s, s:s, s:s, s:o}", "node", edge->settings.id, "model", model,
                              "cell", service->name, "owner", lease != NULL ? lease->holder : "none",
                              "gateway", gateway);
-    if (node->held)
+    if (node->lease_held)
         json_object_set_new(body, "decisions", decisions_json(node, service, model));
     json_answer(connection, 200, body);
 }
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -45,12 +45,12 @@
     const wb_announcement_t *announcement = context;
     const wb_edge_node_t *node = announcement->node;
     const wb_lease_row_t *known = wb_lease_known(node->lease);
-    if (!node->held || known == NULL) {
+    if (!node->lease_held || known == NULL) {
         return;
     }
     wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
     wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
-    wb_lease_row_t in_short = wb_edge_node_lease_in_short(known);
+    wb_lease_row_t in_short = wb_edge_node_lease_without_grants(known);
     news->lease = wb_edge_node_lease_to_wire(&in_short);
     news->lease_version = (uint64_t)wb_lease_version(node->lease);
     wb_link_send(link, &message);
@@ -125,7 +125,7 @@
 void wb_edge_node_tick_announce(wb_edge_node_t *node, int64_t now_ms) {
     gboolean all_linked = g_hash_table_size(node->gateways) + 1 >= g_hash_table_size(node->nodes);
     /* In a large fleet there are links for rows of engines, too, which count for nothing here. */
-    if (!node->held || (all_linked && !wb_edge_node_is_large(node))) {
+    if (!node->lease_held || (all_linked && !wb_edge_node_has_large_fleet(node))) {
         g_hash_table_remove_all(node->announcements);
         return;
     }
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -99,13 +99,13 @@
     return directory;
 }
 
-gboolean wb_edge_node_is_large(const wb_edge_node_t *node) {
+gboolean wb_edge_node_has_large_fleet(const wb_edge_node_t *node) {
     return node->directory->state != WB_DIRECTORY_SMALL;
 }
 
 gboolean wb_edge_node_reads_engines(const wb_edge_node_t *node) {
     wb_directory_state_t state = node->directory->state;
-    return state == WB_DIRECTORY_SMALL || state == WB_DIRECTORY_WHOLE;
+    return state == WB_DIRECTORY_SMALL || state == WB_DIRECTORY_READER;
 }
 
 gboolean wb_edge_node_knows_engines(const wb_edge_node_t *node) {
@@ -114,7 +114,7 @@
 }
 
 gboolean wb_edge_node_directory_is_ready(const wb_edge_node_t *node) {
-    return node->directory->state != WB_DIRECTORY_PART || node->directory->told;
+    return node->directory->state != WB_DIRECTORY_SUBSCRIBER || node->directory->told;
 }
 
 static void state_set(wb_directory_t *directory, wb_directory_state_t state, const char *why) {
@@ -135,7 +135,7 @@
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, &value)) {
         const wb_node_row_t *row = value;
-        if (row->form >= 2 && row->address != NULL) {
+        if (row->protocol_version >= 2 && row->address != NULL) {
             wb_table_reader_t one = {id, row->processor_share};
             g_array_append_val(readers, one);
         }
@@ -144,7 +144,7 @@
     return readers;
 }
 
-void wb_edge_node_directory_large(void *context) {
+void wb_edge_node_directory_on_large(void *context) {
     wb_edge_node_t *node = context;
     if (node->directory->state == WB_DIRECTORY_SMALL) {
         state_set(node->directory, WB_DIRECTORY_UNDECIDED, "large");
@@ -153,7 +153,7 @@
 
 /* Reads the table after all. */
 static void whole_begin(wb_directory_t *directory, const char *why) {
-    state_set(directory, WB_DIRECTORY_WHOLE, why);
+    state_set(directory, WB_DIRECTORY_READER, why);
     wb_table_watch_go_on(directory->node->engines_watch);
 }
 
@@ -181,7 +181,7 @@
         whole_begin(directory, "reader");
         return;
     }
-    state_set(directory, WB_DIRECTORY_PART, "weaker");
+    state_set(directory, WB_DIRECTORY_SUBSCRIBER, "weaker");
     wb_table_watch_follow_part(node->engines_watch);
     engines_forget(node);
     directory->lost_since_ms = now_ms;
@@ -302,13 +302,13 @@
 static void link_open(wb_link_t *link, void *context) {
     wb_directory_t *directory = context;
     directory->heard_ms = wb_clock_ms();
-    wb_edge_node_hello_send(directory->node, link);
+    wb_edge_node_handshake_send(directory->node, link);
 }
 
 static void link_message(wb_link_t *link, const wb_wire_message *message, void *context) {
     wb_directory_t *directory = context;
     if (message->kind == WB_WIRE_HELLO) {
-        wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
+        wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
         if (!directory->greeted && wb_link_form(link) >= 2) {
             directory->greeted = TRUE;
             all_ask(directory);
@@ -409,7 +409,7 @@
     if (directory->state == WB_DIRECTORY_UNDECIDED) {
         decide(directory, now_ms);
     }
-    if (directory->state != WB_DIRECTORY_PART) {
+    if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return;
     }
     relay_check(directory, now_ms);
@@ -433,12 +433,12 @@
     return wanted;
 }
 
-gboolean wb_edge_node_directory_knows(const char *service, const char *model, int64_t since_ms,
-                                      void *context) {
+gboolean wb_edge_node_directory_engines_known(const char *service, const char *model,
+                                              int64_t since_ms, void *context) {
     const wb_edge_node_t *node = context;
     wb_directory_t *directory = node->directory;
     int64_t now_ms = wb_clock_ms();
-    if (directory->state != WB_DIRECTORY_PART) {
+    if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return TRUE;
     }
     wb_wanted_t *wanted = wanted_get(directory, service, model);
@@ -455,9 +455,10 @@
     return wanted->answered_ms != 0 || now_ms - since_ms > ANSWER_MS;
 }
 
-gboolean wb_edge_node_directory_news(wb_edge_node_t *node, const wb_wire_placement_entry *entry) {
+gboolean wb_edge_node_directory_placement(wb_edge_node_t *node,
+                                          const wb_wire_placement_entry *entry) {
     wb_directory_t *directory = node->directory;
-    if (directory->state != WB_DIRECTORY_PART) {
+    if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return FALSE;
     }
     /* Whoever waits here for the model needs this engine; others ask when they use it. */
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -18,7 +18,7 @@
     message.wb_wire_message_u.placement.token = wb_lease_token(node->lease);
     message.wb_wire_message_u.placement.entries.entries_len = 1;
     message.wb_wire_message_u.placement.entries.entries_val = &entry;
-    wb_edge_node_tell_gateways(node, &message);
+    wb_edge_node_broadcast(node, &message);
     wb_event("holding-differs",
              ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
              wb_event_text(engine), wb_event_text(names[0]), wb_event_text(names[1]),
@@ -50,7 +50,7 @@
                                     wb_engine_state_t *state) {
     int64_t now_ms = wb_clock_ms();
     gboolean may_differ =
-        node->held && known != NULL &&
+        node->lease_held && known != NULL &&
         (wb_engine_has_news(known) || !wb_engine_state_holds_same(known->state, state));
     if (!may_differ) {
         return wb_fleet_announce(node->edge.fleet, state);
@@ -97,16 +97,16 @@
 static void refused_log(wb_edge_node_t *node, const wb_table_row_t *row, const char *reason) {
     int64_t now_ms = wb_clock_ms();
     node->edge.metrics.engine_rows_refused++;
-    node->rows_refused++;
-    if (now_ms - node->rows_refused_ms < REFUSED_LOG_MS) {
+    node->rejected_rows++;
+    if (now_ms - node->rejected_rows_logged_ms < REFUSED_LOG_MS) {
         return;
     }
     wb_event("engine-row-refused",
              ",\"engine\":\"%s\",\"row_version\":%lld,\"reason\":\"%s\",\"rows\":%u",
              wb_event_text(row->key), (long long)row->version, wb_event_text(reason),
-             node->rows_refused);
-    node->rows_refused_ms = now_ms;
-    node->rows_refused = 0;
+             node->rejected_rows);
+    node->rejected_rows_logged_ms = now_ms;
+    node->rejected_rows = 0;
 }
 
 /* Reads a row. Where engines tell when they started, a row that doesn't is another writer's. */
@@ -114,7 +114,7 @@
     wb_error_t error = {0};
     wb_engine_state_t *state =
         node->edge.dialect->engine_parse(row->key, row->value, row->length, &error);
-    if (state != NULL && state->born_ms == 0 && node->births_told) {
+    if (state != NULL && state->born_ms == 0 && node->starts_reported) {
         wb_error_set(&error, APR_EINVAL, "it doesn't tell when it started");
         wb_engine_state_free(state);
         state = NULL;
@@ -123,7 +123,7 @@
         refused_log(node, row, error.message);
         return NULL;
     }
-    node->births_told = node->births_told || state->born_ms != 0;
+    node->starts_reported = node->starts_reported || state->born_ms != 0;
     return state;
 }
 
@@ -135,20 +135,20 @@
                         wb_fleet_use_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
                                               node->edge.settings.drain_ms, wb_clock_ms()));
     }
-    wb_edge_node_news_add(node, WB_TABLE_ENGINES, row);
+    wb_edge_node_update_add(node, WB_TABLE_ENGINES, row);
 }
 
 static void row_refused(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
     if (known != NULL) {
         engine_take_out(node, known, 0);
-        wb_edge_node_news_add(node, WB_TABLE_ENGINES, row);
+        wb_edge_node_update_add(node, WB_TABLE_ENGINES, row);
     }
 }
 
 static void engine_seen(wb_edge_node_t *node, const wb_engine_t *engine,
                         const wb_table_row_t *row) {
     const wb_engine_state_t *state = engine->state;
-    wb_edge_node_news_add(node, WB_TABLE_ENGINES, row);
+    wb_edge_node_update_add(node, WB_TABLE_ENGINES, row);
     wb_event("engine-seen",
              ",\"engine\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"leaving\":%s,"
              "\"cold_ms\":%lld,\"row_version\":%lld",
@@ -200,6 +200,6 @@
     wb_edge_node_t *node = context;
     wb_exchanges_retry_waiting(&node->edge);
     if (node->edge.waiting.len > 0) {
-        wb_edge_node_hurry(node);
+        wb_edge_node_expedite_engines(node);
     }
 }
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -23,9 +23,9 @@
     gboolean held = wb_lease_is_held(node->lease, wb_clock_ms());
     uint64_t token = wb_lease_token(node->lease);
     const wb_lease_row_t *known = wb_lease_known(node->lease);
-    if (held != node->held) {
-        node->held = held;
-        wb_edge_node_set_paces(node);
+    if (held != node->lease_held) {
+        node->lease_held = held;
+        wb_edge_node_set_poll_policies(node);
         wb_event(held ? "lease-held" : "lease-not-held",
                  ",\"token\":%llu,\"known_holder\":\"%s\",\"known_token\":%llu",
                  (unsigned long long)token, known != NULL ? wb_event_text(known->holder) : "",
@@ -94,7 +94,7 @@
                             .inherited_count = wire->inherited.inherited_len};
 }
 
-wb_lease_row_t wb_edge_node_lease_in_short(const wb_lease_row_t *row) {
+wb_lease_row_t wb_edge_node_lease_without_grants(const wb_lease_row_t *row) {
     wb_lease_row_t in_short = *row;
     in_short.grants_known = FALSE;
     in_short.granted_count = 0;
@@ -155,7 +155,7 @@
  * the holder lost it as well. */
 static gboolean store_answered(const wb_edge_node_t *node) {
     return wb_lease_is_own(node->lease) || wb_lease_known(node->lease) == NULL ||
-           wb_table_watch_known_ms(node->nodes_watch) >= node->news_heard_ms;
+           wb_table_watch_known_ms(node->nodes_watch) >= node->update_received_ms;
 }
 
 /* Among nodes with different processors the strongest try first to take the lease over. */
@@ -182,7 +182,7 @@
 void wb_edge_node_tick_lease(wb_edge_node_t *node, int64_t now_ms) {
     wb_lease_row_t row;
     int64_t expected_version;
-    if (!node->held && wb_edge_node_reads_engines(node)) {
+    if (!node->lease_held && wb_edge_node_reads_engines(node)) {
         spread_set(node);
     }
     if (wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->nodes_watch) &&
@@ -196,7 +196,7 @@
     return wb_lease_is_held(node->lease, wb_clock_ms());
 }
 
-int64_t wb_edge_node_ask_order(const char *engine, void *context) {
+int64_t wb_edge_node_authorize_order(const char *engine, void *context) {
     wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
     int64_t wait_ms = wb_lease_ask_order(node->lease, engine, now_ms);
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -54,7 +54,7 @@
         const wb_wire_placement_entry *entry = &news->entries.entries_val[i];
         wb_engine_t *engine = wb_fleet_find(edge->fleet, entry->engine);
         if (engine == NULL) {
-            if (!wb_edge_node_directory_news(node, entry)) {
+            if (!wb_edge_node_directory_placement(node, entry)) {
                 wb_table_watch_look(node->engines_watch);
             }
             continue;
@@ -75,9 +75,9 @@
     }
 }
 
-void wb_edge_node_tell_news(const wb_wire_message *news, void *context) {
+void wb_edge_node_publish(const wb_wire_message *news, void *context) {
     wb_edge_node_t *node = context;
-    wb_edge_node_tell_gateways(node, news);
+    wb_edge_node_broadcast(node, news);
     if (news->kind == WB_WIRE_LOAD_PLAN)
         plan_take(node, &news->wb_wire_message_u.load_plan);
     else
@@ -92,7 +92,7 @@
 }
 
 /* Tells which form of messages this node reads. Nodes that know no forms pass over it. */
-void wb_edge_node_hello_send(const wb_edge_node_t *node, wb_link_t *link) {
+void wb_edge_node_handshake_send(const wb_edge_node_t *node, wb_link_t *link) {
     wb_wire_message message = {.kind = WB_WIRE_HELLO};
     message.wb_wire_message_u.hello = (wb_wire_hello){.cluster = EDGE_CLUSTER,
                                                       .node = (char *)node->edge.settings.id,
@@ -102,16 +102,16 @@
     wb_link_send(link, &message);
 }
 
-void wb_edge_node_hello_take(wb_link_t *link, const wb_wire_hello *hello) {
+void wb_edge_node_handshake_take(wb_link_t *link, const wb_wire_hello *hello) {
     if (strcmp(hello->cluster, EDGE_CLUSTER) == 0) {
         wb_link_set_form(link, (unsigned)CLAMP(hello->incarnation, 1, WB_WIRE_FORM));
     }
 }
 
 void wb_edge_node_gateway_open(wb_link_t *link, void *context) {
-    wb_edge_node_hello_send(context, link);
+    wb_edge_node_handshake_send(context, link);
     wb_gateway_t *gateway = g_new0(wb_gateway_t, 1);
-    gateway->heard_ms = wb_clock_ms();
+    gateway->received_ms = wb_clock_ms();
     g_hash_table_insert(((wb_edge_node_t *)context)->gateways, link, gateway);
     wb_edge_node_poison_gateway_open(context, link);
     wb_edge_node_pace_gateway_open(context, link);
@@ -120,10 +120,10 @@
 void wb_edge_node_gateway_message(wb_link_t *link, const wb_wire_message *message, void *context) {
     wb_edge_node_t *node = context;
     if (message->kind == WB_WIRE_HELLO)
-        wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
+        wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
     if (message->kind == WB_WIRE_ENGINES_WANT)
-        wb_edge_node_relay_want(node, link, g_hash_table_lookup(node->gateways, link),
-                                &message->wb_wire_message_u.engines_want);
+        wb_edge_node_relay_subscribe(node, link, g_hash_table_lookup(node->gateways, link),
+                                     &message->wb_wire_message_u.engines_want);
     if (message->kind == WB_WIRE_STORE_NEWS)
         wb_edge_node_take_announcement(node, &message->wb_wire_message_u.store_news);
     if (message->kind == WB_WIRE_POISON)
@@ -136,8 +136,8 @@
     wb_gateway_t *gateway = g_hash_table_lookup(node->gateways, link);
     if (gateway->name == NULL)
         gateway->name = g_strdup(demand->node);
-    gateway->heard_ms = wb_clock_ms();
-    gateway->lost = FALSE;
+    gateway->received_ms = wb_clock_ms();
+    gateway->unresponsive = FALSE;
     wb_controller_take_demand(node->controller, demand);
     wb_edge_node_quota_take_report(node, demand);
     wb_edge_node_pace_take_report(node, demand);
@@ -146,16 +146,16 @@
 void wb_edge_node_gateway_close(wb_link_t *link, const char *reason, void *context) {
     (void)reason;
     wb_edge_node_t *node = context;
-    wb_edge_node_quota_lost(node, g_hash_table_lookup(node->gateways, link));
+    wb_edge_node_quota_gateway_lost(node, g_hash_table_lookup(node->gateways, link));
     g_hash_table_remove(node->gateways, link);
 }
 
-gboolean wb_edge_node_is_reported_to(const wb_edge_node_t *node) {
-    return node->held || node->quota_token != 0;
+gboolean wb_edge_node_is_aggregator(const wb_edge_node_t *node) {
+    return node->lease_held || node->quota_token != 0;
 }
 
-void wb_edge_node_tell_demand(wb_edge_node_t *node) {
-    gboolean to_self = wb_edge_node_is_reported_to(node);
+void wb_edge_node_send_demand(wb_edge_node_t *node) {
+    gboolean to_self = wb_edge_node_is_aggregator(node);
     if (!to_self && !node->controller_link_open)
         return;
     wb_wire_message message;
@@ -166,13 +166,13 @@
     wb_edge_node_pace_report(node, demand);
     gboolean empty = demand->entries.entries_len == 0 && demand->tenants.tenants_len == 0 &&
                      demand->engines.engines_len == 0 && !report_due;
-    node->demand_told_ms = wb_clock_ms();
-    if (empty && !node->demand_told) {
+    node->demand_sent_ms = wb_clock_ms();
+    if (empty && !node->demand_sent) {
         wb_message_clear(&message);
         return;
     }
-    node->demand_told = !empty;
-    node->quota_reported_ms = node->demand_told_ms;
+    node->demand_sent = !empty;
+    node->quota_reported_ms = node->demand_sent_ms;
     if (to_self) {
         wb_controller_take_demand(node->controller, demand);
         wb_edge_node_quota_take_report(node, demand);
@@ -184,35 +184,35 @@
 
 static void need_tell(void *context) {
     wb_edge_node_t *node = context;
-    node->need_timer = NULL;
-    wb_edge_node_tell_demand(node);
+    node->demand_timer = NULL;
+    wb_edge_node_send_demand(node);
 }
 
 /* Someone waits for what isn't loaded: tell the controller once this round's requests are in. */
-void wb_edge_node_need_arose(void *context) {
+void wb_edge_node_demand_pending(void *context) {
     wb_edge_node_t *node = context;
-    if (node->need_timer == NULL)
-        node->need_timer = wb_loop_after(node->edge.loop, 0, need_tell, node);
-    wb_edge_node_hurry(node);
+    if (node->demand_timer == NULL)
+        node->demand_timer = wb_loop_after(node->edge.loop, 0, need_tell, node);
+    wb_edge_node_expedite_engines(node);
 }
 
 static void controller_open(wb_link_t *link, void *context) {
     wb_edge_node_t *node = context;
-    wb_edge_node_hello_send(node, link);
+    wb_edge_node_handshake_send(node, link);
     node->controller_link_open = TRUE;
-    node->demand_told = TRUE;
-    node->states_told = FALSE;
+    node->demand_sent = TRUE;
+    node->states_sent = FALSE;
     node->link_opened_ms = wb_clock_ms();
     wb_quota_gate_set_reached(node->edge.quota, TRUE);
     wb_event("controller-reached", ",\"address\":\"%s\"", node->controller_address);
     wb_edge_node_pace_link_open(node);
-    wb_edge_node_tell_demand(node);
+    wb_edge_node_send_demand(node);
     wb_edge_node_poison_link_open(node);
 }
 
 static void controller_message(wb_link_t *link, const wb_wire_message *message, void *context) {
     if (message->kind == WB_WIRE_HELLO)
-        wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
+        wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
     else if (message->kind == WB_WIRE_PLACEMENT)
         news_take(context, &message->wb_wire_message_u.placement, wb_link_parts(link));
     else if (message->kind == WB_WIRE_LOAD_PLAN)
@@ -222,11 +222,11 @@
     else if (message->kind == WB_WIRE_QUOTA)
         wb_edge_node_quota_take_shares(context, &message->wb_wire_message_u.quota);
     else if (message->kind == WB_WIRE_ENGINE_LOADS)
-        wb_edge_node_pace_take(context, &message->wb_wire_message_u.engine_loads);
+        wb_edge_node_pace_take_loads(context, &message->wb_wire_message_u.engine_loads);
     else if (message->kind == WB_WIRE_ENGINE_STATES)
         wb_edge_node_states_take(context, &message->wb_wire_message_u.engine_states);
     else if (message->kind == WB_WIRE_STORE_NEWS)
-        wb_edge_node_take_news(context, &message->wb_wire_message_u.store_news);
+        wb_edge_node_take_update(context, &message->wb_wire_message_u.store_news);
 }
 
 static void controller_close(wb_link_t *link, const char *reason, void *context) {
--- a/src/edge/node_news.c
+++ b/src/edge/node_news.c
@@ -56,7 +56,7 @@
     }
 }
 
-wb_table_pace_t wb_edge_node_pace(const wb_edge_node_t *node, wb_table_name_t table) {
+wb_table_pace_t wb_edge_node_poll_policy(const wb_edge_node_t *node, wb_table_name_t table) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     int64_t safety_ms = (int64_t)(settings->store_look_s * 1000);
     int64_t seldom_ms = SELDOM_TIMES * safety_ms;
@@ -65,12 +65,13 @@
     int64_t trust_ms;
     int64_t hold_ms;
     int64_t pause_ms;
-    int64_t retry_ms = node->store_lost[WB_TABLE_NODES] ? RETRY_WOKEN_MS : RETRY_RARELY_MS;
+    int64_t retry_ms = node->store_unavailable[WB_TABLE_NODES] ? RETRY_WOKEN_MS : RETRY_RARELY_MS;
     switch (table) {
     case WB_TABLE_CATALOG:
         trust_ms = (int64_t)(TRUST_SHARE * (double)settings->catalog_ms);
-        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : settings->catalog_ms;
-        pause_ms = node->held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_LOOKS;
+        hold_ms =
+            node->lease_held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : settings->catalog_ms;
+        pause_ms = node->lease_held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_LOOKS;
         return (wb_table_pace_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
                                  .trust_ms = trust_ms,
@@ -80,9 +81,10 @@
                                  .read_trust_ms = (int64_t)(READ_SHARE * (double)trust_ms)};
     case WB_TABLE_ENGINES:
         trust_ms = (int64_t)(TRUST_SHARE * (double)settings->drain_ms);
-        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
-        pause_ms =
-            node->held ? hold_ms : MAX(settings->engine_poll_ms, settings->drain_ms / DRAIN_LOOKS);
+        hold_ms = node->lease_held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
+        pause_ms = node->lease_held
+                       ? hold_ms
+                       : MAX(settings->engine_poll_ms, settings->drain_ms / DRAIN_LOOKS);
         return (wb_table_pace_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
                                  .trust_ms = trust_ms,
@@ -102,11 +104,11 @@
 }
 
 static void news_clear(wb_edge_node_t *node) {
-    for (guint i = 0; i < node->news_rows->len; i++)
+    for (guint i = 0; i < node->update_rows->len; i++)
         xdr_free((xdrproc_t)xdr_wb_wire_table_row,
-                 &g_array_index(node->news_rows, wb_wire_table_row, i));
-    g_array_set_size(node->news_rows, 0);
-    node->news_bytes = 0;
+                 &g_array_index(node->update_rows, wb_wire_table_row, i));
+    g_array_set_size(node->update_rows, 0);
+    node->update_bytes = 0;
 }
 
 void wb_edge_node_wire_row_add(GArray *rows, unsigned table, const wb_table_row_t *row) {
@@ -123,16 +125,17 @@
     wire->value.value_len = (u_int)row->length;
 }
 
-void wb_edge_node_news_add(wb_edge_node_t *node, wb_table_name_t table, const wb_table_row_t *row) {
-    if (!node->held || node->news_look)
+void wb_edge_node_update_add(wb_edge_node_t *node, wb_table_name_t table,
+                             const wb_table_row_t *row) {
+    if (!node->lease_held || node->update_overflow)
         return;
-    node->news_bytes += strlen(row->key) + row->length;
-    if (node->news_bytes * g_hash_table_size(node->gateways) > NEWS_LIMIT_BYTES) {
+    node->update_bytes += strlen(row->key) + row->length;
+    if (node->update_bytes * g_hash_table_size(node->gateways) > NEWS_LIMIT_BYTES) {
         news_clear(node);
-        node->news_look = TRUE;
+        node->update_overflow = TRUE;
         return;
     }
-    wb_edge_node_wire_row_add(node->news_rows, table, row);
+    wb_edge_node_wire_row_add(node->update_rows, table, row);
 }
 
 static unsigned age_of(const wb_table_watch_t *watch, int64_t now_ms) {
@@ -152,41 +155,41 @@
         {WB_TABLE_ENGINES, wb_fleet_digest(node->edge.fleet, now_ms),
          age_of(node->engines_watch, now_ms)},
         {WB_TABLE_NODES, 0, age_of(node->nodes_watch, now_ms)},
-        {WB_NEWS_NODE_IDS, wb_equal_share_digest(node->edge.share),
+        {WB_UPDATE_NODE_IDS, wb_equal_share_digest(node->edge.share),
          age_of(node->nodes_watch, now_ms)}, /* the last: left out while it isn't due */
     };
     wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
     wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
     news->views.views_len = G_N_ELEMENTS(views) - !wb_edge_node_share_digest_is_due(node, now_ms);
     news->views.views_val = views;
-    wb_lease_row_t in_short = wb_edge_node_lease_in_short(lease);
+    wb_lease_row_t in_short = wb_edge_node_lease_without_grants(lease);
     news->lease = wb_edge_node_lease_to_wire(&in_short);
     news->lease_version = (uint64_t)wb_lease_version(node->lease);
-    wb_edge_node_zones_tell(node, node->news_rows);
-    news->rows.rows_len = node->news_rows->len;
-    news->rows.rows_val = (wb_wire_table_row *)(void *)node->news_rows->data;
-    news->look = node->news_look;
-    wb_edge_node_tell_gateways(node, &message);
+    wb_edge_node_zones_append(node, node->update_rows);
+    news->rows.rows_len = node->update_rows->len;
+    news->rows.rows_val = (wb_wire_table_row *)(void *)node->update_rows->data;
+    news->look = node->update_overflow;
+    wb_edge_node_broadcast(node, &message);
     news_clear(node);
-    node->news_look = FALSE;
-    node->news_told_ms = now_ms;
+    node->update_overflow = FALSE;
+    node->update_sent_ms = now_ms;
 }
 
-void wb_edge_node_set_paces(wb_edge_node_t *node) {
+void wb_edge_node_set_poll_policies(wb_edge_node_t *node) {
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
-        wb_table_pace_t pace = wb_edge_node_pace(node, table);
+        wb_table_pace_t pace = wb_edge_node_poll_policy(node, table);
         wb_table_watch_set_pace(wb_edge_node_watch(node, table), &pace);
     }
 }
 
-void wb_edge_node_tick_news(wb_edge_node_t *node, int64_t now_ms) {
-    if (!node->held) {
+void wb_edge_node_tick_updates(wb_edge_node_t *node, int64_t now_ms) {
+    if (!node->lease_held) {
         news_clear(node);
-        node->news_look = FALSE;
+        node->update_overflow = FALSE;
         return;
     }
-    gboolean pending = node->news_rows->len > 0 || node->news_look;
-    if (pending || now_ms - node->news_told_ms >= NEWS_INTERVAL_MS)
+    gboolean pending = node->update_rows->len > 0 || node->update_overflow;
+    if (pending || now_ms - node->update_sent_ms >= NEWS_INTERVAL_MS)
         news_tell(node, now_ms);
 }
 
@@ -201,8 +204,8 @@
 /* The holder's reading of a table stands for an own one. Of the catalog it tells the newest version
  * each time, and a node that is missed only counts later. */
 static void view_take(wb_edge_node_t *node, const wb_wire_table_view *view, int64_t now_ms) {
-    if (view->table == WB_NEWS_NODE_IDS) {
-        wb_edge_node_share_hear(node, view, now_ms);
+    if (view->table == WB_UPDATE_NODE_IDS) {
+        wb_edge_node_share_take_digest(node, view, now_ms);
         return;
     }
     wb_table_watch_t *watch = wb_edge_node_watch(node, view->table);
@@ -218,8 +221,8 @@
 }
 
 static void row_take(wb_edge_node_t *node, const wb_wire_table_row *wire) {
-    if (wire->table == WB_NEWS_ZONES) {
-        wb_edge_node_zone_told(node, wire);
+    if (wire->table == WB_UPDATE_ZONES) {
+        wb_edge_node_zone_take(node, wire);
         return;
     }
     wb_table_watch_t *watch = wb_edge_node_watch(node, wire->table);
@@ -237,9 +240,9 @@
     wb_lease_on_row(node->lease, &lease, (int64_t)news->lease_version, wb_clock_ms());
 }
 
-void wb_edge_node_take_news(wb_edge_node_t *node, const wb_wire_store_news *news) {
+void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_news *news) {
     int64_t now_ms = wb_clock_ms();
-    node->news_heard_ms = now_ms;
+    node->update_received_ms = now_ms;
     wb_edge_node_take_announcement(node, news);
     for (guint i = 0; i < news->rows.rows_len; i++)
         row_take(node, &news->rows.rows_val[i]);
@@ -249,13 +252,13 @@
         view_take(node, &news->views.views_val[i], now_ms);
 }
 
-gboolean wb_edge_node_hears_news(const wb_edge_node_t *node) {
-    return node->held ||
-           (node->controller_link_open && wb_clock_ms() - node->news_heard_ms < WB_NEWS_LIFE_MS);
+gboolean wb_edge_node_has_recent_updates(const wb_edge_node_t *node) {
+    return node->lease_held || (node->controller_link_open &&
+                                wb_clock_ms() - node->update_received_ms < WB_UPDATE_LIFE_MS);
 }
 
-void wb_edge_node_hurry(wb_edge_node_t *node) {
-    if (!wb_edge_node_hears_news(node)) {
+void wb_edge_node_expedite_engines(wb_edge_node_t *node) {
+    if (!wb_edge_node_has_recent_updates(node)) {
         wb_table_watch_hurry(node->engines_watch);
     }
 }
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -72,8 +72,8 @@
     wb_pace_book_report(node->pace_book, reports, count, wb_clock_ms());
 }
 
-void wb_edge_node_pace_take(wb_edge_node_t *node, const wb_wire_engine_loads *told) {
-    node->pace_heard_ms = wb_clock_ms();
+void wb_edge_node_pace_take_loads(wb_edge_node_t *node, const wb_wire_engine_loads *told) {
+    node->pace_received_ms = wb_clock_ms();
     node->edge.metrics.load_news++;
     g_autoptr(GHashTable) by_key = g_hash_table_new(NULL, NULL);
     for (guint i = 0; i < told->engines.engines_len; i++) {
@@ -93,7 +93,7 @@
         wb_engine_pace_share(&engine->pace, load->pace_percent);
         engine->shared_tokens_per_s = load->tokens_per_s;
         engine->shared_backlog_ms = load->backlog_ms;
-        engine->shared_ms = node->pace_heard_ms;
+        engine->shared_ms = node->pace_received_ms;
     }
 }
 
@@ -114,21 +114,22 @@
         wb_link_send(link, &message);
         return;
     }
-    wb_edge_node_tell_gateways(node, &message);
-    wb_edge_node_pace_take(node, told);
+    wb_edge_node_broadcast(node, &message);
+    wb_edge_node_pace_take_loads(node, told);
 }
 
 void wb_edge_node_pace_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
     g_autoptr(GArray) loads = wb_pace_book_told(node->pace_book);
-    if (wb_edge_node_is_reported_to(node) && loads->len > 0) {
+    if (wb_edge_node_is_aggregator(node) && loads->len > 0) {
         loads_tell(node, link, loads);
     }
 }
 
 /* Whether figures that haven't been told anew still hold: their teller is heard. */
 static gboolean loads_are_known(const wb_edge_node_t *node, int64_t now_ms) {
-    int64_t heard_ms = MAX(node->news_heard_ms, node->pace_heard_ms);
-    return node->pace_keeper || (node->controller_link_open && now_ms - heard_ms < LOADS_LIFE_MS);
+    int64_t heard_ms = MAX(node->update_received_ms, node->pace_received_ms);
+    return node->pace_aggregator ||
+           (node->controller_link_open && now_ms - heard_ms < LOADS_LIFE_MS);
 }
 
 /* Once a second, who is furthest behind, if that is long: operators see where requests are refused.
@@ -149,18 +150,18 @@
 
 void wb_edge_node_tick_pace(wb_edge_node_t *node, int64_t now_ms) {
     const wb_edge_settings_t *settings = &node->edge.settings;
-    gboolean keeper = wb_edge_node_is_reported_to(node);
-    if (keeper && !node->pace_keeper) {
+    gboolean keeper = wb_edge_node_is_aggregator(node);
+    if (keeper && !node->pace_aggregator) {
         wb_pace_book_tell_all(node->pace_book);
         wb_edge_node_pace_link_open(node);
     }
-    node->pace_keeper = keeper;
+    node->pace_aggregator = keeper;
     node->edge.loads_known = loads_are_known(node, now_ms);
     if (!keeper || settings->engine_pace == 0 || settings->load_news_ms == 0 ||
-        now_ms - node->pace_told_ms < settings->load_news_ms) {
+        now_ms - node->pace_sent_ms < settings->load_news_ms) {
         return;
     }
-    node->pace_told_ms = now_ms;
+    node->pace_sent_ms = now_ms;
     behind_log(node, now_ms);
     double bytes = (double)settings->load_news_bytes_per_s * (double)settings->load_news_ms / 1000;
     size_t gateways = MAX(g_hash_table_size(node->gateways), 1);
--- a/src/edge/node_poison.c
+++ b/src/edge/node_poison.c
@@ -59,7 +59,7 @@
         if (link != NULL) {
             wb_link_send(link, &message);
         } else {
-            wb_edge_node_tell_gateways(node, &message);
+            wb_edge_node_broadcast(node, &message);
         }
     }
     wb_message_clear(&message);
@@ -68,14 +68,14 @@
 /* Tells what has changed since this was done last: to gateways, or to the node that keeps count. */
 static void changes_tell(wb_edge_node_t *node) {
     uint64_t version = wb_poison_book_version(node->edge.poison);
-    if (wb_edge_node_is_reported_to(node)) {
-        message_tell(node, NULL, node->poison_told, WB_POISON_TOLD_ENGINES);
+    if (wb_edge_node_is_aggregator(node)) {
+        message_tell(node, NULL, node->poison_sent_version, WB_POISON_TOLD_ENGINES);
     } else if (node->controller_link_open) {
-        message_tell(node, node->controller_link, node->poison_told, 1);
+        message_tell(node, node->controller_link, node->poison_sent_version, 1);
     } else {
         return; /* all is told once there is a link */
     }
-    node->poison_told = version;
+    node->poison_sent_version = version;
 }
 
 void wb_edge_node_poison_changed(void *context) {
@@ -83,23 +83,23 @@
 }
 
 void wb_edge_node_poison_link_open(wb_edge_node_t *node) {
-    node->poison_told = 0;
+    node->poison_sent_version = 0;
     changes_tell(node);
 }
 
 void wb_edge_node_poison_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
-    if (wb_edge_node_is_reported_to(node)) {
+    if (wb_edge_node_is_aggregator(node)) {
         message_tell(node, link, 0, WB_POISON_TOLD_ENGINES);
     }
 }
 
 void wb_edge_node_tick_poison(wb_edge_node_t *node) {
-    gboolean keeper = wb_edge_node_is_reported_to(node);
-    if (keeper && !node->poison_keeper) {
-        node->poison_told = 0;
+    gboolean keeper = wb_edge_node_is_aggregator(node);
+    if (keeper && !node->poison_aggregator) {
+        node->poison_sent_version = 0;
         changes_tell(node);
     }
-    node->poison_keeper = keeper;
+    node->poison_aggregator = keeper;
     node->edge.tries_poison = keeper;
 }
 
@@ -131,10 +131,11 @@
         return;
     }
     gboolean forgiven = served_forgive(node, now_ms);
-    if (forgiven || wb_edge_node_is_reported_to(node)) {
+    if (forgiven || wb_edge_node_is_aggregator(node)) {
         changes_tell(node);
     } else if (node->controller_link_open) {
-        node->poison_told = wb_poison_book_version(node->edge.poison); /* it comes from there */
+        node->poison_sent_version =
+            wb_poison_book_version(node->edge.poison); /* it comes from there */
     }
     wb_exchanges_refuse_poison(&node->edge);
 }
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -29,7 +29,7 @@
     return known->token;
 }
 
-void wb_edge_node_quota_limits(wb_edge_node_t *node) {
+void wb_edge_node_quota_set_limits(wb_edge_node_t *node) {
     wb_quota_book_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-void wb_edge_node_quota_lost(wb_edge_node_t *node, const wb_gateway_t *gateway) {
+void wb_edge_node_quota_gateway_lost(wb_edge_node_t *node, const wb_gateway_t *gateway) {
     if (gateway != NULL && gateway->name != NULL) {
         wb_quota_book_node_lost(node->quota_book, gateway->name, wb_clock_ms());
     }
@@ -70,9 +70,9 @@
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gateway_t *gateway = value;
-        if (!gateway->lost && now_ms - gateway->heard_ms > UNHEARD_MS) {
-            gateway->lost = TRUE;
-            wb_edge_node_quota_lost(node, gateway);
+        if (!gateway->unresponsive && now_ms - gateway->received_ms > UNHEARD_MS) {
+            gateway->unresponsive = TRUE;
+            wb_edge_node_quota_gateway_lost(node, gateway);
         }
     }
 }
@@ -92,8 +92,9 @@
         const wb_wire_quota_entry *entry = &told->tenants.tenants_val[i];
         shares[i] = (wb_quota_share_t){entry->tenant, entry->kind, entry->share_ppm / PPM};
     }
-    node->quota_heard_ms = wb_clock_ms();
-    wb_quota_gate_tell(node->edge.quota, shares, told->tenants.tenants_len, node->quota_heard_ms);
+    node->quota_received_ms = wb_clock_ms();
+    wb_quota_gate_tell(node->edge.quota, shares, told->tenants.tenants_len,
+                       node->quota_received_ms);
 }
 
 /* Writes what decided the shares, once a second while a tenant is short. */
@@ -148,10 +149,10 @@
     memset(&told, 0, sizeof(told));
     if (!xdr_wb_wire_quota(stream, &told)) {
         wb_event("quota-row-refused", "%s", "");
-    } else if (node->quota_heard_ms == 0 && told.tenants.tenants_len > 0) {
+    } else if (node->quota_received_ms == 0 && told.tenants.tenants_len > 0) {
         wb_edge_node_quota_take_shares(node, &told);
         row_keep(node, &told); /* a new holder's first row is read by those that start later */
-        node->quota_row_until_ms = node->quota_heard_ms + ROW_SHARES_MS;
+        node->quota_row_until_ms = node->quota_received_ms + ROW_SHARES_MS;
         wb_event("quota-row-taken", ",\"shares\":%u", told.tenants.tenants_len);
     }
     xdr_free((xdrproc_t)xdr_wb_wire_quota, &told);
@@ -162,7 +163,7 @@
     if (node->quota_row_until_ms == 0 || now_ms < node->quota_row_until_ms) {
         return;
     }
-    gboolean told_since = node->quota_heard_ms > node->quota_row_until_ms - ROW_SHARES_MS;
+    gboolean told_since = node->quota_received_ms > node->quota_row_until_ms - ROW_SHARES_MS;
     node->quota_row_until_ms = 0;
     if (!told_since) {
         g_byte_array_set_size(node->quota_row, 0);
@@ -182,14 +183,15 @@
     told->tenants.tenants_len = shares->len;
     told->tenants.tenants_val = entries;
     row_keep(node, told);
-    wb_edge_node_tell_gateways(node, &message);
+    wb_edge_node_broadcast(node, &message);
     wb_edge_node_quota_take_shares(node, told);
     shares_log(node, shares, wb_clock_ms());
 }
 
 /* Whether this node can reach the book: it keeps it, or has heard from who does. */
 static gboolean book_is_reached(const wb_edge_node_t *node, int64_t now_ms) {
-    int64_t heard_ms = MAX(MAX(node->news_heard_ms, node->quota_heard_ms), node->link_opened_ms);
+    int64_t heard_ms =
+        MAX(MAX(node->update_received_ms, node->quota_received_ms), node->link_opened_ms);
     return node->quota_token != 0 || (node->controller_link_open && now_ms - heard_ms < UNHEARD_MS);
 }
 
@@ -216,13 +218,13 @@
         return;
     }
     silent_check(node, now_ms);
-    wb_quota_book_set_sole(node->quota_book, node->held);
+    wb_quota_book_set_sole(node->quota_book, node->lease_held);
     gboolean changed;
     const GArray *shares = wb_quota_book_shares(node->quota_book, now_ms, &changed);
     /* While it may give orders, its other news show that it is there. */
-    gboolean due = !node->held && now_ms - node->quota_told_ms >= TELL_MOST_MS;
+    gboolean due = !node->lease_held && now_ms - node->quota_sent_ms >= TELL_MOST_MS;
     if (changed || due) {
-        node->quota_told_ms = now_ms;
+        node->quota_sent_ms = now_ms;
         shares_tell(node, shares);
     }
 }
--- a/src/edge/node_reach.c
+++ b/src/edge/node_reach.c
@@ -30,15 +30,15 @@
 static gboolean holder_renews_unheard(const wb_edge_node_t *node) {
     int64_t renewal_ms = node->edge.settings.lease_renew_ms;
     return wb_lease_changed_ms(node->lease) >
-           node->unheard_since_ms + UNHEARD_GRACE_MS + renewal_ms;
+           node->unreached_since_ms + UNHEARD_GRACE_MS + renewal_ms;
 }
 
 /* A call to the store has failed, and none was answered since the controller is unheard. */
 static gboolean store_is_unheard(const wb_edge_node_t *node) {
     gboolean failed = FALSE;
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
-        failed |= node->store_lost[table];
-        if (wb_table_watch_known_ms(wb_edge_node_watch(node, table)) > node->unheard_since_ms) {
+        failed |= node->store_unavailable[table];
+        if (wb_table_watch_known_ms(wb_edge_node_watch(node, table)) > node->unreached_since_ms) {
             return FALSE;
         }
     }
@@ -48,8 +48,8 @@
 wb_controller_view_t wb_edge_node_controller_view(void *context) {
     const wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
-    if (wb_edge_node_hears_news(node) || node->unheard_since_ms == 0 ||
-        now_ms - node->unheard_since_ms < UNHEARD_GRACE_MS) {
+    if (wb_edge_node_has_recent_updates(node) || node->unreached_since_ms == 0 ||
+        now_ms - node->unreached_since_ms < UNHEARD_GRACE_MS) {
         return (wb_controller_view_t){WB_CONTROLLER_REACHED, 0};
     }
     /* The holder is there but may not act: the store is away for it, too, so no other node is
@@ -70,40 +70,41 @@
 /* When news are late, the lease's row is read at once: its time runs from when it was last seen to
  * change, and whether the store is there shows, too. */
 static void late_news_check(wb_edge_node_t *node, int64_t now_ms) {
-    if (node->held || node->news_heard_ms == 0 || node->late_news_ms == node->news_heard_ms ||
-        now_ms - node->news_heard_ms < NEWS_LATE_MS) {
+    if (node->lease_held || node->update_received_ms == 0 ||
+        node->late_update_ms == node->update_received_ms ||
+        now_ms - node->update_received_ms < NEWS_LATE_MS) {
         return;
     }
-    node->late_news_ms = node->news_heard_ms;
+    node->late_update_ms = node->update_received_ms;
     wb_table_watch_look(node->nodes_watch);
 }
 
-void wb_edge_node_tick_hearing(wb_edge_node_t *node, int64_t now_ms) {
+void wb_edge_node_tick_reach(wb_edge_node_t *node, int64_t now_ms) {
     late_news_check(node, now_ms);
     gboolean just_opened =
-        node->controller_link_open && now_ms - node->link_opened_ms < WB_NEWS_LIFE_MS;
-    if (wb_edge_node_hears_news(node) || just_opened) {
-        node->unheard_since_ms = 0;
-        node->reach_told = WB_CONTROLLER_REACHED;
+        node->controller_link_open && now_ms - node->link_opened_ms < WB_UPDATE_LIFE_MS;
+    if (wb_edge_node_has_recent_updates(node) || just_opened) {
+        node->unreached_since_ms = 0;
+        node->reach_notified = WB_CONTROLLER_REACHED;
         return;
     }
     const wb_lease_row_t *lease = wb_lease_known(node->lease);
     uint64_t token = lease != NULL ? lease->token : 0;
-    if (node->unheard_since_ms == 0 || node->unheard_token != token) {
+    if (node->unreached_since_ms == 0 || node->unreached_token != token) {
         /* Another holder than the one that was lost has its own time to be heard. */
-        node->unheard_since_ms = now_ms;
-        node->unheard_token = token;
+        node->unreached_since_ms = now_ms;
+        node->unreached_token = token;
     }
     wb_controller_view_t view = wb_edge_node_controller_view(node);
-    if (view.reach == node->reach_told) {
+    if (view.reach == node->reach_notified) {
         return;
     }
-    node->reach_told = view.reach;
+    node->reach_notified = view.reach;
     wb_exchanges_reconsider(&node->edge);
     if (view.reach == WB_CONTROLLER_REACHED) {
         return; /* another holder was found: it may be heard soon */
     }
     wb_event("controller-missing", ",\"for_ms\":%lld,\"reach\":\"%s\",\"expected_in_ms\":%lld",
-             (long long)(now_ms - node->unheard_since_ms), reach_name(view.reach),
+             (long long)(now_ms - node->unreached_since_ms), reach_name(view.reach),
              (long long)view.back_in_ms);
 }
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -44,7 +44,7 @@
 }
 
 void wb_edge_node_relay_row(wb_edge_node_t *node, const wb_table_row_t *row) {
-    if (!wb_edge_node_is_large(node)) {
+    if (!wb_edge_node_has_large_fleet(node)) {
         return;
     }
     g_hash_table_replace(node->engine_rows, g_strdup(row->key),
@@ -124,8 +124,8 @@
     g_array_append_val(holds, entry);
 }
 
-void wb_edge_node_relay_want(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
-                             const wb_wire_engines_want *want) {
+void wb_edge_node_relay_subscribe(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
+                                  const wb_wire_engines_want *want) {
     int64_t now_ms = wb_clock_ms();
     g_autoptr(GArray) holds = g_array_new(FALSE, FALSE, sizeof(wb_wire_placement_entry));
     if (gateway->subscription == NULL) {
--- a/src/edge/node_share.c
+++ b/src/edge/node_share.c
@@ -12,19 +12,20 @@
 #define SUSPENDED_MS 1000
 
 gboolean wb_edge_node_share_digest_is_due(wb_edge_node_t *node, int64_t now_ms) {
-    if (now_ms - node->share_told_ms < DIGEST_INTERVAL_MS) {
+    if (now_ms - node->digest_sent_ms < DIGEST_INTERVAL_MS) {
         return FALSE;
     }
-    node->share_told_ms = now_ms;
+    node->digest_sent_ms = now_ms;
     return TRUE;
 }
 
-void wb_edge_node_share_hear(wb_edge_node_t *node, const wb_wire_table_view *view, int64_t now_ms) {
+void wb_edge_node_share_take_digest(wb_edge_node_t *node, const wb_wire_table_view *view,
+                                    int64_t now_ms) {
     if (view->newest == wb_equal_share_digest(node->edge.share)) {
         wb_equal_share_known(node->edge.share, now_ms - (int64_t)view->age_ms);
-    } else if (now_ms - node->share_looked_ms >= WB_SHARE_TRUST_MS) {
+    } else if (now_ms - node->digest_polled_ms >= WB_SHARE_TRUST_MS) {
         /* Either side has missed a node: ask the store, but not with each digest. */
-        node->share_looked_ms = now_ms;
+        node->digest_polled_ms = now_ms;
         wb_table_watch_look(node->nodes_watch);
     }
 }
--- a/src/edge/node_states.c
+++ b/src/edge/node_states.c
@@ -83,8 +83,8 @@
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, &link, &value)) {
         wb_gateway_t *gateway = value;
-        if (!gateway->states_told && wb_link_form(link) >= 2) {
-            gateway->states_told = TRUE;
+        if (!gateway->states_sent && wb_link_form(link) >= 2) {
+            gateway->states_sent = TRUE;
             all_tell(node, link, now_ms);
         }
     }
@@ -92,13 +92,13 @@
         states_take(node, most_engines(node, g_hash_table_size(node->gateways)), now_ms);
     if (states->len > 0) {
         wb_wire_message message = states_message(states);
-        wb_edge_node_tell_newer_gateways(node, &message);
+        wb_edge_node_broadcast_v2(node, &message);
     }
 }
 
 static void controller_tell(wb_edge_node_t *node, int64_t now_ms) {
-    if (!node->states_told) {
-        node->states_told = TRUE;
+    if (!node->states_sent) {
+        node->states_sent = TRUE;
         all_tell(node, node->controller_link, now_ms);
     }
     g_autoptr(GArray) states = states_take(node, most_engines(node, 1), now_ms);
@@ -109,7 +109,7 @@
 }
 
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms) {
-    if (wb_edge_node_is_reported_to(node)) {
+    if (wb_edge_node_is_aggregator(node)) {
         gateways_tell(node, now_ms);
     } else if (node->controller_link_open && wb_link_form(node->controller_link) >= 2) {
         controller_tell(node, now_ms);
@@ -134,7 +134,7 @@
 
 void wb_edge_node_states_take(wb_edge_node_t *node, const wb_wire_engine_states *told) {
     int64_t now_ms = wb_clock_ms();
-    gboolean tells = wb_edge_node_is_reported_to(node);
+    gboolean tells = wb_edge_node_is_aggregator(node);
     for (guint i = 0; i < told->engines.engines_len; i++) {
         const wb_wire_engine_state *wire = &told->engines.engines_val[i];
         wb_engine_t *engine = wb_fleet_find(node->edge.fleet, wire->engine);
@@ -157,7 +157,7 @@
     }
 }
 
-void wb_edge_node_states_heard(wb_engine_t *engine, void *context) {
+void wb_edge_node_engine_reported(wb_engine_t *engine, void *context) {
     wb_edge_t *edge = &((wb_edge_node_t *)context)->edge;
     wb_edge_note_told(edge, engine);
     wb_edge_queue_state(edge, engine);
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -29,11 +29,11 @@
     wb_store_calls_note(&node->edge.metrics.store_calls, table, cause);
     if (!good)
         wb_store_calls_note_failure(&node->edge.metrics.store_calls);
-    if (node->store_lost[table] == !good)
+    if (node->store_unavailable[table] == !good)
         return;
-    node->store_lost[table] = !good;
+    node->store_unavailable[table] = !good;
     if (table == WB_TABLE_NODES) {
-        wb_edge_node_set_paces(node);
+        wb_edge_node_set_poll_policies(node);
         if (good)
             wb_lease_store_back(node->lease, wb_clock_ms());
     }
@@ -57,9 +57,9 @@
     edge->catalog = catalog;
     wb_http_limits_t limits = {catalog->limits.head_bytes, catalog->limits.body_bytes,
                                catalog->limits.head_timeout_ms, catalog->limits.idle_timeout_ms};
-    wb_http_listener_set_limits(node->callers, &limits);
+    wb_http_listener_set_limits(node->client_listener, &limits);
     wb_controller_set_catalog(node->controller, catalog);
-    wb_edge_node_quota_limits(node);
+    wb_edge_node_quota_set_limits(node);
     wb_event("catalog-in-force", ",\"version\":%lld,\"before\":%lld,\"routes\":%u,\"services\":%u",
              (long long)catalog->version, (long long)before, catalog->route_count,
              g_hash_table_size(catalog->services));
@@ -106,10 +106,10 @@
     } else {
         wb_parts_read(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     }
-    if (writer.form != node->lease_form) {
+    if (writer.form != node->lease_protocol_version) {
         wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORM);
     }
-    node->lease_form = writer.form;
+    node->lease_protocol_version = writer.form;
     wb_parts_clear(&parts);
 }
 
@@ -149,13 +149,13 @@
     g_autofree char *text = g_strndup((const char *)row->value, row->length);
     g_auto(GStrv) words = g_strsplit(text, " ", NODE_ROW_WORDS + 1);
     guint count = g_strv_length(words);
-    known->form = 1;
+    known->protocol_version = 1;
     if (count < 2) {
         return; /* an older form, which tells nothing */
     }
     known->address = g_strdup(words[0]);
     known->processor_share = count > 2 ? g_ascii_strtod(words[2], NULL) : 0;
-    known->form = count > 3 ? (unsigned)g_ascii_strtoull(words[3], NULL, 10) : 1;
+    known->protocol_version = count > 3 ? (unsigned)g_ascii_strtoull(words[3], NULL, 10) : 1;
 }
 
 void wb_edge_node_row_free(gpointer data) {
@@ -169,11 +169,11 @@
     if (row->value == NULL) {
         g_hash_table_remove(node->nodes, id);
         wb_equal_share_remove(node->edge.share, id, wb_clock_ms());
-        wb_edge_node_news_add(node, WB_TABLE_NODES, row);
+        wb_edge_node_update_add(node, WB_TABLE_NODES, row);
         return;
     }
     if (!g_hash_table_contains(node->nodes, id))
-        wb_edge_node_news_add(node, WB_TABLE_NODES, row);
+        wb_edge_node_update_add(node, WB_TABLE_NODES, row);
     wb_node_row_t *known = g_new0(wb_node_row_t, 1);
     known->seen_ms = wb_clock_ms();
     known->version = row->version;
@@ -246,7 +246,7 @@
     const wb_node_row_t *known = g_hash_table_lookup(node->nodes, node->edge.settings.id);
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, node->edge.settings.id, NULL);
     g_autofree char *value = g_strdup_printf("%s %llu %.3f %d", wb_edge_node_address(node),
-                                             (unsigned long long)++node->node_row_beat,
+                                             (unsigned long long)++node->node_row_writes,
                                              node->edge.settings.processor_share, WB_WIRE_FORM);
     node->node_row_writing = TRUE;
     node->node_row_creating = known == NULL;
@@ -282,7 +282,7 @@
         if (known_ms - row->seen_ms <= node_row_life_ms(node)) {
             continue;
         }
-        if (node->held)
+        if (node->lease_held)
             node_row_remove(node, id, row);
         wb_equal_share_remove(node->edge.share, id, wb_clock_ms());
         g_hash_table_iter_remove(&iter);
@@ -306,15 +306,15 @@
                                        .on_batch = wb_edge_node_engine_batch,
                                        .on_call = store_called,
                                        .context = node,
-                                       .on_large = wb_edge_node_directory_large};
+                                       .on_large = wb_edge_node_directory_on_large};
     wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_called, node};
-    wb_table_pace_t pace = wb_edge_node_pace(node, WB_TABLE_CATALOG);
+    wb_table_pace_t pace = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
     node->catalog_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &pace, &catalog);
-    pace = wb_edge_node_pace(node, WB_TABLE_ENGINES);
+    pace = wb_edge_node_poll_policy(node, WB_TABLE_ENGINES);
     node->engines_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_ENGINES, &pace, &engines);
     wb_table_watch_limit(node->engines_watch, (unsigned)node->edge.settings.engine_rows_most);
-    pace = wb_edge_node_pace(node, WB_TABLE_NODES);
+    pace = wb_edge_node_poll_policy(node, WB_TABLE_NODES);
     node->nodes_watch = wb_table_watch_create(loop, node->table, WB_TABLE_NODES, &pace, &nodes);
 }
--- a/src/edge/node_tell.c
+++ b/src/edge/node_tell.c
@@ -34,7 +34,7 @@
     }
 }
 
-void wb_edge_node_tell_newer_gateways(wb_edge_node_t *node, const wb_wire_message *message) {
+void wb_edge_node_broadcast_v2(wb_edge_node_t *node, const wb_wire_message *message) {
     g_autoptr(GByteArray) frame = g_byte_array_new();
     wb_error_t error;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS) {
@@ -120,7 +120,7 @@
             wb_loop_after(node->edge.loop, gather_ms(node), placements_due, node);
 }
 
-void wb_edge_node_tell_gateways(wb_edge_node_t *node, const wb_wire_message *message) {
+void wb_edge_node_broadcast(wb_edge_node_t *node, const wb_wire_message *message) {
     if (message->kind == WB_WIRE_PLACEMENT) {
         placements_gather(node, &message->wb_wire_message_u.placement);
         return;
--- a/src/edge/node_zones.c
+++ b/src/edge/node_zones.c
@@ -108,7 +108,7 @@
     return TRUE;
 }
 
-void wb_edge_node_zones_tell(const wb_edge_node_t *node, GArray *rows) {
+void wb_edge_node_zones_append(const wb_edge_node_t *node, GArray *rows) {
     GHashTableIter iter;
     gpointer zone;
     gpointer value;
@@ -116,10 +116,10 @@
     while (g_hash_table_iter_next(&iter, &zone, &value)) {
         const wb_zone_row_t *known = value;
         wb_table_row_t row = {zone, known->evacuated ? (guchar *)"" : NULL, 0, known->version};
-        wb_edge_node_wire_row_add(rows, WB_NEWS_ZONES, &row);
+        wb_edge_node_wire_row_add(rows, WB_UPDATE_ZONES, &row);
     }
 }
 
-void wb_edge_node_zone_told(wb_edge_node_t *node, const wb_wire_table_row *wire) {
+void wb_edge_node_zone_take(wb_edge_node_t *node, const wb_wire_table_row *wire) {
     zone_note(node, wire->key, (int64_t)wire->row_version, !wire->removed);
 }
