--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -29,9 +29,9 @@
 typedef struct wb_node_row_t {
     int64_t seen_ms; /* when the row last changed */
     int64_t version;
-    char *address;             /* for links from other nodes; NULL: not in the row */
-    double processor_share;    /* in cores; 0: not in the row */
-    unsigned protocol_version; /* newest WB_WIRE_FORM that the node reads */
+    char *address;           /* for links from other nodes; NULL: not in the row */
+    double processor_share;  /* in cores; 0: not in the row */
+    unsigned format_version; /* newest WB_WIRE_FORM that the node reads */
 } wb_node_row_t;
 
 typedef struct wb_announcement_t wb_announcement_t;
@@ -66,7 +66,7 @@
     wb_http_listener_t *ready_listener;
     wb_http_listener_t *operator_listener;
     wb_lease_t *lease;
-    unsigned lease_protocol_version; /* of the last writer of the lease row; 0: not known */
+    unsigned lease_format_version; /* of the last writer of the lease row; 0: not known */
     wb_controller_t *controller;
     GHashTable *nodes; /* id -> wb_node_row_t */
     wb_directory_t *directory;
@@ -311,7 +311,7 @@
 void wb_edge_node_engine_reported(wb_engine_t *engine, void *context);
 
 /* node_tell.c */
-/** Send a message to all gateways of protocol version 2 or later. */
+/** Send a message to all gateways of format version 2 or later. */
 void wb_edge_node_broadcast_v2(wb_edge_node_t *node, const wb_wire_message *message);
 /** Send a message to all gateways. Placement messages are batched for some ms; messages are never
  * reordered. */
@@ -320,9 +320,9 @@
 void wb_edge_node_placement_clear(gpointer data);
 
 /* node_links.c */
-/** Send this node's protocol version on a link. */
+/** Send this node's format version on a link. */
 void wb_edge_node_handshake_send(const wb_edge_node_t *node, wb_link_t *link);
-/** Set the link's protocol version to the peer's. */
+/** Set the link's format version to the peer's. */
 void wb_edge_node_handshake_take(wb_link_t *link, const wb_wire_hello *hello);
 /** Apply one entry of a placement update. @param engine that the entry names */
 void wb_edge_node_placement_take(wb_edge_node_t *node, wb_engine_t *engine,
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -29,7 +29,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((const wb_node_row_t *)value)->protocol_version != WB_WIRE_FORM;
+        count += ((const wb_node_row_t *)value)->format_version != WB_WIRE_FORM;
     }
     return count;
 }
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -1,19 +1,11 @@
-/* Engines as a gateway knows them that doesn't read their table.
- *
- * The load that it answers: thousands of engines, hundreds of gateways of an eighth of a core, each
- * of which gets a request in some seconds. 10,000 rows at each of 985 nodes were 2,150 s of
- * processor before the first request came. So where the table is large, nodes that have a stronger
- * one beside them ask such a node (a relay) for the engines of the models that their callers name,
- * and are told of changes to these. The strongest machines read the table, a thirty-second of all
- * nodes at least; each gateway keeps to one of them, found by hashing: when a relay is lost its
- * gateways spread over the others. A gateway that finds none for some seconds reads the table
- * itself, like any node of a small fleet.
- *
- * The limit, one page of the table (500 rows), is where reading begins to cost several calls: at
- * 297 machines and 3,003 engines it gave 0.811 of worth, 2,000 rows 0.758, reading at all nodes
- * 0.774.
- *
- * What it doesn't do: give orders. A node that doesn't know all engines never takes the lease. */
+/* The engines that a gateway knows when the engines table is too large to be read by every node.
+ * A table above the setting engine-rows-most is read by the strongest machines only
+ * (table_readers.h). Any other node is a subscriber: it keeps a link to one reader (its relay,
+ * chosen by rendezvous hash so that the gateways of a lost relay spread over the rest), subscribes
+ * to the engines of the models that its clients request, and receives their rows and later changes.
+ * A subscriber without a relay reads the table itself after some seconds.
+ * A subscriber never takes the lease, as it doesn't know all engines.
+ * Times are in ms. Link errors are logged and retried with another relay. */
 #include "edge/edge_node_types.h"
 
 #include "directory/table_readers.h"
@@ -22,78 +14,79 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* All machines start within 0.3 s, and write their rows within 2 s. */
-#define DECIDE_MS 2500
-/* After a restart the rows are there: one read of them shows who is strong. */
-#define DECIDE_AGAIN_MS 100
-/* A relay that has just started reads the table for some seconds before it can answer. */
-#define READING_MS 4000
-/* A relay tells each half second that it is there. */
-#define SILENT_MS 1200
-#define CONNECT_AGAIN_MS 100
-/* Who finds no relay for so long reads the table; spread, as others may be as badly off. */
-#define ALONE_MS 4000
-#define ALONE_SPREAD_MS 6000
-/* A request waits so long for its model's engines to be told. */
-#define ANSWER_MS 500
-/* What was told of a model is asked for anew when it is used after so long: replicas come and go.
+/* Delay before the readers are selected, so that all nodes of a cold start have written their rows.
  */
+#define SELECT_READERS_MS 2500
+/* The same after a restart: the rows of the other nodes are there after one read. */
+#define SELECT_AFTER_RESTART_MS 100
+/* Time in which a relay that has just started must complete its first full read. */
+#define RELAY_READ_TIMEOUT_MS 4000
+/* A relay sends at least a heartbeat each 500 ms. */
+#define RELAY_TIMEOUT_MS 1200
+#define RECONNECT_MS 100
+/* Time without a relay after which a subscriber reads the table itself; spread by node, as many may
+ * lose their relays together. */
+#define NO_RELAY_MS 4000
+#define NO_RELAY_SPREAD_MS 6000
+/* Time for which a request waits for the engines of its model. */
+#define SUBSCRIBE_TIMEOUT_MS 500
+/* A model that is still used is subscribed to again after this time, to learn of new replicas. */
 #define REFRESH_MS 5000
-/* News of engines that aren't known here are kept for so long, for when their rows come. */
-#define NEWS_KEPT_MS 2000
+/* Time for which a placement update of an engine without a row is kept. */
+#define EARLY_PLACEMENT_LIFE_MS 2000
 
-/* A model's engines were asked for. */
-typedef struct wb_wanted_t {
+/* A model that clients requested. */
+typedef struct wb_wanted_model_t {
     char *service;
     char *model;
-    int64_t asked_ms; /* 0: not on this link */
+    int64_t asked_ms; /* when it was last subscribed to; 0: not on this link */
     int64_t answered_ms;
-} wb_wanted_t;
+} wb_wanted_model_t;
 
-/* News of an engine whose row is asked for. */
-typedef struct wb_early_news_t {
-    wb_wire_placement_entry entry; /* with texts of its own */
-    int64_t at_ms;
-} wb_early_news_t;
+/* A placement update that came before the row of its engine. */
+typedef struct wb_early_placement_t {
+    wb_wire_placement_entry entry; /* owns its texts */
+    int64_t received_ms;
+} wb_early_placement_t;
 
 struct wb_directory_t {
     wb_edge_node_t *node;
     wb_directory_state_t state;
-    int64_t since_ms;     /* in this state */
-    GHashTable *wanted;   /* SERVICE/MODEL -> wb_wanted_t */
-    GPtrArray *early;     /* of wb_early_news_t */
-    GHashTable *versions; /* id of an engine -> int64_t *, as told */
+    int64_t since_ms;            /* when this state began */
+    GHashTable *wanted;          /* SERVICE/MODEL -> wb_wanted_model_t */
+    GPtrArray *early_placements; /* of wb_early_placement_t */
+    GHashTable *versions;        /* id of an engine -> int64_t *, version of its row as received */
     wb_link_t *link;
-    char *relay;            /* id of the node at its other end */
-    gboolean greeted;       /* it reads the messages that this needs */
-    gboolean early_answers; /* it has answered before it knew all engines */
-    gboolean relay_told;    /* it has answered, knowing them */
-    gboolean told;          /* some relay has */
+    char *relay;                 /* id of the node at the other end of link */
+    gboolean handshake_done;     /* the relay's format version allows subscriptions */
+    gboolean incomplete_answers; /* it has answered before its first full read was complete */
+    gboolean relay_complete;     /* it has answered with a complete table */
+    gboolean complete;           /* any relay has */
     int64_t linked_ms;
-    int64_t heard_ms;
-    int64_t connect_ms;    /* not before */
-    int64_t lost_since_ms; /* no relay since; 0: there is one */
+    int64_t received_ms;
+    int64_t connect_ms;    /* next attempt to connect */
+    int64_t lost_since_ms; /* 0: there is a relay */
     GHashTable *failed;    /* id of a node that couldn't be reached -> int64_t *, when */
 };
 
 static void wanted_free(gpointer data) {
-    wb_wanted_t *wanted = data;
+    wb_wanted_model_t *wanted = data;
     g_free(wanted->service);
     g_free(wanted->model);
     g_free(wanted);
 }
 
-static void early_free(gpointer data) {
-    wb_early_news_t *news = data;
-    wb_edge_node_placement_clear(&news->entry);
-    g_free(news);
+static void early_placement_free(gpointer data) {
+    wb_early_placement_t *placement = data;
+    wb_edge_node_placement_clear(&placement->entry);
+    g_free(placement);
 }
 
 wb_directory_t *wb_edge_node_directory_create(wb_edge_node_t *node) {
     wb_directory_t *directory = g_new0(wb_directory_t, 1);
     directory->node = node;
     directory->wanted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, wanted_free);
-    directory->early = g_ptr_array_new_with_free_func(early_free);
+    directory->early_placements = g_ptr_array_new_with_free_func(early_placement_free);
     directory->versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     directory->failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return directory;
@@ -114,7 +107,7 @@
 }
 
 gboolean wb_edge_node_directory_is_ready(const wb_edge_node_t *node) {
-    return node->directory->state != WB_DIRECTORY_SUBSCRIBER || node->directory->told;
+    return node->directory->state != WB_DIRECTORY_SUBSCRIBER || node->directory->complete;
 }
 
 static void state_set(wb_directory_t *directory, wb_directory_state_t state, const char *why) {
@@ -124,10 +117,10 @@
     wb_event("engines-table", ",\"read\":\"%s\",\"why\":\"%s\"", names[state], why);
 }
 
-/* Which nodes read the table. */
+/* Selection of the readers. */
 
-/* Returns the nodes that read the table, as all nodes find them: wb_table_reader_t. */
-static GArray *readers_find(const wb_edge_node_t *node) {
+/* Returns the nodes that read the table, the same list at every node: wb_table_reader_t. */
+static GArray *readers_select(const wb_edge_node_t *node) {
     GArray *readers = g_array_new(FALSE, FALSE, sizeof(wb_table_reader_t));
     GHashTableIter iter;
     gpointer id;
@@ -135,9 +128,9 @@
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, &value)) {
         const wb_node_row_t *row = value;
-        if (row->protocol_version >= 2 && row->address != NULL) {
-            wb_table_reader_t one = {id, row->processor_share};
-            g_array_append_val(readers, one);
+        if (row->format_version >= 2 && row->address != NULL) {
+            wb_table_reader_t reader = {id, row->processor_share};
+            g_array_append_val(readers, reader);
         }
     }
     wb_table_readers_select(readers, g_hash_table_size(node->nodes));
@@ -151,14 +144,14 @@
     }
 }
 
-/* Reads the table after all. */
-static void whole_begin(wb_directory_t *directory, const char *why) {
+/* Reads the table, as a selected reader or for lack of a relay. */
+static void reader_begin(wb_directory_t *directory, const char *why) {
     state_set(directory, WB_DIRECTORY_READER, why);
     wb_table_watch_go_on(directory->node->engines_watch);
 }
 
-/* What was read before the table was large would not be kept up to date. */
-static void engines_forget(wb_edge_node_t *node) {
+/* Rows that were read before the table turned out to be large would no longer be updated. */
+static void engines_clear(wb_edge_node_t *node) {
     g_autoptr(GList) ids = g_hash_table_get_keys(wb_fleet_all(node->edge.fleet));
     for (GList *item = ids; item != NULL; item = item->next) {
         g_autofree char *id = g_strdup(item->data);
@@ -168,35 +161,36 @@
     }
 }
 
-/* Once the nodes are known this one is a reader of the table or leaves it to them. */
-static void decide(wb_directory_t *directory, int64_t now_ms) {
+/* Makes this node a reader or a subscriber, once its own row is written and the other nodes are
+ * known. */
+static void readers_decide(wb_directory_t *directory, int64_t now_ms) {
     wb_edge_node_t *node = directory->node;
     gboolean all_known = wb_table_watch_is_synced(node->nodes_watch) && node->node_row_written;
-    int64_t decide_ms = node->node_row_adopted ? DECIDE_AGAIN_MS : DECIDE_MS;
+    int64_t decide_ms = node->node_row_adopted ? SELECT_AFTER_RESTART_MS : SELECT_READERS_MS;
     if (!all_known || now_ms - directory->since_ms < decide_ms) {
         return;
     }
-    g_autoptr(GArray) readers = readers_find(node);
+    g_autoptr(GArray) readers = readers_select(node);
     if (readers->len == 0 || wb_table_readers_has(readers, node->edge.settings.id)) {
-        whole_begin(directory, "reader");
+        reader_begin(directory, "reader");
         return;
     }
     state_set(directory, WB_DIRECTORY_SUBSCRIBER, "weaker");
     wb_table_watch_follow_part(node->engines_watch);
-    engines_forget(node);
+    engines_clear(node);
     directory->lost_since_ms = now_ms;
 }
 
-/* What is asked and told. */
+/* Subscriptions and updates. */
 
-static void want_send(wb_directory_t *directory, GPtrArray *wanted, GArray *known) {
+static void subscribe_send(wb_directory_t *directory, GPtrArray *wanted, GArray *known) {
     wb_wire_message message = {.kind = WB_WIRE_ENGINES_WANT};
     wb_wire_engines_want *want = &message.wb_wire_message_u.engines_want;
     g_autofree wb_wire_engine_want *wants = g_new0(wb_wire_engine_want, MAX(wanted->len, 1));
     for (guint i = 0; i < wanted->len; i++) {
-        wb_wanted_t *one = g_ptr_array_index(wanted, i);
-        wants[i] = (wb_wire_engine_want){one->service, one->model};
-        one->asked_ms = wb_clock_ms();
+        wb_wanted_model_t *model = g_ptr_array_index(wanted, i);
+        wants[i] = (wb_wire_engine_want){model->service, model->model};
+        model->asked_ms = wb_clock_ms();
     }
     want->zone = (char *)directory->node->edge.settings.zone;
     want->wants.wants_len = wanted->len;
@@ -207,8 +201,9 @@
     wb_link_send(directory->link, &message);
 }
 
-/* Another relay is there: it is told all that is known here, and asked for what has changed. */
-static void all_ask(wb_directory_t *directory) {
+/* Sends all subscriptions and the versions of all known rows, to receive what has changed since: on
+ * a new link, and once the relay's first full read is complete. */
+static void subscribe_all(wb_directory_t *directory) {
     g_autoptr(GPtrArray) wanted = g_ptr_array_new();
     g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
     GHashTableIter iter;
@@ -223,26 +218,26 @@
         wb_wire_known_row row = {key, (uint64_t) * (const int64_t *)value};
         g_array_append_val(known, row);
     }
-    want_send(directory, wanted, known);
+    subscribe_send(directory, wanted, known);
 }
 
-static void early_apply(wb_directory_t *directory, int64_t now_ms) {
-    for (guint i = directory->early->len; i-- > 0;) {
-        const wb_early_news_t *news = g_ptr_array_index(directory->early, i);
-        wb_engine_t *engine = wb_fleet_find(directory->node->edge.fleet, news->entry.engine);
+static void early_placements_apply(wb_directory_t *directory, int64_t now_ms) {
+    for (guint i = directory->early_placements->len; i-- > 0;) {
+        const wb_early_placement_t *placement = g_ptr_array_index(directory->early_placements, i);
+        wb_engine_t *engine = wb_fleet_find(directory->node->edge.fleet, placement->entry.engine);
         if (engine != NULL) {
-            wb_edge_node_placement_take(directory->node, engine, &news->entry);
+            wb_edge_node_placement_take(directory->node, engine, &placement->entry);
         }
-        if (engine != NULL || now_ms - news->at_ms > NEWS_KEPT_MS) {
-            g_ptr_array_remove_index_fast(directory->early, i);
+        if (engine != NULL || now_ms - placement->received_ms > EARLY_PLACEMENT_LIFE_MS) {
+            g_ptr_array_remove_index_fast(directory->early_placements, i);
         }
     }
 }
 
-static void answered_note(wb_directory_t *directory, const wb_wire_engine_want *want,
-                          int64_t now_ms) {
+static void wanted_answered(wb_directory_t *directory, const wb_wire_engine_want *want,
+                            int64_t now_ms) {
     g_autofree char *key = g_strjoin("/", want->service, want->model, NULL);
-    wb_wanted_t *wanted = g_hash_table_lookup(directory->wanted, key);
+    wb_wanted_model_t *wanted = g_hash_table_lookup(directory->wanted, key);
     if (wanted != NULL) {
         wanted->answered_ms = now_ms;
     }
@@ -268,30 +263,30 @@
     }
 }
 
-/* What a relay tells before it knows all engines is true, but nothing may be missed in it: all is
- * asked again once it does. */
-static void show_take(wb_directory_t *directory, const wb_wire_engines_show *show) {
+/* Rows that a relay sends before its first full read is complete are valid, but some may be
+ * missing: subscribes to all again once it is complete. */
+static void engine_update_take(wb_directory_t *directory, const wb_wire_engines_show *show) {
     wb_edge_node_t *node = directory->node;
     int64_t now_ms = wb_clock_ms();
-    gboolean ask_again = show->whole && directory->early_answers;
-    directory->heard_ms = now_ms;
-    directory->early_answers = !show->whole;
+    gboolean resubscribe = show->whole && directory->incomplete_answers;
+    directory->received_ms = now_ms;
+    directory->incomplete_answers = !show->whole;
     rows_take(directory, show);
-    if (ask_again) {
-        all_ask(directory);
+    if (resubscribe) {
+        subscribe_all(directory);
         return;
     }
     if (!show->whole) {
         return;
     }
-    directory->told = TRUE;
-    directory->relay_told = TRUE;
+    directory->complete = TRUE;
+    directory->relay_complete = TRUE;
     directory->lost_since_ms = 0;
     for (guint i = 0; i < show->answered.answered_len; i++) {
-        answered_note(directory, &show->answered.answered_val[i], now_ms);
+        wanted_answered(directory, &show->answered.answered_val[i], now_ms);
     }
     wb_table_watch_vouch(node->engines_watch, 0, now_ms - (int64_t)show->age_ms);
-    early_apply(directory, now_ms);
+    early_placements_apply(directory, now_ms);
     if (show->answered.answered_len > 0 || show->rows.rows_len > 0) {
         wb_exchanges_retry_waiting(&node->edge);
     }
@@ -301,7 +296,7 @@
 
 static void link_open(wb_link_t *link, void *context) {
     wb_directory_t *directory = context;
-    directory->heard_ms = wb_clock_ms();
+    directory->received_ms = wb_clock_ms();
     wb_edge_node_handshake_send(directory->node, link);
 }
 
@@ -309,12 +304,12 @@
     wb_directory_t *directory = context;
     if (message->kind == WB_WIRE_HELLO) {
         wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
-        if (!directory->greeted && wb_link_form(link) >= 2) {
-            directory->greeted = TRUE;
-            all_ask(directory);
+        if (!directory->handshake_done && wb_link_form(link) >= 2) {
+            directory->handshake_done = TRUE;
+            subscribe_all(directory);
         }
     } else if (message->kind == WB_WIRE_ENGINES_SHOW) {
-        show_take(directory, &message->wb_wire_message_u.engines_show);
+        engine_update_take(directory, &message->wb_wire_message_u.engines_show);
     }
 }
 
@@ -327,13 +322,13 @@
     g_hash_table_replace(directory->failed, g_strdup(directory->relay),
                          g_memdup2(&now_ms, sizeof(now_ms)));
     directory->link = NULL;
-    directory->connect_ms = now_ms + CONNECT_AGAIN_MS;
+    directory->connect_ms = now_ms + RECONNECT_MS;
     if (directory->lost_since_ms == 0) {
         directory->lost_since_ms = now_ms;
     }
     g_hash_table_iter_init(&iter, directory->wanted);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((wb_wanted_t *)value)->asked_ms = 0;
+        ((wb_wanted_model_t *)value)->asked_ms = 0;
     }
 }
 
@@ -342,30 +337,30 @@
     relay_lost(context, reason);
 }
 
-static gboolean failed_long_ago(gpointer key, gpointer value, gpointer context) {
+static gboolean failure_expired(gpointer key, gpointer value, gpointer context) {
     (void)key;
-    return *(const int64_t *)context - *(const int64_t *)value > ALONE_MS;
+    return *(const int64_t *)context - *(const int64_t *)value > NO_RELAY_MS;
 }
 
 static void relay_connect(wb_directory_t *directory, int64_t now_ms) {
     wb_edge_node_t *node = directory->node;
-    g_autoptr(GArray) readers = readers_find(node);
-    g_hash_table_foreach_remove(directory->failed, failed_long_ago, &now_ms);
+    g_autoptr(GArray) readers = readers_select(node);
+    g_hash_table_foreach_remove(directory->failed, failure_expired, &now_ms);
     const char *relay = wb_table_readers_relay(readers, node->edge.settings.id, directory->failed);
     const wb_node_row_t *row = relay != NULL ? g_hash_table_lookup(node->nodes, relay) : NULL;
     wb_link_events_t events = {link_open, link_message, link_close, directory, NULL, NULL};
     wb_error_t error;
-    directory->connect_ms = now_ms + CONNECT_AGAIN_MS;
+    directory->connect_ms = now_ms + RECONNECT_MS;
     if (row == NULL) {
         return;
     }
     g_free(directory->relay);
     directory->relay = g_strdup(relay);
-    directory->greeted = FALSE;
-    directory->early_answers = FALSE;
-    directory->relay_told = FALSE;
+    directory->handshake_done = FALSE;
+    directory->incomplete_answers = FALSE;
+    directory->relay_complete = FALSE;
     directory->linked_ms = now_ms;
-    directory->heard_ms = now_ms;
+    directory->received_ms = now_ms;
     if (wb_link_connect(node->edge.loop, row->address, &events, &node->link_counters,
                         &directory->link, &error) != APR_SUCCESS) {
         directory->link = NULL;
@@ -376,38 +371,40 @@
              readers->len);
 }
 
-/* Lets a relay go that is silent or doesn't come to know all engines. */
+/* Drops a relay that is unresponsive or doesn't complete its first full read. */
 static void relay_check(wb_directory_t *directory, int64_t now_ms) {
-    gboolean silent = now_ms - directory->heard_ms > SILENT_MS;
-    gboolean knows_nothing = !directory->relay_told && now_ms - directory->linked_ms > READING_MS;
-    if (directory->link != NULL && (silent || knows_nothing)) {
+    gboolean unresponsive = now_ms - directory->received_ms > RELAY_TIMEOUT_MS;
+    gboolean incomplete =
+        !directory->relay_complete && now_ms - directory->linked_ms > RELAY_READ_TIMEOUT_MS;
+    if (directory->link != NULL && (unresponsive || incomplete)) {
         wb_link_t *link = directory->link;
-        relay_lost(directory, silent ? "silent" : "it doesn't know all engines");
+        relay_lost(directory, unresponsive ? "unresponsive" : "its first full read took too long");
         wb_link_close(link);
     }
 }
 
 /* Time without a relay after which this node reads the table itself. */
-static int64_t alone_ms(const wb_directory_t *directory) {
+static int64_t no_relay_timeout_ms(const wb_directory_t *directory) {
     const char *id = directory->node->edge.settings.id;
-    return ALONE_MS + (int64_t)(XXH64(id, strlen(id), 1) % ALONE_SPREAD_MS);
+    return NO_RELAY_MS + (int64_t)(XXH64(id, strlen(id), 1) % NO_RELAY_SPREAD_MS);
 }
 
-static void alone_check(wb_directory_t *directory, int64_t now_ms) {
-    if (directory->lost_since_ms == 0 || now_ms - directory->lost_since_ms <= alone_ms(directory)) {
+static void no_relay_check(wb_directory_t *directory, int64_t now_ms) {
+    if (directory->lost_since_ms == 0 ||
+        now_ms - directory->lost_since_ms <= no_relay_timeout_ms(directory)) {
         return;
     }
     if (directory->link != NULL) {
         wb_link_close(directory->link);
         directory->link = NULL;
     }
-    whole_begin(directory, "alone");
+    reader_begin(directory, "alone");
 }
 
 void wb_edge_node_tick_directory(wb_edge_node_t *node, int64_t now_ms) {
     wb_directory_t *directory = node->directory;
     if (directory->state == WB_DIRECTORY_UNDECIDED) {
-        decide(directory, now_ms);
+        readers_decide(directory, now_ms);
     }
     if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return;
@@ -416,16 +413,17 @@
     if (directory->link == NULL && now_ms >= directory->connect_ms) {
         relay_connect(directory, now_ms);
     }
-    alone_check(directory, now_ms);
+    no_relay_check(directory, now_ms);
 }
 
-/* What requests ask. */
+/* Queries from requests. */
 
-static wb_wanted_t *wanted_get(wb_directory_t *directory, const char *service, const char *model) {
+static wb_wanted_model_t *wanted_get(wb_directory_t *directory, const char *service,
+                                     const char *model) {
     g_autofree char *key = g_strjoin("/", service, model, NULL);
-    wb_wanted_t *wanted = g_hash_table_lookup(directory->wanted, key);
+    wb_wanted_model_t *wanted = g_hash_table_lookup(directory->wanted, key);
     if (wanted == NULL) {
-        wanted = g_new0(wb_wanted_t, 1);
+        wanted = g_new0(wb_wanted_model_t, 1);
         wanted->service = g_strdup(service);
         wanted->model = g_strdup(model);
         g_hash_table_insert(directory->wanted, g_steal_pointer(&key), wanted);
@@ -441,18 +439,18 @@
     if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return TRUE;
     }
-    wb_wanted_t *wanted = wanted_get(directory, service, model);
+    wb_wanted_model_t *wanted = wanted_get(directory, service, model);
     gboolean stale = now_ms - MAX(wanted->asked_ms, wanted->answered_ms) > REFRESH_MS;
-    gboolean missing = *model != '\0' && wanted->answered_ms > wanted->asked_ms &&
-                       now_ms - wanted->asked_ms > ANSWER_MS &&
-                       !wb_fleet_holds(node->edge.fleet, service, model, "", now_ms);
-    if (directory->link != NULL && directory->greeted &&
-        (wanted->asked_ms == 0 || stale || missing)) {
-        g_autoptr(GPtrArray) one = g_ptr_array_new();
-        g_ptr_array_add(one, wanted);
-        want_send(directory, one, NULL);
+    gboolean replica_missing = *model != '\0' && wanted->answered_ms > wanted->asked_ms &&
+                               now_ms - wanted->asked_ms > SUBSCRIBE_TIMEOUT_MS &&
+                               !wb_fleet_holds(node->edge.fleet, service, model, "", now_ms);
+    if (directory->link != NULL && directory->handshake_done &&
+        (wanted->asked_ms == 0 || stale || replica_missing)) {
+        g_autoptr(GPtrArray) models = g_ptr_array_new();
+        g_ptr_array_add(models, wanted);
+        subscribe_send(directory, models, NULL);
     }
-    return wanted->answered_ms != 0 || now_ms - since_ms > ANSWER_MS;
+    return wanted->answered_ms != 0 || now_ms - since_ms > SUBSCRIBE_TIMEOUT_MS;
 }
 
 gboolean wb_edge_node_directory_placement(wb_edge_node_t *node,
@@ -461,20 +459,21 @@
     if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return FALSE;
     }
-    /* Whoever waits here for the model needs this engine; others ask when they use it. */
-    if (!entry->held || directory->link == NULL || !directory->greeted ||
+    /* Only a request that waits here for the model needs the engine's row now; otherwise its use
+     * later subscribes to it. */
+    if (!entry->held || directory->link == NULL || !directory->handshake_done ||
         !wb_exchanges_wait_for(&node->edge, entry->model)) {
         return TRUE;
     }
-    wb_early_news_t *news = g_new0(wb_early_news_t, 1);
-    news->at_ms = wb_clock_ms();
-    news->entry = (wb_wire_placement_entry){g_strdup(entry->engine), g_strdup(entry->model),
-                                            g_strdup(entry->adapter), TRUE, 0};
-    g_ptr_array_add(directory->early, news);
+    wb_early_placement_t *placement = g_new0(wb_early_placement_t, 1);
+    placement->received_ms = wb_clock_ms();
+    placement->entry = (wb_wire_placement_entry){g_strdup(entry->engine), g_strdup(entry->model),
+                                                 g_strdup(entry->adapter), TRUE, 0};
+    g_ptr_array_add(directory->early_placements, placement);
     g_autoptr(GPtrArray) none = g_ptr_array_new();
     g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
     wb_wire_known_row row = {entry->engine, 0};
     g_array_append_val(known, row);
-    want_send(directory, none, known);
+    subscribe_send(directory, none, known);
     return TRUE;
 }
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -1,23 +1,25 @@
-/* The lease of the placement controller as a row of the store. */
+/* The placement controller's lease: encodes and decodes its row in the store, and runs its renewal
+ * and takeover.
+ * Times are in ms. A failed or lost write is reported to wb_lease_t, which decides on the next one.
+ */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* The store takes rows of 64 KiB at most. The lease has room for 1,150 engines' names of 30 bytes,
- * poison requests for 128 of them. */
+/* The store's limit for a row. The lease leaves room in it for the data appended by
+ * appended_data_write. */
 #define ROW_BYTES (64 * 1024)
-#define LEASE_BYTES (48 * 1024)
-/* Nodes try to take a lease over so far apart on average, so the first of any number tries soon,
- * and most others hear of it (some 60 ms later) before their turn. */
+#define LEASE_MAX_BYTES (48 * 1024)
+/* Mean time between the takeover attempts of two nodes, so that most nodes see the new holder
+ * before their own attempt. */
 #define TAKEOVER_GAP_MS 30
-/* Few nodes spread their tries over so long. */
+/* Least interval over which the takeover attempts are spread. */
 #define TAKEOVER_SPREAD_MS 200
-/* Weaker machines leave the first tries to the strongest for so long: the spread of few nodes, and
- * a write to the store. A holder with an eighth of a core before 84 gateways costs 0.04 of worth.
- */
-#define TAKEOVER_WEAK_MS 300
-/* A machine is as good as the strongest if it has this share of its processor. */
-#define STRONG_SHARE 0.8
+/* Delay before weaker machines attempt a takeover, so that the strongest go first: the spread of a
+ * few nodes and one write to the store. */
+#define TAKEOVER_WEAK_DELAY_MS 300
+/* A machine is strong if its processor share is at least this ratio of the largest. */
+#define STRONG_PROCESSOR_RATIO 0.8
 
 void wb_edge_node_check_lease(wb_edge_node_t *node) {
     gboolean held = wb_lease_is_held(node->lease, wb_clock_ms());
@@ -32,20 +34,21 @@
                  known != NULL ? (unsigned long long)known->token : 0ULL);
         if (held) {
             node->edge.metrics.lease_takeovers++;
-            /* Others' readings were enough until now; decisions need this node's own. */
+            /* Until now the previous holder's reads were enough; placement decisions need this
+             * node's own. */
             wb_table_watch_look(node->engines_watch);
             wb_table_watch_look(node->catalog_watch);
         }
     }
-    /* A lapse stops orders at once; what is believed of engines stays good while nobody else held
-     * it. */
+    /* A lapsed lease stops orders at once. The controller's view of the engines stays valid until
+     * another node has held the lease. */
     if (held)
         wb_controller_set_token(node->controller, token, wb_lease_predecessor(node->lease));
     else if (known != NULL && known->token != token)
         wb_controller_set_token(node->controller, 0, NULL);
 }
 
-static void lease_answered(const wb_table_answer_t *answer, void *context) {
+static void lease_write_done(const wb_table_answer_t *answer, void *context) {
     wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
     switch (answer->outcome) {
@@ -95,30 +98,31 @@
 }
 
 wb_lease_row_t wb_edge_node_lease_without_grants(const wb_lease_row_t *row) {
-    wb_lease_row_t in_short = *row;
-    in_short.grants_known = FALSE;
-    in_short.granted_count = 0;
-    in_short.inherited_count = 0;
-    return in_short;
+    wb_lease_row_t copy = *row;
+    copy.grants_known = FALSE;
+    copy.granted_count = 0;
+    copy.inherited_count = 0;
+    return copy;
 }
 
-/* Says of which build the row is. Returns bytes written, 0 when there is no room. */
-static u_int parts_write(char *bytes, u_int room) {
+/* Writes the format version of this build. Returns bytes written; 0: it doesn't fit. */
+static u_int extensions_write(char *bytes, u_int room) {
     wb_wire_parts parts = {0};
     wb_wire_writer writer = {WB_WIRE_FORM};
     XDR stream;
     wb_parts_add(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
-    gboolean whole = xdr_wb_wire_parts(&stream, &parts);
-    u_int length = whole ? xdr_getpos(&stream) : 0;
+    gboolean encoded = xdr_wb_wire_parts(&stream, &parts);
+    u_int length = encoded ? xdr_getpos(&stream) : 0;
     xdr_destroy(&stream);
     wb_parts_clear(&parts);
     return length;
 }
 
-/* Writes what stands behind the lease: poison requests, shares of limits, parts. Each is read where
- * the one before ends, so nothing follows one that didn't fit. Returns bytes written. */
-static u_int extras_write(wb_edge_node_t *node, char *bytes, u_int room) {
+/* Writes the data that follows the lease: poison requests, quota shares, extensions. Each is
+ * decoded from where the previous one ends, so writing stops at the first that doesn't fit. Returns
+ * bytes written. */
+static u_int appended_data_write(wb_edge_node_t *node, char *bytes, u_int room) {
     u_int poison = wb_edge_node_poison_write(node, bytes, room);
     if (poison == 0) {
         return 0;
@@ -127,7 +131,7 @@
     if (quota == 0) {
         return poison;
     }
-    return poison + quota + parts_write(bytes + poison + quota, room - poison - quota);
+    return poison + quota + extensions_write(bytes + poison + quota, room - poison - quota);
 }
 
 static void lease_write(wb_edge_node_t *node, const wb_lease_row_t *row, int64_t expected_version) {
@@ -135,31 +139,31 @@
     wb_wire_lease wire = wb_edge_node_lease_to_wire(row);
     wire.recent_loads = wb_controller_recent_loads(node->controller);
     XDR stream;
-    xdrmem_create(&stream, bytes, LEASE_BYTES, XDR_ENCODE);
-    gboolean whole = xdr_wb_wire_lease(&stream, &wire);
+    xdrmem_create(&stream, bytes, LEASE_MAX_BYTES, XDR_ENCODE);
+    gboolean encoded = xdr_wb_wire_lease(&stream, &wire);
     u_int length = xdr_getpos(&stream);
     xdr_destroy(&stream);
-    if (!whole) {
+    if (!encoded) {
         wb_event("lease-row-too-long", ",\"granted\":%u,\"inherited\":%u", row->granted_count,
                  row->inherited_count);
         wb_lease_on_not_written(node->lease, wb_clock_ms());
         return;
     }
-    length += extras_write(node, bytes + length, ROW_BYTES - length);
+    length += appended_data_write(node, bytes + length, ROW_BYTES - length);
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
     node->table->write(node->table, WB_LEASE_KEY, expected_version, (const guchar *)bytes, length,
-                       lease_answered, node);
+                       lease_write_done, node);
 }
 
-/* Nobody takes over from a holder before the store has answered since its last news: if it is away,
- * the holder lost it as well. */
-static gboolean store_answered(const wb_edge_node_t *node) {
+/* Don't take over before the store has answered a read that began after the holder's last update:
+ * if the store is unavailable, the holder has lost it as well. */
+static gboolean store_confirmed_since_update(const wb_edge_node_t *node) {
     return wb_lease_is_own(node->lease) || wb_lease_known(node->lease) == NULL ||
            wb_table_watch_known_ms(node->nodes_watch) >= node->update_received_ms;
 }
 
-/* Among nodes with different processors the strongest try first to take the lease over. */
-static void spread_set(wb_edge_node_t *node) {
+/* Makes the nodes with the strongest processors attempt a takeover first. */
+static void takeover_spread_set(wb_edge_node_t *node) {
     double own = node->edge.settings.processor_share;
     double strongest = own;
     int64_t strong_count = 0;
@@ -171,22 +175,24 @@
     }
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        strong_count += ((const wb_node_row_t *)value)->processor_share >= STRONG_SHARE * strongest;
+        strong_count +=
+            ((const wb_node_row_t *)value)->processor_share >= STRONG_PROCESSOR_RATIO * strongest;
     }
-    gboolean strong = own >= STRONG_SHARE * strongest;
-    int64_t rivals = strong ? strong_count : (int64_t)node->edge.node_count;
-    wb_lease_set_spread(node->lease, strong ? 0 : TAKEOVER_WEAK_MS,
-                        MAX(TAKEOVER_SPREAD_MS, TAKEOVER_GAP_MS * rivals));
+    gboolean strong = own >= STRONG_PROCESSOR_RATIO * strongest;
+    int64_t candidates = strong ? strong_count : (int64_t)node->edge.node_count;
+    wb_lease_set_spread(node->lease, strong ? 0 : TAKEOVER_WEAK_DELAY_MS,
+                        MAX(TAKEOVER_SPREAD_MS, TAKEOVER_GAP_MS * candidates));
 }
 
 void wb_edge_node_tick_lease(wb_edge_node_t *node, int64_t now_ms) {
     wb_lease_row_t row;
     int64_t expected_version;
     if (!node->lease_held && wb_edge_node_reads_engines(node)) {
-        spread_set(node);
+        takeover_spread_set(node);
     }
     if (wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->nodes_watch) &&
-        store_answered(node) && wb_lease_next_write(node->lease, now_ms, &row, &expected_version))
+        store_confirmed_since_update(node) &&
+        wb_lease_next_write(node->lease, now_ms, &row, &expected_version))
         lease_write(node, &row, expected_version);
     wb_edge_node_check_lease(node);
 }
@@ -201,7 +207,8 @@
     int64_t now_ms = wb_clock_ms();
     int64_t wait_ms = wb_lease_ask_order(node->lease, engine, now_ms);
     if (wait_ms < 0) {
-        /* The row that names the engine is written now, not at the next tick. */
+        /* The engine may be ordered only once the row names it, so write the row without waiting
+         * for the next tick. */
         wb_edge_node_tick_lease(node, now_ms);
     }
     return wait_ms;
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -1,18 +1,21 @@
-/* Links between gateways and the controller: what is asked for, and what engines hold. */
+/* Links between gateways and the controller: gateways send demand, the controller sends placement
+ * updates and load plans.
+ * Times are in ms. A link that can't be opened or breaks is retried after LINK_RETRY_MS. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
 #define LINK_RETRY_MS 150
-/* Names edge nodes in a hello. */
+/* Cluster name in the handshake, by which edge nodes recognize each other. */
 #define EDGE_CLUSTER "wickbridge-edge"
 
-/* Whether news are of the start of an engine that is known here. Those of a later one will count
- * once its row is read, which is done now; those of an earlier one are over. */
-static gboolean start_is_known(wb_edge_node_t *node, const wb_engine_t *engine,
-                               const wb_wire_starts *starts, guint i) {
+/* Returns TRUE when a placement entry concerns the known start of an engine. An entry for a later
+ * start becomes valid once that start's row is read, which is requested here; one for an earlier
+ * start is outdated. */
+static gboolean engine_start_matches(wb_edge_node_t *node, const wb_engine_t *engine,
+                                     const wb_wire_starts *starts, guint i) {
     if (i >= starts->born_ms.born_ms_len || starts->born_ms.born_ms_val[i] == 0) {
-        return TRUE; /* not told */
+        return TRUE; /* the sender didn't include it */
     }
     int64_t born_ms = (int64_t)starts->born_ms.born_ms_val[i];
     if (born_ms == engine->state->born_ms) {
@@ -42,16 +45,17 @@
              wb_event_text(entry->adapter), entry->held ? "true" : "false");
 }
 
-/* Takes news of models. @param parts of their message; NULL: they are this node's own */
-static void news_take(wb_edge_node_t *node, const wb_wire_placement *news,
-                      const wb_wire_parts *parts) {
+/* Applies a placement update. @param parts extensions of its message; NULL: it comes from this
+ * node's own controller */
+static void placements_take(wb_edge_node_t *node, const wb_wire_placement *placement,
+                            const wb_wire_parts *parts) {
     wb_edge_t *edge = &node->edge;
     wb_wire_starts starts = {{0, NULL}};
     if (parts != NULL) {
         wb_parts_read(parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
     }
-    for (guint i = 0; i < news->entries.entries_len; i++) {
-        const wb_wire_placement_entry *entry = &news->entries.entries_val[i];
+    for (guint i = 0; i < placement->entries.entries_len; i++) {
+        const wb_wire_placement_entry *entry = &placement->entries.entries_val[i];
         wb_engine_t *engine = wb_fleet_find(edge->fleet, entry->engine);
         if (engine == NULL) {
             if (!wb_edge_node_directory_placement(node, entry)) {
@@ -59,7 +63,7 @@
             }
             continue;
         }
-        if (start_is_known(node, engine, &starts, i)) {
+        if (engine_start_matches(node, engine, &starts, i)) {
             wb_edge_node_placement_take(node, engine, entry);
         }
     }
@@ -67,21 +71,21 @@
     wb_exchanges_retry_waiting(edge);
 }
 
-/* Requests whose model comes too late for them are refused now, with when it should be there. */
-static void plan_take(wb_edge_node_t *node, const wb_wire_load_plan *plan) {
+/* Requests that can't wait for their model's expected load time are refused now, with that time. */
+static void load_plan_take(wb_edge_node_t *node, const wb_wire_load_plan *plan) {
     for (guint i = 0; i < plan->entries.entries_len; i++) {
         const wb_wire_load_plan_entry *entry = &plan->entries.entries_val[i];
         wb_exchanges_expect(&node->edge, plan->service, entry->model, entry->ready_in_ms);
     }
 }
 
-void wb_edge_node_publish(const wb_wire_message *news, void *context) {
+void wb_edge_node_publish(const wb_wire_message *message, void *context) {
     wb_edge_node_t *node = context;
-    wb_edge_node_broadcast(node, news);
-    if (news->kind == WB_WIRE_LOAD_PLAN)
-        plan_take(node, &news->wb_wire_message_u.load_plan);
+    wb_edge_node_broadcast(node, message);
+    if (message->kind == WB_WIRE_LOAD_PLAN)
+        load_plan_take(node, &message->wb_wire_message_u.load_plan);
     else
-        news_take(node, &news->wb_wire_message_u.placement, NULL);
+        placements_take(node, &message->wb_wire_message_u.placement, NULL);
 }
 
 void wb_edge_node_gateway_free(gpointer data) {
@@ -91,7 +95,6 @@
     g_free(gateway);
 }
 
-/* Tells which form of messages this node reads. Nodes that know no forms pass over it. */
 void wb_edge_node_handshake_send(const wb_edge_node_t *node, wb_link_t *link) {
     wb_wire_message message = {.kind = WB_WIRE_HELLO};
     message.wb_wire_message_u.hello = (wb_wire_hello){.cluster = EDGE_CLUSTER,
@@ -182,17 +185,16 @@
     wb_message_clear(&message);
 }
 
-static void need_tell(void *context) {
+static void demand_timer_fired(void *context) {
     wb_edge_node_t *node = context;
     node->demand_timer = NULL;
     wb_edge_node_send_demand(node);
 }
 
-/* Someone waits for what isn't loaded: tell the controller once this round's requests are in. */
 void wb_edge_node_demand_pending(void *context) {
     wb_edge_node_t *node = context;
     if (node->demand_timer == NULL)
-        node->demand_timer = wb_loop_after(node->edge.loop, 0, need_tell, node);
+        node->demand_timer = wb_loop_after(node->edge.loop, 0, demand_timer_fired, node);
     wb_edge_node_expedite_engines(node);
 }
 
@@ -214,9 +216,9 @@
     if (message->kind == WB_WIRE_HELLO)
         wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
     else if (message->kind == WB_WIRE_PLACEMENT)
-        news_take(context, &message->wb_wire_message_u.placement, wb_link_parts(link));
+        placements_take(context, &message->wb_wire_message_u.placement, wb_link_parts(link));
     else if (message->kind == WB_WIRE_LOAD_PLAN)
-        plan_take(context, &message->wb_wire_message_u.load_plan);
+        load_plan_take(context, &message->wb_wire_message_u.load_plan);
     else if (message->kind == WB_WIRE_POISON)
         wb_edge_node_poison_take(context, &message->wb_wire_message_u.poison);
     else if (message->kind == WB_WIRE_QUOTA)
@@ -235,7 +237,7 @@
     wb_event("controller-lost", ",\"address\":\"%s\",\"reason\":\"%s\"", node->controller_address,
              reason);
     node->controller_link = NULL;
-    /* Its last word on the lease may not have come. */
+    /* The holder's last lease update may have been lost with the link. */
     if (node->controller_link_open)
         wb_table_watch_look(node->nodes_watch);
     node->controller_link_open = FALSE;
@@ -253,7 +255,6 @@
         node->link_retry_ms = wb_clock_ms() + LINK_RETRY_MS;
 }
 
-/* Keeps one link to whoever holds the lease, unless it is this node. */
 void wb_edge_node_tick_link(wb_edge_node_t *node, int64_t now_ms) {
     const wb_lease_row_t *known = wb_lease_known(node->lease);
     gboolean wanted =
--- a/src/edge/node_news.c
+++ b/src/edge/node_news.c
@@ -1,47 +1,52 @@
-/* What the lease's holder reads in the store, told to all gateways so that they need not ask. */
+/* Store updates: the lease holder sends gateways what it reads in the store, so that they need not
+ * poll it. Also sets how often each node polls each table.
+ * Times are in ms. A gateway that stops receiving updates polls the store itself. */
 #include "edge/edge_node_types.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define NEWS_INTERVAL_MS 300
-/* Rows that would take more than this over all links are left out: gateways look themselves. */
-#define NEWS_LIMIT_BYTES (768 * 1024)
-/* What the holder has read stands for an own call for this share of the time in which a change must
- * be known: longer than a lease takes to change hands (2.2 s of 4), and an own call still has a
- * second or more. */
-#define TRUST_SHARE 0.6
-/* What the holder tells must still be fresh at gateways: its own calls take this share of the time
- * for which theirs would be trusted. */
-#define HOLDER_SHARE 0.33
-/* Without news, engines are asked for so often in the time that a drain may take. */
-#define DRAIN_LOOKS 3
-/* Configurations are told by their version, and nodes come and go slowly: own looks at them are so
- * many times rarer than those at engines, whose models change all the time. */
-#define SELDOM_TIMES 2
-/* Who follows nodes looks at their rows some times in their life. The others look once in it: each
- * row is renewed three times meanwhile, and the holder tells of those that come and go. */
-#define NODE_LOOK_SHARE 0.25
-/* What was read whole is taken for fresh for this share of the time for which others' reading is:
- * by then, at a start, the holder's news have come. */
-#define READ_SHARE 0.5
+#define UPDATE_INTERVAL_MS 300
+/* Rows that would take more than this over all links are not sent; gateways poll the store instead.
+ */
+#define UPDATE_MAX_BYTES (768 * 1024)
+/* The holder's read of a table stands for an own read for this share of the time within which a
+ * change must be known. That covers a change of the lease holder, and still leaves time for an own
+ * read. */
+#define FRESH_SHARE 0.6
+/* The holder polls this much more often, so that its reads are still fresh when gateways receive
+ * them. */
+#define HOLDER_POLL_SHARE 0.33
+/* Without updates, engines are polled this many times in the drain time. */
+#define POLLS_PER_DRAIN 3
+/* Safety polls of the catalog and of nodes are this many times rarer than those of engines. The
+ * updates name the newest configuration, and nodes come and go slowly. */
+#define SAFETY_MULTIPLE 2
+/* A node that polls for changes of nodes reads the table several times in a row's lifetime. With
+ * updates it reads the table once in that time: each row is renewed several times in it, and the
+ * holder sends nodes that come and go. */
+#define NODE_POLL_SHARE 0.25
+/* A full read counts as fresh for this share of the time for which the holder's reads do: after a
+ * start, updates arrive by then. */
+#define FULL_READ_FRESH_SHARE 0.5
 #define CATALOG_PAUSE_MS 20
-/* When configurations come in quick succession, a gateway reads so many of them in the time within
- * which each must be in force; the first of them at once. */
-#define CATALOG_LOOKS 8
+/* When configurations follow each other quickly, a gateway reads this many of them in the time
+ * within which each must be in force; the first of them at once. */
+#define CATALOG_POLLS 8
 #define ENGINES_WAIT_MS 1000
-/* A store that doesn't answer is asked for one table; the others follow once that answers. */
-#define RETRY_OFTEN_MS 1200
-#define RETRY_RARELY_MS 2400
-/* While the table that is asked often fails too, the others wait to be woken by it. */
-#define RETRY_WOKEN_MS 10000
-/* A call for changes is answered as soon as there is one, so a long one costs nothing but the time
- * until a silent store is noticed. */
+/* While the store is unavailable only the nodes table is polled often; once it answers, the others
+ * are polled too. */
+#define RETRY_NODES_MS 1200
+#define RETRY_OTHERS_MS 2400
+/* While polls of the nodes table fail as well, the others wait until one of them succeeds. */
+#define RETRY_OTHERS_LOST_MS 10000
+/* Calls for changes are long polls: a long wait saves calls and only delays the detection of an
+ * unresponsive store. */
 #define NODES_WAIT_MS 3000
 #define NODES_PAUSE_MS 1000
-#define NODES_LOOK_MS 100
-/* The lease's row comes with the news itself; nodes come and go slowly. */
-#define NODES_TRUST_MS 3000
+#define NODES_CHANGE_MS 100
+/* The lease row itself arrives with each update, and nodes come and go slowly. */
+#define NODES_FRESH_MS 3000
 
 wb_table_watch_t *wb_edge_node_watch(const wb_edge_node_t *node, unsigned table) {
     switch (table) {
@@ -59,51 +64,55 @@
 wb_table_pace_t wb_edge_node_poll_policy(const wb_edge_node_t *node, wb_table_name_t table) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     int64_t safety_ms = (int64_t)(settings->store_look_s * 1000);
-    int64_t seldom_ms = SELDOM_TIMES * safety_ms;
+    int64_t long_safety_ms = SAFETY_MULTIPLE * safety_ms;
     int64_t node_life_ms = (int64_t)(settings->node_life_s * 1000);
-    int64_t node_ms = (int64_t)(NODE_LOOK_SHARE * (double)node_life_ms);
+    int64_t node_ms = (int64_t)(NODE_POLL_SHARE * (double)node_life_ms);
     int64_t trust_ms;
     int64_t hold_ms;
     int64_t pause_ms;
-    int64_t retry_ms = node->store_unavailable[WB_TABLE_NODES] ? RETRY_WOKEN_MS : RETRY_RARELY_MS;
+    int64_t retry_ms =
+        node->store_unavailable[WB_TABLE_NODES] ? RETRY_OTHERS_LOST_MS : RETRY_OTHERS_MS;
     switch (table) {
     case WB_TABLE_CATALOG:
-        trust_ms = (int64_t)(TRUST_SHARE * (double)settings->catalog_ms);
-        hold_ms =
-            node->lease_held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : settings->catalog_ms;
-        pause_ms = node->lease_held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_LOOKS;
+        trust_ms = (int64_t)(FRESH_SHARE * (double)settings->catalog_ms);
+        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)trust_ms)
+                                   : settings->catalog_ms;
+        pause_ms = node->lease_held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_POLLS;
         return (wb_table_pace_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
                                  .trust_ms = trust_ms,
                                  .look_ms = pause_ms,
-                                 .safety_ms = seldom_ms,
+                                 .safety_ms = long_safety_ms,
                                  .retry_ms = retry_ms,
-                                 .read_trust_ms = (int64_t)(READ_SHARE * (double)trust_ms)};
+                                 .read_trust_ms =
+                                     (int64_t)(FULL_READ_FRESH_SHARE * (double)trust_ms)};
     case WB_TABLE_ENGINES:
-        trust_ms = (int64_t)(TRUST_SHARE * (double)settings->drain_ms);
-        hold_ms = node->lease_held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
+        trust_ms = (int64_t)(FRESH_SHARE * (double)settings->drain_ms);
+        hold_ms =
+            node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
         pause_ms = node->lease_held
                        ? hold_ms
-                       : MAX(settings->engine_poll_ms, settings->drain_ms / DRAIN_LOOKS);
+                       : MAX(settings->engine_poll_ms, settings->drain_ms / POLLS_PER_DRAIN);
         return (wb_table_pace_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
                                  .trust_ms = trust_ms,
-                                 .look_ms = settings->drain_ms / DRAIN_LOOKS,
+                                 .look_ms = settings->drain_ms / POLLS_PER_DRAIN,
                                  .safety_ms = safety_ms,
                                  .retry_ms = retry_ms,
-                                 .read_trust_ms = (int64_t)(READ_SHARE * (double)trust_ms)};
+                                 .read_trust_ms =
+                                     (int64_t)(FULL_READ_FRESH_SHARE * (double)trust_ms)};
     default:
-        /* Who holds the lease shows in this table only, so it is followed at once. */
+        /* Only this table shows who holds the lease, so it is polled from the start. */
         return (wb_table_pace_t){.wait_ms = MIN(NODES_WAIT_MS, node_ms),
                                  .pause_ms = MIN(NODES_PAUSE_MS, node_ms),
-                                 .trust_ms = NODES_TRUST_MS,
-                                 .look_ms = NODES_LOOK_MS,
-                                 .safety_ms = MIN(seldom_ms, node_life_ms),
-                                 .retry_ms = RETRY_OFTEN_MS};
+                                 .trust_ms = NODES_FRESH_MS,
+                                 .look_ms = NODES_CHANGE_MS,
+                                 .safety_ms = MIN(long_safety_ms, node_life_ms),
+                                 .retry_ms = RETRY_NODES_MS};
     }
 }
 
-static void news_clear(wb_edge_node_t *node) {
+static void update_clear(wb_edge_node_t *node) {
     for (guint i = 0; i < node->update_rows->len; i++)
         xdr_free((xdrproc_t)xdr_wb_wire_table_row,
                  &g_array_index(node->update_rows, wb_wire_table_row, i));
@@ -130,47 +139,48 @@
     if (!node->lease_held || node->update_overflow)
         return;
     node->update_bytes += strlen(row->key) + row->length;
-    if (node->update_bytes * g_hash_table_size(node->gateways) > NEWS_LIMIT_BYTES) {
-        news_clear(node);
+    if (node->update_bytes * g_hash_table_size(node->gateways) > UPDATE_MAX_BYTES) {
+        update_clear(node);
         node->update_overflow = TRUE;
         return;
     }
     wb_edge_node_wire_row_add(node->update_rows, table, row);
 }
 
-static unsigned age_of(const wb_table_watch_t *watch, int64_t now_ms) {
+static unsigned age_ms(const wb_table_watch_t *watch, int64_t now_ms) {
     int64_t known_ms = wb_table_watch_known_ms(watch);
     return known_ms == 0 ? G_MAXUINT : (unsigned)CLAMP(now_ms - known_ms, 0, G_MAXINT);
 }
 
-/* Engines' and nodes' rows change all the time in ways that gateways need not know at once, so
- * only the catalog's newest row is told. */
-static void news_tell(wb_edge_node_t *node, int64_t now_ms) {
+/* Sends the view of each table and the queued rows. Only the catalog's view names the version of
+ * the newest row: engine and node rows change all the time in ways that gateways need not know at
+ * once. */
+static void update_send(wb_edge_node_t *node, int64_t now_ms) {
     const wb_lease_row_t *lease = wb_lease_known(node->lease);
     if (lease == NULL)
         return;
     wb_wire_table_view views[] = {
         {WB_TABLE_CATALOG, (uint64_t)wb_table_watch_newest_row(node->catalog_watch),
-         age_of(node->catalog_watch, now_ms)},
+         age_ms(node->catalog_watch, now_ms)},
         {WB_TABLE_ENGINES, wb_fleet_digest(node->edge.fleet, now_ms),
-         age_of(node->engines_watch, now_ms)},
-        {WB_TABLE_NODES, 0, age_of(node->nodes_watch, now_ms)},
+         age_ms(node->engines_watch, now_ms)},
+        {WB_TABLE_NODES, 0, age_ms(node->nodes_watch, now_ms)},
         {WB_UPDATE_NODE_IDS, wb_equal_share_digest(node->edge.share),
-         age_of(node->nodes_watch, now_ms)}, /* the last: left out while it isn't due */
+         age_ms(node->nodes_watch, now_ms)}, /* must be last: left out unless it is due */
     };
     wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
-    wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
-    news->views.views_len = G_N_ELEMENTS(views) - !wb_edge_node_share_digest_is_due(node, now_ms);
-    news->views.views_val = views;
-    wb_lease_row_t in_short = wb_edge_node_lease_without_grants(lease);
-    news->lease = wb_edge_node_lease_to_wire(&in_short);
-    news->lease_version = (uint64_t)wb_lease_version(node->lease);
+    wb_wire_store_news *update = &message.wb_wire_message_u.store_news;
+    update->views.views_len = G_N_ELEMENTS(views) - !wb_edge_node_share_digest_is_due(node, now_ms);
+    update->views.views_val = views;
+    wb_lease_row_t lease_copy = wb_edge_node_lease_without_grants(lease);
+    update->lease = wb_edge_node_lease_to_wire(&lease_copy);
+    update->lease_version = (uint64_t)wb_lease_version(node->lease);
     wb_edge_node_zones_append(node, node->update_rows);
-    news->rows.rows_len = node->update_rows->len;
-    news->rows.rows_val = (wb_wire_table_row *)(void *)node->update_rows->data;
-    news->look = node->update_overflow;
+    update->rows.rows_len = node->update_rows->len;
+    update->rows.rows_val = (wb_wire_table_row *)(void *)node->update_rows->data;
+    update->look = node->update_overflow;
     wb_edge_node_broadcast(node, &message);
-    news_clear(node);
+    update_clear(node);
     node->update_overflow = FALSE;
     node->update_sent_ms = now_ms;
 }
@@ -184,25 +194,25 @@
 
 void wb_edge_node_tick_updates(wb_edge_node_t *node, int64_t now_ms) {
     if (!node->lease_held) {
-        news_clear(node);
+        update_clear(node);
         node->update_overflow = FALSE;
         return;
     }
     gboolean pending = node->update_rows->len > 0 || node->update_overflow;
-    if (pending || now_ms - node->update_sent_ms >= NEWS_INTERVAL_MS)
-        news_tell(node, now_ms);
+    if (pending || now_ms - node->update_sent_ms >= UPDATE_INTERVAL_MS)
+        update_send(node, now_ms);
 }
 
-/* Whether nothing that the holder knows of engines can be missing here: this node has itself read
- * them after the link came up (what changed before then, the holder may have told others only), or
- * it knows the very same engines and models. */
-static gboolean engines_are_complete(const wb_edge_node_t *node, uint64_t holder_digest) {
+/* Returns TRUE when no engine that the holder knows can be missing here: this node has read the
+ * table since the link was opened (earlier changes may have been sent to other gateways only), or
+ * both know the same engines and models. */
+static gboolean engines_match_holder(const wb_edge_node_t *node, uint64_t holder_digest) {
     return wb_table_watch_known_ms(node->engines_watch) > node->link_opened_ms ||
            wb_fleet_digest(node->edge.fleet, wb_clock_ms()) == holder_digest;
 }
 
-/* The holder's reading of a table stands for an own one. Of the catalog it tells the newest version
- * each time, and a node that is missed only counts later. */
+/* Counts the holder's read of a table as an own one. For the catalog the view names the newest
+ * version, and a missed node row matters only later. */
 static void view_take(wb_edge_node_t *node, const wb_wire_table_view *view, int64_t now_ms) {
     if (view->table == WB_UPDATE_NODE_IDS) {
         wb_edge_node_share_take_digest(node, view, now_ms);
@@ -212,11 +222,11 @@
     if (watch == NULL || !wb_table_watch_is_synced(watch))
         return;
     if (view->table == WB_TABLE_ENGINES && !wb_edge_node_reads_engines(node))
-        return; /* the relay tells how old its rows are */
+        return; /* the relay sends the age of its rows */
     int64_t known_ms = now_ms - (int64_t)view->age_ms;
     if (view->table != WB_TABLE_ENGINES)
         wb_table_watch_vouch(watch, (int64_t)view->newest, known_ms);
-    else if (engines_are_complete(node, view->newest))
+    else if (engines_match_holder(node, view->newest))
         wb_table_watch_vouch(watch, 0, known_ms);
 }
 
@@ -230,26 +240,26 @@
                           wire->value.value_len, (int64_t)wire->row_version};
     if (wire->table == WB_TABLE_ENGINES && !wb_edge_node_reads_engines(node) &&
         wb_fleet_find(node->edge.fleet, wire->key) == NULL)
-        return; /* none that callers here need */
+        return; /* not needed by the clients of this node */
     if (watch != NULL)
         wb_table_watch_take(watch, &row);
 }
 
-void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *news) {
-    wb_lease_row_t lease = wb_edge_node_lease_from_wire(&news->lease);
-    wb_lease_on_row(node->lease, &lease, (int64_t)news->lease_version, wb_clock_ms());
+void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *update) {
+    wb_lease_row_t lease = wb_edge_node_lease_from_wire(&update->lease);
+    wb_lease_on_row(node->lease, &lease, (int64_t)update->lease_version, wb_clock_ms());
 }
 
-void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_news *news) {
+void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_news *update) {
     int64_t now_ms = wb_clock_ms();
     node->update_received_ms = now_ms;
-    wb_edge_node_take_announcement(node, news);
-    for (guint i = 0; i < news->rows.rows_len; i++)
-        row_take(node, &news->rows.rows_val[i]);
-    if (news->look)
+    wb_edge_node_take_announcement(node, update);
+    for (guint i = 0; i < update->rows.rows_len; i++)
+        row_take(node, &update->rows.rows_val[i]);
+    if (update->look)
         wb_table_watch_look(node->engines_watch);
-    for (guint i = 0; i < news->views.views_len; i++)
-        view_take(node, &news->views.views_val[i], now_ms);
+    for (guint i = 0; i < update->views.views_len; i++)
+        view_take(node, &update->views.views_val[i], now_ms);
 }
 
 gboolean wb_edge_node_has_recent_updates(const wb_edge_node_t *node) {
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -106,10 +106,10 @@
     } else {
         wb_parts_read(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     }
-    if (writer.form != node->lease_protocol_version) {
+    if (writer.form != node->lease_format_version) {
         wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORM);
     }
-    node->lease_protocol_version = writer.form;
+    node->lease_format_version = writer.form;
     wb_parts_clear(&parts);
 }
 
@@ -149,13 +149,13 @@
     g_autofree char *text = g_strndup((const char *)row->value, row->length);
     g_auto(GStrv) words = g_strsplit(text, " ", NODE_ROW_WORDS + 1);
     guint count = g_strv_length(words);
-    known->protocol_version = 1;
+    known->format_version = 1;
     if (count < 2) {
         return; /* an older form, which tells nothing */
     }
     known->address = g_strdup(words[0]);
     known->processor_share = count > 2 ? g_ascii_strtod(words[2], NULL) : 0;
-    known->protocol_version = count > 3 ? (unsigned)g_ascii_strtoull(words[3], NULL, 10) : 1;
+    known->format_version = count > 3 ? (unsigned)g_ascii_strtoull(words[3], NULL, 10) : 1;
 }
 
 void wb_edge_node_row_free(gpointer data) {
