--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -1,25 +1,23 @@
-/* What engines are and have, over all nodes: who keeps the book, what it is told, and what it
- * tells.
- *
- * The node that gateways report to keeps it; the reports ride on the messages of demand. What it
- * tells is bounded by a number of bytes a second over all gateways: with 89 of them and the usual
- * settings that is 70 engines in each message, with 300 it is 20. */
+/* Pace and load of engines over all nodes: gateways report them to the aggregator in demand
+ * messages, and the aggregator sends the aggregate to all gateways.
+ * The settings load-news-ms and load-news-bytes-per-s limit how often and how much is sent, over
+ * all gateways together. Times are in ms, paces in percent of the baseline. */
 #include "edge/edge_node_types.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes of an engine in a message to gateways. */
+/* Encoded size of an engine in a message to gateways. */
 #define ENTRY_BYTES 16
-/* What is told counts until its teller hasn't been heard for so long: it tells other news each
- * 300 ms while it may give orders. */
+/* Received loads stay valid until the aggregator was unresponsive for this long; while it holds the
+ * lease it sends store updates each 300 ms. */
 #define LOADS_LIFE_MS 2000
-/* An engine that is so far behind answers most requests late: targets are 0.5 to 5 s. */
-#define BEHIND_MS 1000.0
+/* Least backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
+#define BACKLOG_LOG_MS 1000.0
 #define LOG_INTERVAL_MS 1000
 
-/* What there is to tell of an engine, or FALSE. */
-static gboolean use_take(wb_engine_t *engine, wb_wire_engine_use *use) {
+/* Takes an engine's unreported use and resets it. Returns FALSE when there is none. */
+static gboolean engine_use_take(wb_engine_t *engine, wb_wire_engine_use *use) {
     if (engine->tokens_sent <= 0 && engine->pace_heard == 0) {
         return FALSE;
     }
@@ -38,7 +36,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_engine_t *engine = value;
         engine->pace_heard = wb_engine_pace_heard(&engine->pace, now_ms);
-        /* What was sent while nobody was told is read by now, or its callers have left. */
+        /* Tokens sent before the link was open have been processed by now, or their clients have
+         * left. */
         engine->tokens_sent = 0;
     }
 }
@@ -56,7 +55,7 @@
     g_hash_table_iter_init(&iter, engines);
     while (g_hash_table_iter_next(&iter, NULL, &engine) &&
            demand->engines.engines_len < WB_WIRE_LIST_MAX) {
-        if (use_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
+        if (engine_use_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
             demand->engines.engines_len++;
         }
     }
@@ -72,12 +71,12 @@
     wb_pace_book_report(node->pace_book, reports, count, wb_clock_ms());
 }
 
-void wb_edge_node_pace_take_loads(wb_edge_node_t *node, const wb_wire_engine_loads *told) {
+void wb_edge_node_pace_take_loads(wb_edge_node_t *node, const wb_wire_engine_loads *loads) {
     node->pace_received_ms = wb_clock_ms();
     node->edge.metrics.load_news++;
     g_autoptr(GHashTable) by_key = g_hash_table_new(NULL, NULL);
-    for (guint i = 0; i < told->engines.engines_len; i++) {
-        const wb_wire_engine_load *load = &told->engines.engines_val[i];
+    for (guint i = 0; i < loads->engines.engines_len; i++) {
+        const wb_wire_engine_load *load = &loads->engines.engines_val[i];
         g_hash_table_insert(by_key, GUINT_TO_POINTER(load->engine), (gpointer)load);
     }
     GHashTableIter iter;
@@ -97,10 +96,10 @@
     }
 }
 
-/* Sends engines' figures to one gateway, or to all and this node itself. */
-static void loads_tell(wb_edge_node_t *node, wb_link_t *link, const GArray *loads) {
+/* Sends engine loads to one gateway, or with a NULL link to all and this node itself. */
+static void loads_send(wb_edge_node_t *node, wb_link_t *link, const GArray *loads) {
     wb_wire_message message = {.kind = WB_WIRE_ENGINE_LOADS};
-    wb_wire_engine_loads *told = &message.wb_wire_message_u.engine_loads;
+    wb_wire_engine_loads *message_loads = &message.wb_wire_message_u.engine_loads;
     guint count = MIN(loads->len, WB_WIRE_LIST_MAX);
     g_autofree wb_wire_engine_load *entries = g_new0(wb_wire_engine_load, MAX(count, 1));
     for (guint i = 0; i < count; i++) {
@@ -108,39 +107,39 @@
         entries[i] = (wb_wire_engine_load){load->engine, load->pace_percent, load->tokens_per_s,
                                            load->backlog_ms};
     }
-    told->engines.engines_len = count;
-    told->engines.engines_val = entries;
+    message_loads->engines.engines_len = count;
+    message_loads->engines.engines_val = entries;
     if (link != NULL) {
         wb_link_send(link, &message);
         return;
     }
     wb_edge_node_broadcast(node, &message);
-    wb_edge_node_pace_take_loads(node, told);
+    wb_edge_node_pace_take_loads(node, message_loads);
 }
 
 void wb_edge_node_pace_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
     g_autoptr(GArray) loads = wb_pace_book_told(node->pace_book);
     if (wb_edge_node_is_aggregator(node) && loads->len > 0) {
-        loads_tell(node, link, loads);
+        loads_send(node, link, loads);
     }
 }
 
-/* Whether figures that haven't been told anew still hold: their teller is heard. */
-static gboolean loads_are_known(const wb_edge_node_t *node, int64_t now_ms) {
-    int64_t heard_ms = MAX(node->update_received_ms, node->pace_received_ms);
+/* Returns TRUE while loads that were not sent again are still valid: the aggregator is reachable.
+ */
+static gboolean loads_are_current(const wb_edge_node_t *node, int64_t now_ms) {
+    int64_t received_ms = MAX(node->update_received_ms, node->pace_received_ms);
     return node->pace_aggregator ||
-           (node->controller_link_open && now_ms - heard_ms < LOADS_LIFE_MS);
+           (node->controller_link_open && now_ms - received_ms < LOADS_LIFE_MS);
 }
 
-/* Once a second, who is furthest behind, if that is long: operators see where requests are refused.
- */
-static void behind_log(wb_edge_node_t *node, int64_t now_ms) {
+/* Logs the engine with the largest backlog, at most once per interval. */
+static void backlog_log(wb_edge_node_t *node, int64_t now_ms) {
     if (now_ms - node->pace_logged_ms < LOG_INTERVAL_MS) {
         return;
     }
     double backlog_ms;
     const char *engine = wb_pace_book_furthest_behind(node->pace_book, now_ms, &backlog_ms);
-    if (engine == NULL || backlog_ms < BEHIND_MS) {
+    if (engine == NULL || backlog_ms < BACKLOG_LOG_MS) {
         return;
     }
     node->pace_logged_ms = now_ms;
@@ -150,25 +149,25 @@
 
 void wb_edge_node_tick_pace(wb_edge_node_t *node, int64_t now_ms) {
     const wb_edge_settings_t *settings = &node->edge.settings;
-    gboolean keeper = wb_edge_node_is_aggregator(node);
-    if (keeper && !node->pace_aggregator) {
+    gboolean aggregator = wb_edge_node_is_aggregator(node);
+    if (aggregator && !node->pace_aggregator) {
         wb_pace_book_tell_all(node->pace_book);
         wb_edge_node_pace_link_open(node);
     }
-    node->pace_aggregator = keeper;
-    node->edge.loads_known = loads_are_known(node, now_ms);
-    if (!keeper || settings->engine_pace == 0 || settings->load_news_ms == 0 ||
+    node->pace_aggregator = aggregator;
+    node->edge.loads_known = loads_are_current(node, now_ms);
+    if (!aggregator || settings->engine_pace == 0 || settings->load_news_ms == 0 ||
         now_ms - node->pace_sent_ms < settings->load_news_ms) {
         return;
     }
     node->pace_sent_ms = now_ms;
-    behind_log(node, now_ms);
+    backlog_log(node, now_ms);
     double bytes = (double)settings->load_news_bytes_per_s * (double)settings->load_news_ms / 1000;
     size_t gateways = MAX(g_hash_table_size(node->gateways), 1);
-    size_t most = MAX((size_t)(bytes / ENTRY_BYTES) / gateways, 1);
+    size_t max_engines = MAX((size_t)(bytes / ENTRY_BYTES) / gateways, 1);
     g_autoptr(GArray) loads =
-        wb_pace_book_changes(node->pace_book, MIN(most, WB_WIRE_LIST_MAX), now_ms);
+        wb_pace_book_changes(node->pace_book, MIN(max_engines, WB_WIRE_LIST_MAX), now_ms);
     if (loads->len > 0) {
-        loads_tell(node, NULL, loads);
+        loads_send(node, NULL, loads);
     }
 }
--- a/src/edge/node_poison.c
+++ b/src/edge/node_poison.c
@@ -1,17 +1,18 @@
-/* Requests that crash engines, known to all nodes and after all starts.
- *
- * A node that sees an engine end under a request tells the node that the lease names, which tells
- * all others: two messages, some milliseconds, against the seconds in which a caller repeats. What
- * is held against repeated requests also stands in the store behind the lease's row, which is
- * renewed twice a second: so it outlives the holder, and all nodes at once, at no call more. A new
- * holder is told by every gateway all that it knows, so nothing is lost while the store is away. */
+/* Poison requests (those that crash engines): shares them between nodes and keeps them over
+ * restarts.
+ * A node that sees an engine crash under a request sends the entry to the aggregator. That sends
+ * entries of WB_POISON_TOLD_ENGINES engines and more to all gateways, and the lease holder appends
+ * them to the lease row: they survive the loss of all nodes, at no additional store call, as the
+ * lease is renewed anyway. A new aggregator receives all entries from every gateway, so none are
+ * lost while the store is unavailable.
+ * Remaining lifetimes are sent in ms. Malformed entries in the lease row are logged and ignored. */
 #include "edge/edge_node_types.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* As long as the setting poison-kept-s may be: a day. */
-#define LEFT_MOST_MS (24 * 3600 * 1000U)
+/* The maximum of the setting poison-kept-s. */
+#define LEFT_MAX_MS (24 * 3600 * 1000U)
 
 G_STATIC_ASSERT(WB_WIRE_DIGEST_BYTES == WB_REQUEST_DIGEST_BYTES);
 G_STATIC_ASSERT(WB_WIRE_POISON_ENGINES == WB_POISON_ENGINES_KEPT);
@@ -19,7 +20,7 @@
 static wb_wire_poison_entry entry_to_wire(const wb_poison_entry_t *entry, int64_t now_ms) {
     wb_wire_poison_entry wire = {.body_bytes = entry->body_bytes, .forgiven = entry->forgiven};
     memcpy(wire.digest, entry->digest.bytes, sizeof(wire.digest));
-    wire.left_ms = (u_int)CLAMP(entry->until_ms - now_ms, 1, LEFT_MOST_MS);
+    wire.left_ms = (u_int)CLAMP(entry->until_ms - now_ms, 1, LEFT_MAX_MS);
     wire.engines.engines_len = entry->engine_count;
     wire.engines.engines_val = malloc(sizeof(entry->engines));
     memcpy(wire.engines.engines_val, entry->engines, sizeof(entry->engines));
@@ -29,7 +30,7 @@
 static wb_poison_entry_t entry_from_wire(const wb_wire_poison_entry *wire, int64_t now_ms) {
     wb_poison_entry_t entry = {.body_bytes = wire->body_bytes, .forgiven = wire->forgiven};
     memcpy(entry.digest.bytes, wire->digest, sizeof(entry.digest.bytes));
-    entry.until_ms = now_ms + MIN(wire->left_ms, LEFT_MOST_MS);
+    entry.until_ms = now_ms + MIN(wire->left_ms, LEFT_MAX_MS);
     entry.engine_count = MIN(wire->engines.engines_len, WB_POISON_ENGINES_KEPT);
     if (entry.engine_count > 0) {
         memcpy(entry.engines, wire->engines.engines_val, entry.engine_count * sizeof(uint64_t));
@@ -37,24 +38,25 @@
     return entry;
 }
 
-/* Returns what has changed since a version of the book and concerns at least so many engines; to be
- * freed with xdr_free. */
-static wb_wire_poison entries_collect(const wb_edge_node_t *node, uint64_t since, guint engines) {
+/* Returns the entries that changed after a version of the registry and concern at least min_engines
+ * engines; to be freed with xdr_free. */
+static wb_wire_poison entries_collect(const wb_edge_node_t *node, uint64_t since,
+                                      guint min_engines) {
     int64_t now_ms = wb_clock_ms();
     const wb_list_t *entries = wb_poison_book_entries(node->edge.poison);
     wb_wire_poison wire = {{0, calloc(MAX(entries->len, 1), sizeof(wb_wire_poison_entry))}};
     WB_LIST_EACH(item, entries) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
-        if (entry->changed > since && entry->engine_count >= engines) {
+        if (entry->changed > since && entry->engine_count >= min_engines) {
             wire.entries.entries_val[wire.entries.entries_len++] = entry_to_wire(entry, now_ms);
         }
     }
     return wire;
 }
 
-static void message_tell(wb_edge_node_t *node, wb_link_t *link, uint64_t since, guint engines) {
+static void entries_send(wb_edge_node_t *node, wb_link_t *link, uint64_t since, guint min_engines) {
     wb_wire_message message = {.kind = WB_WIRE_POISON};
-    message.wb_wire_message_u.poison = entries_collect(node, since, engines);
+    message.wb_wire_message_u.poison = entries_collect(node, since, min_engines);
     if (message.wb_wire_message_u.poison.entries.entries_len > 0) {
         if (link != NULL) {
             wb_link_send(link, &message);
@@ -65,77 +67,78 @@
     wb_message_clear(&message);
 }
 
-/* Tells what has changed since this was done last: to gateways, or to the node that keeps count. */
-static void changes_tell(wb_edge_node_t *node) {
+/* Sends the changes since the last call: to all gateways, or to the aggregator. */
+static void changes_send(wb_edge_node_t *node) {
     uint64_t version = wb_poison_book_version(node->edge.poison);
     if (wb_edge_node_is_aggregator(node)) {
-        message_tell(node, NULL, node->poison_sent_version, WB_POISON_TOLD_ENGINES);
+        entries_send(node, NULL, node->poison_sent_version, WB_POISON_TOLD_ENGINES);
     } else if (node->controller_link_open) {
-        message_tell(node, node->controller_link, node->poison_sent_version, 1);
+        entries_send(node, node->controller_link, node->poison_sent_version, 1);
     } else {
-        return; /* all is told once there is a link */
+        return; /* all entries are sent once the link is open */
     }
     node->poison_sent_version = version;
 }
 
 void wb_edge_node_poison_changed(void *context) {
-    changes_tell(context);
+    changes_send(context);
 }
 
 void wb_edge_node_poison_link_open(wb_edge_node_t *node) {
     node->poison_sent_version = 0;
-    changes_tell(node);
+    changes_send(node);
 }
 
 void wb_edge_node_poison_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
     if (wb_edge_node_is_aggregator(node)) {
-        message_tell(node, link, 0, WB_POISON_TOLD_ENGINES);
+        entries_send(node, link, 0, WB_POISON_TOLD_ENGINES);
     }
 }
 
 void wb_edge_node_tick_poison(wb_edge_node_t *node) {
-    gboolean keeper = wb_edge_node_is_aggregator(node);
-    if (keeper && !node->poison_aggregator) {
+    gboolean aggregator = wb_edge_node_is_aggregator(node);
+    if (aggregator && !node->poison_aggregator) {
         node->poison_sent_version = 0;
-        changes_tell(node);
+        changes_send(node);
     }
-    node->poison_aggregator = keeper;
-    node->edge.tries_poison = keeper;
+    node->poison_aggregator = aggregator;
+    node->edge.tries_poison = aggregator;
 }
 
-/* Takes what was told. Returns TRUE when it wasn't known. */
-static gboolean entries_merge(wb_edge_node_t *node, const wb_wire_poison *told, int64_t now_ms) {
-    gboolean news = FALSE;
-    for (guint i = 0; i < told->entries.entries_len; i++) {
-        wb_poison_entry_t entry = entry_from_wire(&told->entries.entries_val[i], now_ms);
-        news = wb_poison_book_merge(node->edge.poison, &entry) || news;
+/* Returns TRUE when an entry was new or changed. */
+static gboolean entries_merge(wb_edge_node_t *node, const wb_wire_poison *poison, int64_t now_ms) {
+    gboolean changed = FALSE;
+    for (guint i = 0; i < poison->entries.entries_len; i++) {
+        wb_poison_entry_t entry = entry_from_wire(&poison->entries.entries_val[i], now_ms);
+        changed = wb_poison_book_merge(node->edge.poison, &entry) || changed;
     }
-    return news;
+    return changed;
 }
 
-/* Forgives what was lately served here. Returns TRUE when there was such a request. */
-static gboolean served_forgive(wb_edge_node_t *node, int64_t now_ms) {
-    gboolean forgiven = FALSE;
+/* Clears entries whose request was recently served at this node. Returns TRUE when there were any.
+ */
+static gboolean served_clear(wb_edge_node_t *node, int64_t now_ms) {
+    gboolean cleared = FALSE;
     WB_LIST_EACH(item, wb_poison_book_entries(node->edge.poison)) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
         if (wb_served_set_has(node->edge.served, &entry->digest, now_ms)) {
-            forgiven = wb_poison_book_forgive(node->edge.poison, &entry->digest) || forgiven;
+            cleared = wb_poison_book_forgive(node->edge.poison, &entry->digest) || cleared;
         }
     }
-    return forgiven;
+    return cleared;
 }
 
-void wb_edge_node_poison_take(wb_edge_node_t *node, const wb_wire_poison *told) {
+void wb_edge_node_poison_take(wb_edge_node_t *node, const wb_wire_poison *poison) {
     int64_t now_ms = wb_clock_ms();
-    if (!entries_merge(node, told, now_ms)) {
+    if (!entries_merge(node, poison, now_ms)) {
         return;
     }
-    gboolean forgiven = served_forgive(node, now_ms);
-    if (forgiven || wb_edge_node_is_aggregator(node)) {
-        changes_tell(node);
+    gboolean cleared = served_clear(node, now_ms);
+    if (cleared || wb_edge_node_is_aggregator(node)) {
+        changes_send(node);
     } else if (node->controller_link_open) {
-        node->poison_sent_version =
-            wb_poison_book_version(node->edge.poison); /* it comes from there */
+        node->poison_sent_version = wb_poison_book_version(
+            node->edge.poison); /* the aggregator has just sent these entries */
     }
     wb_exchanges_refuse_poison(&node->edge);
 }
@@ -144,10 +147,10 @@
     wb_wire_poison wire = entries_collect(node, 0, WB_POISON_TOLD_ENGINES);
     XDR stream;
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
-    gboolean whole = xdr_wb_wire_poison(&stream, &wire);
-    u_int length = whole ? xdr_getpos(&stream) : 0;
+    gboolean encoded = xdr_wb_wire_poison(&stream, &wire);
+    u_int length = encoded ? xdr_getpos(&stream) : 0;
     xdr_destroy(&stream);
-    if (!whole) {
+    if (!encoded) {
         wb_event("poison-row-too-long", ",\"entries\":%u,\"room\":%u", wire.entries.entries_len,
                  room);
     }
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -1,26 +1,26 @@
-/* Tenants' limits over all nodes: who keeps the book, what it is told, and what it tells.
- *
- * The node that the lease names keeps it, as every gateway has a link to that one, whether it may
- * give orders at the moment or not: the store can be away without anybody's limit being lost. */
+/* Cluster-wide limits of tenants: exchange of use and shares between gateways and the aggregator.
+ * The aggregator maintains the ledger (quota_book.h). It is the node that the lease row names,
+ * since every gateway has a link to it; it need not hold the lease at the moment, so limits stay in
+ * force while the store is unavailable.
+ * Times are in ms; shares are sent in millionths. Malformed shares in the lease row are logged and
+ * ignored. */
 #include "edge/edge_node_types.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define PPM 1e6
-/* Who keeps the book hears from each gateway at least each half second, and is heard as often, so
- * that either side knows within two and a half times that when the other can't be reached: a cut
- * link says nothing by itself for 3 s. */
-#define REPORT_MOST_MS 500
-#define TELL_MOST_MS 500
-#define UNHEARD_MS 1200
+#define PARTS_PER_MILLION 1e6
+/* Gateways and aggregator send to each other at least this often. Each takes the other for
+ * unreachable after UNRESPONSIVE_MS, as a cut link reports no error for seconds. */
+#define REPORT_INTERVAL_MAX_MS 500
+#define SEND_INTERVAL_MAX_MS 500
+#define UNRESPONSIVE_MS 1200
 #define LOG_INTERVAL_MS 1000
-/* Shares read in the store count for so long after a start: by then a holder is found (at most the
- * lease's 4.8 s after its last renewal, usually 1.8 s) and has heard what is asked for. A tenant
- * that is no longer short is refused for them no longer. */
-#define ROW_SHARES_MS 3000
+/* Lifetime of shares read from the lease row after a start: by then a lease holder is found and has
+ * received reports. Until then a tenant that is no longer throttled may still be refused. */
+#define ROW_SHARES_LIFE_MS 3000
 
-/* Returns the token of the lease that names this node, or 0. */
+/* Returns the token of the lease if its row names this node, or 0. */
 static uint64_t own_token(const wb_edge_node_t *node) {
     const wb_lease_row_t *known = wb_lease_known(node->lease);
     if (known == NULL || known->released || strcmp(known->holder, node->edge.settings.id) != 0) {
@@ -63,14 +63,14 @@
     }
 }
 
-/* Gateways behind a cut say nothing, and their links stand for a while. */
-static void silent_check(wb_edge_node_t *node, int64_t now_ms) {
+/* The link of a gateway behind a network cut stays up for a while. */
+static void unresponsive_check(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gateway_t *gateway = value;
-        if (!gateway->unresponsive && now_ms - gateway->received_ms > UNHEARD_MS) {
+        if (!gateway->unresponsive && now_ms - gateway->received_ms > UNRESPONSIVE_MS) {
             gateway->unresponsive = TRUE;
             wb_edge_node_quota_gateway_lost(node, gateway);
         }
@@ -82,22 +82,23 @@
 }
 
 gboolean wb_edge_node_quota_report_due(const wb_edge_node_t *node, int64_t now_ms) {
-    return has_tenants(node) && now_ms - node->quota_reported_ms >= REPORT_MOST_MS;
+    return has_tenants(node) && now_ms - node->quota_reported_ms >= REPORT_INTERVAL_MAX_MS;
 }
 
-void wb_edge_node_quota_take_shares(wb_edge_node_t *node, const wb_wire_quota *told) {
+void wb_edge_node_quota_take_shares(wb_edge_node_t *node, const wb_wire_quota *quota) {
     g_autofree wb_quota_share_t *shares =
-        g_new0(wb_quota_share_t, MAX(told->tenants.tenants_len, 1));
-    for (guint i = 0; i < told->tenants.tenants_len; i++) {
-        const wb_wire_quota_entry *entry = &told->tenants.tenants_val[i];
-        shares[i] = (wb_quota_share_t){entry->tenant, entry->kind, entry->share_ppm / PPM};
+        g_new0(wb_quota_share_t, MAX(quota->tenants.tenants_len, 1));
+    for (guint i = 0; i < quota->tenants.tenants_len; i++) {
+        const wb_wire_quota_entry *entry = &quota->tenants.tenants_val[i];
+        shares[i] =
+            (wb_quota_share_t){entry->tenant, entry->kind, entry->share_ppm / PARTS_PER_MILLION};
     }
     node->quota_received_ms = wb_clock_ms();
-    wb_quota_gate_tell(node->edge.quota, shares, told->tenants.tenants_len,
+    wb_quota_gate_tell(node->edge.quota, shares, quota->tenants.tenants_len,
                        node->quota_received_ms);
 }
 
-/* Writes what decided the shares, once a second while a tenant is short. */
+/* Logs the shares of throttled tenants and the values behind them, at most once per interval. */
 static void shares_log(wb_edge_node_t *node, const GArray *shares, int64_t now_ms) {
     if (now_ms - node->quota_logged_ms < LOG_INTERVAL_MS) {
         return;
@@ -116,12 +117,12 @@
     }
 }
 
-/* Keeps what is told in the form in which it stands in the store. */
-static void row_keep(wb_edge_node_t *node, wb_wire_quota *told) {
-    g_byte_array_set_size(node->quota_row, (guint)xdr_sizeof((xdrproc_t)xdr_wb_wire_quota, told));
+/* Encodes shares as they are stored in the lease row. */
+static void quota_row_encode(wb_edge_node_t *node, wb_wire_quota *quota) {
+    g_byte_array_set_size(node->quota_row, (guint)xdr_sizeof((xdrproc_t)xdr_wb_wire_quota, quota));
     XDR stream;
     xdrmem_create(&stream, (char *)node->quota_row->data, node->quota_row->len, XDR_ENCODE);
-    if (!xdr_wb_wire_quota(&stream, told)) {
+    if (!xdr_wb_wire_quota(&stream, quota)) {
         g_byte_array_set_size(node->quota_row, 0);
     }
     xdr_destroy(&stream);
@@ -130,7 +131,7 @@
 u_int wb_edge_node_quota_write(wb_edge_node_t *node, char *bytes, u_int room) {
     wb_wire_quota none = {{0, NULL}};
     if (node->quota_row->len == 0) {
-        row_keep(node, &none);
+        quota_row_encode(node, &none);
     }
     guint length = node->quota_row->len;
     if (length == 0 || length > room) {
@@ -140,63 +141,65 @@
     return length;
 }
 
-/* All nodes may be killed at once while a tenant asks for many times its limit: what they knew of
- * it goes with them, and each would admit all until a new book has heard of it. On a day of that
- * kind 1.03 million tokens were admitted in half a second, 1.05 of the users' rule in its window.
- */
+/* If all nodes are killed at once while a tenant exceeds its limit, their state is lost, and
+ * without the shares in the lease row each would admit everything until a new aggregator has
+ * received reports. */
 void wb_edge_node_quota_read(wb_edge_node_t *node, XDR *stream) {
-    wb_wire_quota told;
-    memset(&told, 0, sizeof(told));
-    if (!xdr_wb_wire_quota(stream, &told)) {
+    wb_wire_quota quota;
+    memset(&quota, 0, sizeof(quota));
+    if (!xdr_wb_wire_quota(stream, &quota)) {
         wb_event("quota-row-refused", "%s", "");
-    } else if (node->quota_received_ms == 0 && told.tenants.tenants_len > 0) {
-        wb_edge_node_quota_take_shares(node, &told);
-        row_keep(node, &told); /* a new holder's first row is read by those that start later */
-        node->quota_row_until_ms = node->quota_received_ms + ROW_SHARES_MS;
-        wb_event("quota-row-taken", ",\"shares\":%u", told.tenants.tenants_len);
+    } else if (node->quota_received_ms == 0 && quota.tenants.tenants_len > 0) {
+        wb_edge_node_quota_take_shares(node, &quota);
+        quota_row_encode(node, &quota); /* nodes that start later read the new holder's first row */
+        node->quota_row_until_ms = node->quota_received_ms + ROW_SHARES_LIFE_MS;
+        wb_event("quota-row-taken", ",\"shares\":%u", quota.tenants.tenants_len);
     }
-    xdr_free((xdrproc_t)xdr_wb_wire_quota, &told);
+    xdr_free((xdrproc_t)xdr_wb_wire_quota, &quota);
 }
 
-/* Shares from the store that no book has told anew are over. */
-static void row_lapse(wb_edge_node_t *node, int64_t now_ms) {
+/* Drops shares from the lease row that no aggregator has sent again in time. */
+static void row_shares_expire(wb_edge_node_t *node, int64_t now_ms) {
     if (node->quota_row_until_ms == 0 || now_ms < node->quota_row_until_ms) {
         return;
     }
-    gboolean told_since = node->quota_received_ms > node->quota_row_until_ms - ROW_SHARES_MS;
+    gboolean received_since =
+        node->quota_received_ms > node->quota_row_until_ms - ROW_SHARES_LIFE_MS;
     node->quota_row_until_ms = 0;
-    if (!told_since) {
+    if (!received_since) {
         g_byte_array_set_size(node->quota_row, 0);
         wb_quota_gate_tell(node->edge.quota, NULL, 0, now_ms);
     }
 }
 
-static void shares_tell(wb_edge_node_t *node, const GArray *shares) {
+static void shares_send(wb_edge_node_t *node, const GArray *shares) {
     wb_wire_message message = {.kind = WB_WIRE_QUOTA};
-    wb_wire_quota *told = &message.wb_wire_message_u.quota;
+    wb_wire_quota *quota = &message.wb_wire_message_u.quota;
     g_autofree wb_wire_quota_entry *entries = g_new0(wb_wire_quota_entry, MAX(shares->len, 1));
     for (guint i = 0; i < shares->len; i++) {
         const wb_quota_share_t *share = &g_array_index(shares, wb_quota_share_t, i);
-        entries[i] =
-            (wb_wire_quota_entry){(char *)share->tenant, share->kind, (u_int)(share->share * PPM)};
+        entries[i] = (wb_wire_quota_entry){(char *)share->tenant, share->kind,
+                                           (u_int)(share->share * PARTS_PER_MILLION)};
     }
-    told->tenants.tenants_len = shares->len;
-    told->tenants.tenants_val = entries;
-    row_keep(node, told);
+    quota->tenants.tenants_len = shares->len;
+    quota->tenants.tenants_val = entries;
+    quota_row_encode(node, quota);
     wb_edge_node_broadcast(node, &message);
-    wb_edge_node_quota_take_shares(node, told);
+    wb_edge_node_quota_take_shares(node, quota);
     shares_log(node, shares, wb_clock_ms());
 }
 
-/* Whether this node can reach the book: it keeps it, or has heard from who does. */
-static gboolean book_is_reached(const wb_edge_node_t *node, int64_t now_ms) {
-    int64_t heard_ms =
+/* Returns TRUE when this node is the aggregator, or has received messages from it recently. */
+static gboolean ledger_is_reachable(const wb_edge_node_t *node, int64_t now_ms) {
+    int64_t received_ms =
         MAX(MAX(node->update_received_ms, node->quota_received_ms), node->link_opened_ms);
-    return node->quota_token != 0 || (node->controller_link_open && now_ms - heard_ms < UNHEARD_MS);
+    return node->quota_token != 0 ||
+           (node->controller_link_open && now_ms - received_ms < UNRESPONSIVE_MS);
 }
 
-/* All nodes that the store told of may have reported to the book before this one. */
-static void book_begin(wb_edge_node_t *node, int64_t now_ms) {
+/* Clears the ledger and expects a report from every listed node, as each may have reported to the
+ * previous aggregator. */
+static void ledger_reset(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer id;
     wb_quota_book_clear(node->quota_book, now_ms);
@@ -207,24 +210,25 @@
 }
 
 void wb_edge_node_tick_quota(wb_edge_node_t *node, int64_t now_ms) {
-    row_lapse(node, now_ms);
+    row_shares_expire(node, now_ms);
     uint64_t token = own_token(node);
     if (token != node->quota_token) {
         node->quota_token = token;
-        book_begin(node, now_ms);
+        ledger_reset(node, now_ms);
     }
-    wb_quota_gate_set_reached(node->edge.quota, book_is_reached(node, now_ms));
+    wb_quota_gate_set_reached(node->edge.quota, ledger_is_reachable(node, now_ms));
     if (token == 0 || !has_tenants(node)) {
         return;
     }
-    silent_check(node, now_ms);
+    unresponsive_check(node, now_ms);
     wb_quota_book_set_sole(node->quota_book, node->lease_held);
     gboolean changed;
     const GArray *shares = wb_quota_book_shares(node->quota_book, now_ms, &changed);
-    /* While it may give orders, its other news show that it is there. */
-    gboolean due = !node->lease_held && now_ms - node->quota_sent_ms >= TELL_MOST_MS;
+    /* A lease holder need not send unchanged shares: its store updates show that it is reachable.
+     */
+    gboolean due = !node->lease_held && now_ms - node->quota_sent_ms >= SEND_INTERVAL_MAX_MS;
     if (changed || due) {
         node->quota_sent_ms = now_ms;
-        shares_tell(node, shares);
+        shares_send(node, shares);
     }
 }
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -1,19 +1,21 @@
-/* What an edge node learns from the store: configuration, engines, and the product's own rows. */
+/* Follows the store's tables: the catalog, engines, and this system's own rows for nodes and the
+ * lease. Keeps this node's own row alive.
+ * Times are in ms. Failed calls are logged as store-lost once per table and retried. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* A node's row is written anew so often in the life of a row. */
+/* Number of writes of a node's row in the row's lifetime. */
 #define NODE_ROW_RENEWALS 3
-/* A write of it that failed is tried again after this time, then after twice that, and so on. */
+/* A failed write is retried after this delay, doubled each time up to the maximum. */
 #define NODE_ROW_RETRY_MS 500
-#define NODE_ROW_RETRY_LIMIT_MS 8000
-#define CALLS_LOG_MS 5000
+#define NODE_ROW_RETRY_MAX_MS 8000
+#define STORE_CALLS_LOG_MS 5000
 #define NODE_KEY_PREFIX "node/"
-#define NODE_ROW_WORDS 4
+#define NODE_ROW_FIELDS 4
 
-/* One table answers again: so should the others, which are asked rarely while they fail. */
-static void tables_wake(wb_edge_node_t *node) {
+/* Polls the other tables at once when one answers again; they are polled rarely while they fail. */
+static void tables_retry(wb_edge_node_t *node) {
     wb_table_watch_wake(node->catalog_watch);
     wb_table_watch_wake(node->engines_watch);
     wb_table_watch_wake(node->nodes_watch);
@@ -21,29 +23,30 @@
         node->node_row_due_ms = 0;
 }
 
-/* Notes each call to the store, and logs when a table is lost and when it is back. */
-static void store_called(wb_table_name_t table, wb_store_cause_t cause, gboolean good,
-                         int64_t age_ms, void *context) {
+/* Counts each call to the store; logs when a table becomes unavailable and when it answers again.
+ */
+static void store_call_done(wb_table_name_t table, wb_store_cause_t cause, gboolean succeeded,
+                            int64_t age_ms, void *context) {
     static const char *const names[] = {"catalog", "engines", "nodes"};
     wb_edge_node_t *node = context;
     wb_store_calls_note(&node->edge.metrics.store_calls, table, cause);
-    if (!good)
+    if (!succeeded)
         wb_store_calls_note_failure(&node->edge.metrics.store_calls);
-    if (node->store_unavailable[table] == !good)
+    if (node->store_unavailable[table] == !succeeded)
         return;
-    node->store_unavailable[table] = !good;
+    node->store_unavailable[table] = !succeeded;
     if (table == WB_TABLE_NODES) {
         wb_edge_node_set_poll_policies(node);
-        if (good)
+        if (succeeded)
             wb_lease_store_back(node->lease, wb_clock_ms());
     }
-    if (good)
-        tables_wake(node);
-    wb_event(good ? "store-back" : "store-lost", ",\"table\":\"%s\",\"age_ms\":%lld", names[table],
-             (long long)(age_ms == G_MAXINT64 ? -1 : age_ms));
+    if (succeeded)
+        tables_retry(node);
+    wb_event(succeeded ? "store-back" : "store-lost", ",\"table\":\"%s\",\"age_ms\":%lld",
+             names[table], (long long)(age_ms == G_MAXINT64 ? -1 : age_ms));
 }
 
-/* News of the catalog. */
+/* The catalog. */
 
 int64_t wb_edge_node_catalog_age_ms(void *context) {
     const wb_edge_node_t *node = context;
@@ -65,8 +68,8 @@
              g_hash_table_size(catalog->services));
 }
 
-static void catalog_read(wb_catalog_t *catalog, int64_t row_version, const wb_error_t *error,
-                         void *context) {
+static void catalog_read_done(wb_catalog_t *catalog, int64_t row_version, const wb_error_t *error,
+                              void *context) {
     wb_edge_node_t *node = context;
     if (catalog == NULL) {
         wb_event("catalog-refused", ",\"row_version\":%lld,\"reason\":\"%s\"",
@@ -90,15 +93,15 @@
         wb_catalog_reader_take(node->catalog_reader, row);
 }
 
-static void catalog_batch(gboolean whole, void *context) {
-    (void)whole;
-    (void)context; /* a configuration tells by itself when it is read */
+static void catalog_batch(gboolean full_read, void *context) {
+    (void)full_read;
+    (void)context; /* catalog_read_done runs for each configuration */
 }
 
-/* The product's own rows: nodes, and the controller's lease. */
+/* The nodes table: nodes and the controller's lease. */
 
-/* What builds since the first of form 2 add to the lease's row. */
-static void lease_parts_read(wb_edge_node_t *node, XDR *stream) {
+/* Extensions of the lease row; format version 2 and later writes them. */
+static void lease_extensions_read(wb_edge_node_t *node, XDR *stream) {
     wb_wire_parts parts = {0};
     wb_wire_writer writer = {1};
     if (!xdr_wb_wire_parts(stream, &parts)) {
@@ -123,18 +126,18 @@
     memset(&wire, 0, sizeof(wire));
     XDR stream;
     xdrmem_create(&stream, (char *)row->value, (u_int)row->length, XDR_DECODE);
-    gboolean whole = xdr_wb_wire_lease(&stream, &wire);
-    if (whole && xdr_getpos(&stream) < row->length) {
+    gboolean decoded = xdr_wb_wire_lease(&stream, &wire);
+    if (decoded && xdr_getpos(&stream) < row->length) {
         wb_edge_node_poison_read(node, &stream);
     }
-    if (whole && xdr_getpos(&stream) < row->length) {
+    if (decoded && xdr_getpos(&stream) < row->length) {
         wb_edge_node_quota_read(node, &stream);
     }
-    if (whole && xdr_getpos(&stream) < row->length) {
-        lease_parts_read(node, &stream);
+    if (decoded && xdr_getpos(&stream) < row->length) {
+        lease_extensions_read(node, &stream);
     }
     xdr_destroy(&stream);
-    if (whole) {
+    if (decoded) {
         wb_lease_row_t lease = wb_edge_node_lease_from_wire(&wire);
         wb_lease_on_row(node->lease, &lease, row->version, now_ms);
     } else {
@@ -143,19 +146,19 @@
     xdr_free((xdrproc_t)xdr_wb_wire_lease, &wire);
 }
 
-/* A row holds the node's address, a count, its share of a core, and the form of messages that it
- * reads, with blanks between; later builds may add more behind. */
+/* Fields of a node's row, separated by blanks: address, write count, processor share, format
+ * version. Later builds may append fields. */
 static void row_read(const wb_table_row_t *row, wb_node_row_t *known) {
     g_autofree char *text = g_strndup((const char *)row->value, row->length);
-    g_auto(GStrv) words = g_strsplit(text, " ", NODE_ROW_WORDS + 1);
-    guint count = g_strv_length(words);
+    g_auto(GStrv) fields = g_strsplit(text, " ", NODE_ROW_FIELDS + 1);
+    guint count = g_strv_length(fields);
     known->format_version = 1;
     if (count < 2) {
-        return; /* an older form, which tells nothing */
+        return; /* an older format without these fields */
     }
-    known->address = g_strdup(words[0]);
-    known->processor_share = count > 2 ? g_ascii_strtod(words[2], NULL) : 0;
-    known->format_version = count > 3 ? (unsigned)g_ascii_strtoull(words[3], NULL, 10) : 1;
+    known->address = g_strdup(fields[0]);
+    known->processor_share = count > 2 ? g_ascii_strtod(fields[2], NULL) : 0;
+    known->format_version = count > 3 ? (unsigned)g_ascii_strtoull(fields[3], NULL, 10) : 1;
 }
 
 void wb_edge_node_row_free(gpointer data) {
@@ -194,8 +197,8 @@
     return (int64_t)(node->edge.settings.node_life_s * 1000);
 }
 
-/* The row of the process before this one on the same machine stands for this node too. It may be as
- * old as the time between two renewals, so the next comes within another. */
+/* The row of an earlier process on the same machine stands for this one. It may be as old as one
+ * renewal interval, so the next write comes within another one. */
 static void own_row_adopt(wb_edge_node_t *node) {
     if (node->node_row_written || node->node_row_writing || node->node_row_due_ms != 0 ||
         !g_hash_table_contains(node->nodes, node->edge.settings.id)) {
@@ -207,17 +210,17 @@
     node->node_row_due_ms = wb_clock_ms() + g_random_int_range(0, (gint32)MAX(renewal_ms, 1));
 }
 
-static void nodes_batch(gboolean whole, void *context) {
+static void nodes_batch(gboolean full_read, void *context) {
     wb_edge_node_t *node = context;
-    if (whole)
-        /* A table without the lease's row: nobody ever held it. */
+    if (full_read)
+        /* A full read without the lease row: the lease was never held. */
         wb_lease_on_row(node->lease, NULL, 0, wb_clock_ms());
     node->edge.node_count = g_hash_table_size(node->nodes);
     wb_edge_node_check_lease(node);
     own_row_adopt(node);
 }
 
-static void node_row_answered(const wb_table_answer_t *answer, void *context) {
+static void node_row_write_done(const wb_table_answer_t *answer, void *context) {
     wb_edge_node_t *node = context;
     node->node_row_writing = FALSE;
     int64_t now_ms = wb_clock_ms();
@@ -237,11 +240,11 @@
             node_row_take(node, row);
     }
     node->node_row_retry_ms =
-        CLAMP(2 * node->node_row_retry_ms, NODE_ROW_RETRY_MS, NODE_ROW_RETRY_LIMIT_MS);
+        CLAMP(2 * node->node_row_retry_ms, NODE_ROW_RETRY_MS, NODE_ROW_RETRY_MAX_MS);
     node->node_row_due_ms = now_ms + node->node_row_retry_ms;
 }
 
-/* Says that this node is there, so that all nodes know how many share what is shared. */
+/* Writes this node's row, by which all nodes count the nodes that share cluster-wide budgets. */
 static void node_row_write(wb_edge_node_t *node) {
     const wb_node_row_t *known = g_hash_table_lookup(node->nodes, node->edge.settings.id);
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, node->edge.settings.id, NULL);
@@ -252,25 +255,25 @@
     node->node_row_creating = known == NULL;
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
     node->table->write(node->table, key, known != NULL ? known->version : 0, (const guchar *)value,
-                       strlen(value), node_row_answered, node);
+                       strlen(value), node_row_write_done, node);
 }
 
-static void row_removed(const wb_table_answer_t *answer, void *context) {
-    (void)answer; /* another try follows if it is still there */
+static void node_row_remove_done(const wb_table_answer_t *answer, void *context) {
+    (void)answer; /* tried again if the row is still there */
     (void)context;
 }
 
-/* Rows of nodes that are gone for long would have the others share too little; the lease's holder
- * removes them. */
+/* The lease holder removes expired rows; they would make the shares of the other nodes too small.
+ */
 static void node_row_remove(wb_edge_node_t *node, const char *id, const wb_node_row_t *row) {
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, id, NULL);
     wb_event("node-forgotten", ",\"of\":\"%s\",\"row_version\":%lld", wb_event_text(id),
              (long long)row->version);
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
-    node->table->write(node->table, key, row->version, NULL, 0, row_removed, node);
+    node->table->write(node->table, key, row->version, NULL, 0, node_row_remove_done, node);
 }
 
-static void node_rows_forget(wb_edge_node_t *node) {
+static void node_rows_expire(wb_edge_node_t *node) {
     int64_t known_ms = wb_table_watch_known_ms(node->nodes_watch);
     GHashTableIter iter;
     gpointer id;
@@ -278,7 +281,7 @@
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, &value)) {
         const wb_node_row_t *row = value;
-        /* Only a row that was looked at and hadn't changed is old. */
+        /* Only a row that was read again without a change has expired. */
         if (known_ms - row->seen_ms <= node_row_life_ms(node)) {
             continue;
         }
@@ -294,20 +297,21 @@
     if (wb_table_watch_is_synced(node->nodes_watch) && !node->node_row_writing &&
         now_ms >= node->node_row_due_ms)
         node_row_write(node);
-    node_rows_forget(node);
-    wb_store_calls_log(&node->edge.metrics.store_calls, CALLS_LOG_MS, now_ms);
+    node_rows_expire(node);
+    wb_store_calls_log(&node->edge.metrics.store_calls, STORE_CALLS_LOG_MS, now_ms);
 }
 
 void wb_edge_node_follow_store(wb_edge_node_t *node) {
     wb_loop_t *loop = node->edge.loop;
-    node->catalog_reader = wb_catalog_reader_create(loop, node->edge.dialect, catalog_read, node);
-    wb_table_watch_events_t catalog = {catalog_row, catalog_batch, store_called, node};
+    node->catalog_reader =
+        wb_catalog_reader_create(loop, node->edge.dialect, catalog_read_done, node);
+    wb_table_watch_events_t catalog = {catalog_row, catalog_batch, store_call_done, node};
     wb_table_watch_events_t engines = {.on_row = wb_edge_node_engine_row,
                                        .on_batch = wb_edge_node_engine_batch,
-                                       .on_call = store_called,
+                                       .on_call = store_call_done,
                                        .context = node,
                                        .on_large = wb_edge_node_directory_on_large};
-    wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_called, node};
+    wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_call_done, node};
     wb_table_pace_t pace = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
     node->catalog_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &pace, &catalog);
