--- a/src/edge/catalog_reader.c
+++ b/src/edge/catalog_reader.c
@@ -1,13 +1,13 @@
-/* Reads configurations beside the loop. */
+/* Parses configurations on a worker thread. */
 #include "edge/catalog_reader.h"
 
 #include <string.h>
 
-/* Up to this size reading takes some 5 ms of a core, 40 ms on an eighth of one: less than what a
- * stream's event may be late (120 ms and more), so not worth a thread. */
-#define SHORT_BYTES (64 * 1024)
+/* Larger values are parsed on a thread. Parsing this much on the loop delays the events of streams
+ * by less than they may be late. */
+#define INLINE_MAX_BYTES (64 * 1024)
 
-/* One row, on its way through the thread. */
+/* One row to parse. */
 typedef struct wb_catalog_job_t {
     wb_catalog_reader_t *reader;
     guchar *value;
@@ -22,8 +22,8 @@
     const wb_dialect_t *dialect;
     wb_catalog_read_fn on_read;
     void *context;
-    gboolean busy;          /* a thread reads a row */
-    wb_catalog_job_t *next; /* the newest row that came meanwhile, or NULL */
+    gboolean busy;          /* a thread is parsing */
+    wb_catalog_job_t *next; /* the newest row that arrived meanwhile, or NULL */
 };
 
 wb_catalog_reader_t *wb_catalog_reader_create(wb_loop_t *loop, const wb_dialect_t *dialect,
@@ -50,44 +50,44 @@
     g_free(job);
 }
 
-static void job_read(wb_catalog_job_t *job) {
+static void job_parse(wb_catalog_job_t *job) {
     job->catalog = job->reader->dialect->catalog_parse(job->value, job->length, &job->error);
 }
 
-/* Gives the result, on the loop's thread. */
-static void job_give(wb_catalog_job_t *job) {
+/* Calls on_read, on the loop's thread. */
+static void job_deliver(wb_catalog_job_t *job) {
     const wb_catalog_reader_t *reader = job->reader;
     reader->on_read(job->catalog, job->row_version, &job->error, reader->context);
     job_free(job);
 }
 
-static void job_begin(wb_catalog_job_t *job);
+static void job_start(wb_catalog_job_t *job);
 
-static void job_ended(void *context) {
+static void job_done(void *context) {
     wb_catalog_job_t *job = context;
     wb_catalog_reader_t *reader = job->reader;
     reader->busy = FALSE;
-    job_give(job);
+    job_deliver(job);
     wb_catalog_job_t *next = reader->next;
     reader->next = NULL;
     if (next != NULL) {
-        job_begin(next);
+        job_start(next);
     }
 }
 
 static gpointer thread_run(gpointer data) {
     wb_catalog_job_t *job = data;
-    job_read(job);
-    wb_loop_post(job->reader->loop, job_ended, job);
+    job_parse(job);
+    wb_loop_post(job->reader->loop, job_done, job);
     return NULL;
 }
 
-static void job_begin(wb_catalog_job_t *job) {
+static void job_start(wb_catalog_job_t *job) {
     GThread *thread = g_thread_try_new("catalog", thread_run, job, NULL);
     if (thread == NULL) {
-        /* No thread is to be had: late is better than never. */
-        job_read(job);
-        job_give(job);
+        /* No thread could be started: parse on the loop instead. */
+        job_parse(job);
+        job_deliver(job);
         return;
     }
     job->reader->busy = TRUE;
@@ -101,10 +101,10 @@
             job_free(reader->next);
         }
         reader->next = job;
-    } else if (row->length <= SHORT_BYTES) {
-        job_read(job);
-        job_give(job);
+    } else if (row->length <= INLINE_MAX_BYTES) {
+        job_parse(job);
+        job_deliver(job);
     } else {
-        job_begin(job);
+        job_start(job);
     }
 }
--- a/src/edge/catalog_reader.h
+++ b/src/edge/catalog_reader.h
@@ -1,12 +1,13 @@
 /**
  * @file catalog_reader.h
- * @brief Reads configurations beside the loop, so that a large one doesn't hold streams up.
+ * @brief Parses configurations without blocking the event loop.
  *
- * A configuration of 1,400 routes takes some 30 ms of a whole core, a quarter of a second or more
- * on a machine that has an eighth of one. So a thread reads it while the loop goes on. Of those
- * that come meanwhile only the newest is read.
+ * A small configuration is parsed at once, a large one on a worker thread, as it would delay the
+ * streams that the loop serves. One thread runs at a time; of the rows that arrive meanwhile only
+ * the newest is parsed.
  *
- * Threads: all functions belong on the loop's thread, where results are given, too.
+ * Threads: all functions are called on the loop's thread, and so is the callback. Sizes are in
+ * bytes. Parse errors are passed to the callback.
  */
 #ifndef WICKBRIDGE_CATALOG_READER_H
 #define WICKBRIDGE_CATALOG_READER_H
@@ -19,17 +20,19 @@
 typedef struct wb_catalog_reader_t wb_catalog_reader_t;
 
 /**
- * A row was read.
- * @param catalog owned by the callee; NULL when it can't be read
- * @param error   why not
+ * A row was parsed.
+ * @param catalog     owned by the callee; NULL when the row is invalid
+ * @param row_version version of the row
+ * @param error       set when catalog is NULL
  */
 typedef void (*wb_catalog_read_fn)(wb_catalog_t *catalog, int64_t row_version,
                                    const wb_error_t *error, void *context);
 
-/** A reader lives as long as its loop. @param dialect must outlive it */
+/** The reader is never freed; it must not outlive its loop. @param dialect must outlive the reader
+ */
 wb_catalog_reader_t *wb_catalog_reader_create(wb_loop_t *loop, const wb_dialect_t *dialect,
                                               wb_catalog_read_fn on_read, void *context);
-/** Read a row that has a value: at once if that is short, else beside the loop. */
+/** Parse a row that has a value; the row is copied. on_read may be called before this returns. */
 void wb_catalog_reader_take(wb_catalog_reader_t *reader, const wb_table_row_t *row);
 
 #endif
--- a/src/edge/document_metrics.c
+++ b/src/edge/document_metrics.c
@@ -1,10 +1,10 @@
-/* Prints docs/METRICS.md from the code that serves the figures. */
+/* Prints docs/METRICS.md from the metrics that an edge node serves. */
 #include "request/request_types.h"
 
 #include <stdio.h>
 #include <string.h>
 
-static void line_document(const char *help, const char *type) {
+static void row_print(const char *help, const char *type) {
     g_auto(GStrv) words = g_strsplit(help + strlen("# HELP "), " ", 2);
     printf("| `%s` | %s | %s |\n", words[0], strrchr(type, ' ') + 1, words[1]);
 }
@@ -22,7 +22,7 @@
            "say.\n\n| name | type | meaning |\n|---|---|---|\n");
     for (char **line = lines; *line != NULL; line++)
         if (g_str_has_prefix(*line, "# HELP ") && line[1] != NULL)
-            line_document(*line, line[1]);
+            row_print(*line, line[1]);
     printf("\n`wickbridge_request_endings_total` has a label `ending`:");
     for (int i = 0; i < WB_ENDING_COUNT; i++)
         printf("%s `%s`", i > 0 ? "," : "", wb_ending_name((wb_ending_t)i));
--- a/src/edge/edge_metrics.c
+++ b/src/edge/edge_metrics.c
@@ -1,4 +1,5 @@
-/* Figures of an edge node in the Prometheus text format. */
+/* Metrics of an edge node in the Prometheus text format: counters, latency histograms in seconds,
+ * gauges. */
 #include "wickbridge/edge_metrics.h"
 
 #include "request/request_types.h"
@@ -15,7 +16,7 @@
     histogram->sum_ms += (uint64_t)MAX(value_ms, 0);
 }
 
-static void figure_write(GString *text, const char *name, const char *type, const char *help,
+static void metric_write(GString *text, const char *name, const char *type, const char *help,
                          uint64_t value) {
     g_string_append_printf(text, "# HELP wickbridge_%s %s\n# TYPE wickbridge_%s %s\n", name, help,
                            name, type);
@@ -105,7 +106,7 @@
         {"load_news_total", "Messages told or heard about what engines have.", metrics->load_news},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        figure_write(text, rows[i].name, "counter", rows[i].help, rows[i].value);
+        metric_write(text, rows[i].name, "counter", rows[i].help, rows[i].value);
 }
 
 static void gauges_write(const wb_edge_gauges_t *gauges, GString *text) {
@@ -140,7 +141,7 @@
         {"log_lines_dropped", "Log lines dropped so far.", gauges->log_lines_dropped},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        figure_write(text, rows[i].name, "gauge", rows[i].help, rows[i].value);
+        metric_write(text, rows[i].name, "gauge", rows[i].help, rows[i].value);
 }
 
 void wb_edge_metrics_write(const wb_edge_metrics_t *metrics, const wb_edge_gauges_t *gauges,
--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -1,5 +1,7 @@
-/* Puts an edge node together: follows the store, listens, holds the lease, talks to the controller.
- */
+/* Creates an edge node and drives it: listeners, the periodic tick, planned stops and settings
+ * reloads.
+ * Times are in ms. Only errors of opening a listener are returned to the caller of
+ * wb_edge_node_create. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
@@ -7,36 +9,35 @@
 #define TICK_MS 50
 #define SWEEP_MS 500
 #define LOG_FLUSH_MS 100
-/* A stop lasts at least so long: callers' connections still come until the entry has seen it. */
-#define STOP_LEAST_MS 2600
-/* Rounds of the loop in which all is read that has come. */
+/* Least duration of a planned stop: new client connections arrive until the load balancer has seen
+ * that the node isn't ready. */
+#define STOP_MIN_MS 2600
+/* Loop rounds after which everything that had arrived is read. */
 #define STOP_READ_ROUNDS 2
-/* What runs is broken off so long before the grace is over. */
+/* Open requests are ended this long before the grace time is over. */
 #define STOP_MARGIN_MS 700
-/* What waits for a model is refused so long before that. */
-#define STOP_WAITS_MS 1200
-/* Longest time that giving the lease up may take at the end of a stop. */
+/* Requests that wait for a model are refused this long before that. */
+#define STOP_REFUSE_WAITING_MS 1200
+/* Longest time to wait for the release of the lease at the end of a stop. */
 #define RELEASE_MS 400
 #define READY_HEAD_BYTES 16384
 #define READY_BODY_BYTES 65536
 #define READY_TIMEOUT_MS 5000
 #define READY_IDLE_MS 60000
 
-/* Listeners. */
-
-static void caller_request(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
+static void client_request(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
                            void *context) {
     wb_exchange_begin(&((wb_edge_node_t *)context)->edge, connection, head, body);
 }
 
-static void caller_gone(wb_http_connection_t *connection, void *request, void *context) {
+static void client_disconnected(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)context;
     if (request != NULL)
         wb_exchange_gone(request);
 }
 
-static void caller_drained(wb_http_connection_t *connection, void *request, void *context) {
+static void client_drained(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)context;
     if (request != NULL)
@@ -67,7 +68,7 @@
 static apr_status_t listeners_open(wb_edge_node_t *node, wb_error_t *error) {
     wb_edge_t *edge = &node->edge;
     wb_http_limits_t limits = {READY_HEAD_BYTES, READY_BODY_BYTES, READY_TIMEOUT_MS, READY_IDLE_MS};
-    wb_http_handler_t callers = {caller_request, caller_gone, caller_drained, node};
+    wb_http_handler_t clients = {client_request, client_disconnected, client_drained, node};
     wb_http_handler_t ready = {ready_request, NULL, NULL, node};
     wb_http_handler_t operators = {wb_edge_operators_request, NULL, NULL, node};
     wb_link_events_t links = {wb_edge_node_gateway_open,
@@ -76,7 +77,7 @@
                               node,
                               NULL,
                               NULL};
-    apr_status_t status = wb_http_listener_open(edge->loop, edge->settings.listen_callers, &callers,
+    apr_status_t status = wb_http_listener_open(edge->loop, edge->settings.listen_callers, &clients,
                                                 &limits, &node->client_listener, error);
     if (status == APR_SUCCESS)
         status = wb_http_listener_open(edge->loop, edge->settings.listen_ready, &ready, &limits,
@@ -90,7 +91,7 @@
     return status;
 }
 
-/* Gives the lease up, answers what is left, and ends the process. */
+/* Releases the lease, refuses the remaining requests and ends the loop. */
 static void stop_finish(wb_edge_node_t *node, int64_t now_ms) {
     if (node->stopped)
         return;
@@ -100,7 +101,7 @@
         wb_lease_release(node->lease);
     }
     if (wb_lease_is_owed(node->lease) && now_ms < node->release_until_ms)
-        return; /* the lease's last write is under way */
+        return; /* the write that releases the lease is pending */
     wb_exchanges_refuse_unanswered(&node->edge);
     node->stopped = TRUE;
     wb_event("stopped", ",\"ms\":%lld,\"open\":%u", (long long)(now_ms - node->edge.drain_began_ms),
@@ -109,12 +110,12 @@
     wb_loop_quit(node->edge.loop);
 }
 
-/* Connections are accepted in one round of the loop and read in the next, so after two rounds all
- * is read that had come when a look began, however long the loop was held up before. */
-static void stop_look(void *context) {
+/* Connections are accepted in one loop round and read in the next. So after two rounds everything
+ * is read that had arrived when the check began, however long the loop was blocked before. */
+static void stop_check(void *context) {
     wb_edge_node_t *node = context;
     if (++node->drain_check_rounds <= STOP_READ_ROUNDS) {
-        wb_loop_post(node->edge.loop, stop_look, node);
+        wb_loop_post(node->edge.loop, stop_check, node);
         return;
     }
     node->drain_check_rounds = 0;
@@ -128,25 +129,26 @@
         stop_finish(node, wb_clock_ms());
         return;
     }
-    /* Who connects from now on is refused by the system; one more look takes up who came before. */
+    /* Later connections are refused by the system; one more check handles those that were accepted
+     * before. */
     node->listener_stopped = TRUE;
     wb_http_listener_stop(node->client_listener);
-    stop_look(node);
+    stop_check(node);
 }
 
-/* A planned stop is over when nothing runs and the entry has had time to see it, or when the grace
- * is. */
+/* A planned stop ends when no requests are left and the load balancer has had time to see it, or at
+ * the end of the grace time. */
 static void drain_tick(wb_edge_node_t *node, int64_t now_ms) {
-    int64_t passed_ms = now_ms - node->edge.drain_began_ms;
+    int64_t elapsed_ms = now_ms - node->edge.drain_began_ms;
     int64_t grace_ms = (int64_t)(node->edge.settings.stop_grace_s * 1000) - STOP_MARGIN_MS;
-    if (passed_ms >= grace_ms - STOP_WAITS_MS)
+    if (elapsed_ms >= grace_ms - STOP_REFUSE_WAITING_MS)
         wb_exchanges_refuse_waiting(&node->edge);
-    if (passed_ms >= grace_ms || node->releasing) {
+    if (elapsed_ms >= grace_ms || node->releasing) {
         stop_finish(node, now_ms);
         return;
     }
-    if (passed_ms >= STOP_LEAST_MS && node->drain_check_rounds == 0)
-        stop_look(node);
+    if (elapsed_ms >= STOP_MIN_MS && node->drain_check_rounds == 0)
+        stop_check(node);
 }
 
 static void node_tick(void *context) {
@@ -198,7 +200,7 @@
     wb_event_log_flush();
 }
 
-/* Time in which a usual engine reads a token that was sent. */
+/* Baseline time in which an engine processes one prompt token of a request. */
 static double token_ms(const wb_edge_settings_t *settings) {
     return WB_UNREAD_SHARE / settings->prefill_tokens_per_ms;
 }
@@ -302,6 +304,6 @@
     own->load_news_ms = settings->load_news_ms;
     own->load_news_bytes_per_s = settings->load_news_bytes_per_s;
     wb_edge_node_set_poll_policies(node);
-    /* What was taken up is the same by now; the rest waits for a start. */
+    /* The settings above are equal by now; the others that differ take effect at the next start. */
     return wb_settings_differ(&wb_edge_settings_table, own, settings);
 }
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -1,5 +1,7 @@
-/* Answers operators' calls: status, routes, models, tenants, explanations, a planned stop; and
- * metrics. */
+/* Serves the operators' HTTP API (status, routes, models, tenants, poison requests, explanations,
+ * planned stop) and metrics.
+ * Responses are JSON, errors {"error":{"message":...}}; metrics are in the Prometheus text format.
+ * Keys of the responses are read by wickctl. */
 #include "edge/edge_node_types.h"
 
 #include "control/placement.h"
@@ -11,7 +13,7 @@
 
 #define BYTES_PER_MB 1000000.0
 
-static void json_answer(wb_http_connection_t *connection, unsigned status, json_t *body) {
+static void json_respond(wb_http_connection_t *connection, unsigned status, json_t *body) {
     char *text = wb_json_dump(body);
     wb_http_connection_answer(connection, status, wb_http_reason(status),
                               "Content-Type: application/json\r\n", text, strlen(text));
@@ -19,11 +21,11 @@
     json_decref(body);
 }
 
-static void error_answer(wb_http_connection_t *connection, unsigned status, const char *message) {
-    json_answer(connection, status, json_pack("{s:{s:s}}", "error", "message", message));
+static void error_respond(wb_http_connection_t *connection, unsigned status, const char *message) {
+    json_respond(connection, status, json_pack("{s:{s:s}}", "error", "message", message));
 }
 
-static unsigned nodes_of_other_forms(const wb_edge_node_t *node) {
+static unsigned nodes_with_other_format(const wb_edge_node_t *node) {
     unsigned count = 0;
     GHashTableIter iter;
     gpointer value;
@@ -47,7 +49,7 @@
         .waiting_requests = edge->waiting.len,
         .nodes = edge->node_count,
         .share_nodes = node->share_nodes,
-        .nodes_of_other_forms = nodes_of_other_forms(node),
+        .nodes_of_other_forms = nodes_with_other_format(node),
         .evacuated_zones = wb_fleet_closed_zones(edge->fleet),
         .suspected_requests = wb_poison_book_count(edge->poison, WB_POISON_SUSPECT),
         .poison_requests = wb_poison_book_count(edge->poison, WB_POISON_REFUSED),
@@ -79,16 +81,16 @@
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL))
         json_array_append_new(members, json_pack("{s:s, s:s}", "node", id, "state", "known"));
-    json_answer(connection, 200,
-                json_pack("{s:s, s:b, s:I, s:i, s:i, s:i, s:o, s:o, s:I, s:I}", "node",
-                          edge->settings.id, "ready", wb_edge_node_is_ready(node), "config_version",
-                          (json_int_t)(edge->catalog != NULL ? edge->catalog->version : 0),
-                          "open_requests", (int)g_hash_table_size(edge->open), "waiting_requests",
-                          (int)edge->waiting.len, "engines",
-                          (int)g_hash_table_size(wb_fleet_all(edge->fleet)), "members", members,
-                          "lease", lease_json(node), "catalog_age_ms",
-                          (json_int_t)wb_table_watch_age_ms(node->catalog_watch), "engines_age_ms",
-                          (json_int_t)wb_table_watch_age_ms(node->engines_watch)));
+    json_respond(
+        connection, 200,
+        json_pack("{s:s, s:b, s:I, s:i, s:i, s:i, s:o, s:o, s:I, s:I}", "node", edge->settings.id,
+                  "ready", wb_edge_node_is_ready(node), "config_version",
+                  (json_int_t)(edge->catalog != NULL ? edge->catalog->version : 0), "open_requests",
+                  (int)g_hash_table_size(edge->open), "waiting_requests", (int)edge->waiting.len,
+                  "engines", (int)g_hash_table_size(wb_fleet_all(edge->fleet)), "members", members,
+                  "lease", lease_json(node), "catalog_age_ms",
+                  (json_int_t)wb_table_watch_age_ms(node->catalog_watch), "engines_age_ms",
+                  (json_int_t)wb_table_watch_age_ms(node->engines_watch)));
 }
 
 static json_t *route_json(const wb_route_t *route) {
@@ -114,17 +116,17 @@
     gpointer of_host;
     if (node->edge.catalog == NULL) {
         json_decref(routes);
-        error_answer(connection, 503, "no configuration is known yet");
+        error_respond(connection, 503, "no configuration has been read yet");
         return;
     }
     g_hash_table_iter_init(&iter, node->edge.catalog->hosts);
     while (g_hash_table_iter_next(&iter, NULL, &of_host))
         for (guint i = 0; i < ((GPtrArray *)of_host)->len; i++)
             json_array_append_new(routes, route_json(g_ptr_array_index((GPtrArray *)of_host, i)));
-    json_answer(connection, 200, json_pack("{s:o}", "routes", routes));
+    json_respond(connection, 200, json_pack("{s:o}", "routes", routes));
 }
 
-/* Engines that hold a model, as this node would use them. */
+/* Engines that hold a model, in the state by which this node would choose one. */
 static json_t *replicas_json(const wb_edge_t *edge, const char *service, const char *model) {
     json_t *replicas = json_array();
     const GPtrArray *engines = wb_fleet_service(edge->fleet, service);
@@ -150,7 +152,7 @@
     gpointer service;
     if (node->edge.catalog == NULL) {
         json_decref(models);
-        error_answer(connection, 503, "no configuration is known yet");
+        error_respond(connection, 503, "no configuration has been read yet");
         return;
     }
     g_hash_table_iter_init(&services, node->edge.catalog->services);
@@ -167,10 +169,10 @@
                           replicas_json(&node->edge, ((wb_service_t *)service)->name, name)));
         }
     }
-    json_answer(connection, 200, json_pack("{s:o}", "models", models));
+    json_respond(connection, 200, json_pack("{s:o}", "models", models));
 }
 
-/* A tenant's limit; what all nodes use of it is known to the node that keeps the book only. */
+/* A tenant's limit; the use over all nodes is known to the aggregator only. */
 static json_t *tenant_json(const wb_edge_node_t *node, const wb_tenant_t *tenant) {
     json_t *json =
         json_pack("{s:s, s:i, s:s, s:f, s:f}", "tenant", tenant->name, "rank", tenant->rank, "unit",
@@ -194,7 +196,7 @@
     const wb_catalog_t *catalog = node->edge.catalog;
     if (catalog == NULL || catalog->tenants == NULL) {
         json_decref(tenants);
-        error_answer(connection, 404, "the configuration that is in force has no tenants");
+        error_respond(connection, 404, "the configuration in force has no tenants");
         return;
     }
     GHashTableIter iter;
@@ -202,7 +204,7 @@
     g_hash_table_iter_init(&iter, wb_tenants_all(catalog->tenants));
     while (g_hash_table_iter_next(&iter, NULL, &tenant))
         json_array_append_new(tenants, tenant_json(node, tenant));
-    json_answer(connection, 200, json_pack("{s:o}", "tenants", tenants));
+    json_respond(connection, 200, json_pack("{s:o}", "tenants", tenants));
 }
 
 static json_t *poison_json(const wb_poison_entry_t *entry) {
@@ -215,34 +217,35 @@
         (json_int_t)MAX(entry->until_ms - wb_clock_ms(), 0));
 }
 
-/* Requests under which engines ended, as far as this node knows; newest first. */
+/* Poison and suspected requests that this node knows, newest first. */
 static void poison_show(wb_edge_node_t *node, wb_http_connection_t *connection, const char *query) {
     (void)query;
     json_t *requests = json_array();
     WB_LIST_EACH(item, wb_poison_book_entries(node->edge.poison)) {
         json_array_append_new(requests, poison_json(WB_LIST_OF(item, wb_poison_entry_t, item)));
     }
-    json_answer(connection, 200, json_pack("{s:o}", "requests", requests));
+    json_respond(connection, 200, json_pack("{s:o}", "requests", requests));
 }
 
-/* An operator knows that a request is served well from now on, as with mended engines. */
+/* Clears a request that operators expect to be served from now on, as after a fix of the engines.
+ */
 static void poison_forgive(wb_edge_node_t *node, wb_http_connection_t *connection,
                            const char *query) {
     static const char member[] = "digest=";
     wb_request_digest_t digest;
     if (!g_str_has_prefix(query, member) ||
         !wb_request_digest_read(query + strlen(member), &digest)) {
-        error_answer(connection, 400, "say ?digest= and 32 hexadecimal digits");
+        error_respond(connection, 400, "expected ?digest= with 32 hexadecimal digits");
         return;
     }
     if (!wb_poison_book_forgive(node->edge.poison, &digest)) {
-        error_answer(connection, 404, "nothing is held against this request here");
+        error_respond(connection, 404, "this node has no entry for this request");
         return;
     }
     wb_event("request-forgiven", ",\"id\":\"\",\"digest\":\"%s\",\"engine\":\"\"",
              wb_event_text(query + strlen(member)));
     wb_edge_node_poison_changed(node);
-    json_answer(connection, 200, json_pack("{s:b}", "forgiven", 1));
+    json_respond(connection, 200, json_pack("{s:b}", "forgiven", 1));
 }
 
 static const wb_service_t *service_of_model(const wb_edge_t *edge, const char *model) {
@@ -257,7 +260,7 @@
     return NULL;
 }
 
-static void waiting_count(const wb_edge_t *edge, const char *model, int *waiting, int *running) {
+static void requests_count(const wb_edge_t *edge, const char *model, int *waiting, int *running) {
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, edge->open);
@@ -270,7 +273,7 @@
     }
 }
 
-/* What the controller believes and would do, told by the node that holds the lease only. */
+/* The controller's view of a model and its candidates; only at the lease holder. */
 static json_t *decisions_json(wb_edge_node_t *node, const wb_service_t *service,
                               const char *model) {
     const wb_model_use_t *use = wb_controller_use(node->controller, service->name, model);
@@ -300,14 +303,14 @@
     const wb_edge_t *edge = &node->edge;
     const wb_service_t *service = service_of_model(edge, model);
     if (service == NULL) {
-        error_answer(connection, 404, "no service of the configuration has this model");
+        error_respond(connection, 404, "no service in the configuration has this model");
         return;
     }
     const wb_lease_row_t *lease = wb_lease_known(node->lease);
     json_t *replicas = replicas_json(edge, service->name, model);
     int waiting = 0;
     int running = 0;
-    waiting_count(edge, model, &waiting, &running);
+    requests_count(edge, model, &waiting, &running);
     const char *state = json_array_size(replicas) > 0 ? "loaded" : "not loaded";
     json_t *gateway = json_pack("[{s:s, s:s, s:i, s:i, s:o}]", "route", state, "reason", "",
                                 "waiting", waiting, "running", running, "replicas", replicas);
@@ -316,7 +319,7 @@
                              "gateway", gateway);
     if (node->lease_held)
         json_object_set_new(body, "decisions", decisions_json(node, service, model));
-    json_answer(connection, 200, body);
+    json_respond(connection, 200, body);
 }
 
 static void request_explain(wb_edge_node_t *node, wb_http_connection_t *connection,
@@ -329,15 +332,15 @@
         g_autofree char *why =
             g_strdup_printf("status %u on route %s, %u runs, waited %lld ms", ended->status,
                             ended->route, ended->runs, (long long)ended->waited_ms);
-        json_answer(connection, 200,
-                    json_pack("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s, s:s}", "request", ended->id,
-                              "model", ended->model, "adapter", ended->adapter, "owner", "-",
-                              "outcome", ended->ending, "took_ms", (json_int_t)ended->took_ms,
-                              "attempts", (int)ended->sends, "engine",
-                              *ended->engine != '\0' ? ended->engine : "none", "why", why));
+        json_respond(connection, 200,
+                     json_pack("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s, s:s}", "request",
+                               ended->id, "model", ended->model, "adapter", ended->adapter, "owner",
+                               "-", "outcome", ended->ending, "took_ms", (json_int_t)ended->took_ms,
+                               "attempts", (int)ended->sends, "engine",
+                               *ended->engine != '\0' ? ended->engine : "none", "why", why));
         return;
     }
-    error_answer(connection, 404, "this node doesn't remember such a request; see its log");
+    error_respond(connection, 404, "this node no longer has this request in memory; see its log");
 }
 
 static void explanation_show(wb_edge_node_t *node, wb_http_connection_t *connection,
@@ -350,13 +353,13 @@
     else if (name != NULL && strcmp(words[0], "request") == 0)
         request_explain(node, connection, name);
     else
-        error_answer(connection, 400, "say ?model=NAME or ?request=ID");
+        error_respond(connection, 400, "expected ?model=NAME or ?request=ID");
 }
 
 static void drain_begin(wb_edge_node_t *node, wb_http_connection_t *connection, const char *query) {
     (void)query;
     wb_edge_node_drain(node);
-    json_answer(connection, 200, json_pack("{s:b}", "draining", 1));
+    json_respond(connection, 200, json_pack("{s:b}", "draining", 1));
 }
 
 typedef struct wb_operators_call_t {
@@ -390,7 +393,7 @@
     if (call != NULL)
         call->run(node, connection, query);
     else
-        error_answer(connection, 404, "there is no such call");
+        error_respond(connection, 404, "no such operator call");
     wb_http_head_free(head);
     g_byte_array_unref(body);
 }
--- a/src/edge/edge_settings.c
+++ b/src/edge/edge_settings.c
@@ -1,10 +1,11 @@
-/* The table of an edge node's settings: flags, file, help and docs/SETTINGS.md all come from it. */
+/* The settings of an edge node: command-line flags, settings file, help text and docs/SETTINGS.md
+ * are all derived from this table. */
 #include "wickbridge/edge.h"
 
 #include <glib.h>
 
-#define ROW(name, type, unit, low, high, fallback, field, text)                                    \
-    { name, type, unit, low, high, fallback, offsetof(wb_edge_settings_t, field), text }
+#define ROW(name, type, unit, min, max, default_value, field, text)                                \
+    { name, type, unit, min, max, default_value, offsetof(wb_edge_settings_t, field), text }
 
 static const wb_setting_t rows[] = {
     ROW("id", WB_SETTING_TEXT, "", 0, 0, NULL, id,
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -1,32 +1,32 @@
-/* The lease's holder announces itself to nodes that don't report to it.
- *
- * A node learns from the store who holds the lease. One that the store turns away, or that is cut
- * off from it, keeps to the holder it knows, which may be gone or no longer hold it: what it can't
- * serve with what is loaded is then refused. So the holder connects to each node that has a row in
- * the store and no link to it, and tells it the lease's row; the node then links to it as usual. */
+/* Announces the lease holder to nodes that have no link to it.
+ * A node learns from the store who holds the lease. One that the store refuses, or that is cut off
+ * from it, stays with the holder it knows, which may have gone or lost the lease, and then refuses
+ * requests for models that aren't loaded. So the holder connects to each node that has a row but no
+ * link, and sends it the lease row; the node then opens its own link to the holder.
+ * Times are in ms. A failed announcement is repeated with exponential backoff. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* A node that reads the store links within two of its looks (1 s); the others are told then. */
-#define PATIENCE_MS 1000
-/* An announcement that found nobody is made again after this time, then after twice that, and so
- * on. Machines come back within some seconds, and those that don't keep their rows for minutes. */
-#define AGAIN_MS 1000
-#define AGAIN_LIMIT_MS 8000
-/* A link that was announced on ends after this time, or its other end has. */
+/* Nodes that can read the store open their link within two polls (1 s); the others get an
+ * announcement then. */
+#define LINK_WAIT_MS 1000
+/* Backoff between announcements to a node, doubled each time. Machines return within seconds; those
+ * that don't keep their rows for minutes. */
+#define RETRY_MS 1000
+#define RETRY_MAX_MS 8000
+/* The link of an announcement is closed after this time. */
 #define LINK_LIFE_MS 1000
-/* At a takeover before hundreds of machines the announcements are spread over some ticks of 50 ms.
- */
-#define MOST_A_TICK 8
+/* Spreads the announcements of a new holder to many nodes over several ticks. */
+#define MAX_PER_TICK 8
 
-/* What the holder knows of a node that doesn't report to it. */
+/* Announcements to one node. */
 struct wb_announcement_t {
     wb_edge_node_t *node;
-    wb_link_t *link;  /* NULL: none under way */
-    int64_t begun_ms; /* of the link */
+    wb_link_t *link;    /* NULL: no announcement under way */
+    int64_t connect_ms; /* when the link was started */
     int64_t next_ms;
-    int64_t pause_ms;
+    int64_t retry_ms;
 };
 
 static void announcement_free(gpointer data) {
@@ -49,22 +49,22 @@
         return;
     }
     wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
-    wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
-    wb_lease_row_t in_short = wb_edge_node_lease_without_grants(known);
-    news->lease = wb_edge_node_lease_to_wire(&in_short);
-    news->lease_version = (uint64_t)wb_lease_version(node->lease);
+    wb_wire_store_news *update = &message.wb_wire_message_u.store_news;
+    wb_lease_row_t copy = wb_edge_node_lease_without_grants(known);
+    update->lease = wb_edge_node_lease_to_wire(&copy);
+    update->lease_version = (uint64_t)wb_lease_version(node->lease);
     wb_link_send(link, &message);
 }
 
 static void link_message(wb_link_t *link, const wb_wire_message *message, void *context) {
     (void)link;
-    (void)message; /* the other end says what it has to say on a link of its own */
+    (void)message; /* the node sends its messages on its own link */
     (void)context;
 }
 
 static void link_close(wb_link_t *link, const char *reason, void *context) {
     (void)link;
-    (void)reason; /* nobody there, which the next try finds out */
+    (void)reason; /* an unreachable node is tried again */
     wb_announcement_t *announcement = context;
     announcement->link = NULL;
 }
@@ -74,9 +74,9 @@
     wb_edge_node_t *node = announcement->node;
     wb_link_events_t events = {link_open, link_message, link_close, announcement, NULL, NULL};
     wb_error_t error;
-    announcement->begun_ms = now_ms;
-    announcement->pause_ms = CLAMP(2 * announcement->pause_ms, AGAIN_MS, AGAIN_LIMIT_MS);
-    announcement->next_ms = now_ms + announcement->pause_ms;
+    announcement->connect_ms = now_ms;
+    announcement->retry_ms = CLAMP(2 * announcement->retry_ms, RETRY_MS, RETRY_MAX_MS);
+    announcement->next_ms = now_ms + announcement->retry_ms;
     if (wb_link_connect(node->edge.loop, address, &events, &node->link_counters,
                         &announcement->link, &error) != APR_SUCCESS) {
         wb_event("announce-failed", ",\"to\":\"%s\",\"reason\":\"%s\"", wb_event_text(id),
@@ -86,8 +86,8 @@
     wb_event("announced", ",\"to\":\"%s\",\"address\":\"%s\"", wb_event_text(id), address);
 }
 
-/* Returns the names of nodes that report to this one. */
-static GHashTable *reporting_collect(const wb_edge_node_t *node) {
+/* Returns the ids of nodes that report to this one; borrowed. */
+static GHashTable *reporting_names(const wb_edge_node_t *node) {
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
     GHashTableIter iter;
     gpointer value;
@@ -101,17 +101,17 @@
     return names;
 }
 
-/* Returns TRUE when it has begun to announce. */
+/* Returns TRUE when an announcement was started. */
 static gboolean announcement_check(wb_edge_node_t *node, const char *id, const char *address,
                                    int64_t now_ms) {
     wb_announcement_t *announcement = g_hash_table_lookup(node->announcements, id);
     if (announcement == NULL) {
         announcement = g_new0(wb_announcement_t, 1);
         announcement->node = node;
-        announcement->next_ms = now_ms + PATIENCE_MS;
+        announcement->next_ms = now_ms + LINK_WAIT_MS;
         g_hash_table_insert(node->announcements, g_strdup(id), announcement);
     }
-    if (announcement->link != NULL && now_ms - announcement->begun_ms >= LINK_LIFE_MS) {
+    if (announcement->link != NULL && now_ms - announcement->connect_ms >= LINK_LIFE_MS) {
         wb_link_close(announcement->link);
         announcement->link = NULL;
     }
@@ -124,18 +124,18 @@
 
 void wb_edge_node_tick_announce(wb_edge_node_t *node, int64_t now_ms) {
     gboolean all_linked = g_hash_table_size(node->gateways) + 1 >= g_hash_table_size(node->nodes);
-    /* In a large fleet there are links for rows of engines, too, which count for nothing here. */
+    /* A large fleet also has links for subscriptions, so the number of links proves nothing. */
     if (!node->lease_held || (all_linked && !wb_edge_node_has_large_fleet(node))) {
         g_hash_table_remove_all(node->announcements);
         return;
     }
-    g_autoptr(GHashTable) reporting = reporting_collect(node);
+    g_autoptr(GHashTable) reporting = reporting_names(node);
     GHashTableIter iter;
     gpointer id;
     gpointer value;
     unsigned begun = 0;
     g_hash_table_iter_init(&iter, node->nodes);
-    while (g_hash_table_iter_next(&iter, &id, &value) && begun < MOST_A_TICK) {
+    while (g_hash_table_iter_next(&iter, &id, &value) && begun < MAX_PER_TICK) {
         const wb_node_row_t *row = value;
         if (strcmp(id, node->edge.settings.id) == 0 || row->address == NULL) {
             continue;
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -1,17 +1,17 @@
-/* What rows of engines change at a node: engines come, start again, leave and go.
- *
- * Anybody may write such rows. One that can't be read names no engine to use, and takes the engine
- * out that stood there before; it changes nothing else. An engine may start again under its id:
- * then all that was believed of the earlier start ends with it, at once. */
+/* Applies rows of the engines table: engines appear, restart, drain and disappear.
+ * Any process may write such rows. An invalid row removes the engine of that id and changes nothing
+ * else. An engine may restart under its id: all state of its earlier start is then dropped at once.
+ * Errors are logged as engine-row-refused, with the reason. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* A writer of bad rows may write many: one log line tells of all within this time. */
-#define REFUSED_LOG_MS 1000
+/* Interval of the log line about rejected rows, of which there may be many. */
+#define REJECTED_LOG_MS 1000
 
-/* Tells gateways of one model or adapter: KEY is MODEL/ADAPTER. */
-static void holding_tell(wb_edge_node_t *node, const char *engine, const char *key, gboolean held) {
+/* Sends gateways a change of one model or adapter. @param key MODEL/ADAPTER */
+static void placement_broadcast(wb_edge_node_t *node, const char *engine, const char *key,
+                                gboolean held) {
     g_auto(GStrv) names = g_strsplit(key, "/", 2);
     wb_wire_placement_entry entry = {(char *)engine, names[0], names[1], held, 0};
     wb_wire_message message = {.kind = WB_WIRE_PLACEMENT};
@@ -25,29 +25,29 @@
              held ? "true" : "false");
 }
 
-/* An announcement may show what no order of this holder made: gateways, which rarely read
- * announcements themselves, are told what they can't know. */
-static void holdings_compare(wb_edge_node_t *node, const char *engine, GHashTable *before,
-                             GHashTable *after) {
+/* Sends gateways differences that no order of this holder made; they rarely read engine rows
+ * themselves. */
+static void placements_compare(wb_edge_node_t *node, const char *engine, GHashTable *before,
+                               GHashTable *after) {
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, before);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         if (!g_hash_table_contains(after, key)) {
-            holding_tell(node, engine, key, FALSE);
+            placement_broadcast(node, engine, key, FALSE);
         }
     }
     g_hash_table_iter_init(&iter, after);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         if (!g_hash_table_contains(before, key)) {
-            holding_tell(node, engine, key, TRUE);
+            placement_broadcast(node, engine, key, TRUE);
         }
     }
 }
 
-/* Takes an engine's announcement. Returns NULL when a later start of it is known. */
-static wb_engine_t *engine_announce(wb_edge_node_t *node, wb_engine_t *known,
-                                    wb_engine_state_t *state) {
+/* Applies an engine's state. Returns NULL when a later start of the engine is known. */
+static wb_engine_t *engine_state_apply(wb_edge_node_t *node, wb_engine_t *known,
+                                       wb_engine_state_t *state) {
     int64_t now_ms = wb_clock_ms();
     gboolean may_differ =
         node->lease_held && known != NULL &&
@@ -61,12 +61,13 @@
         return NULL;
     }
     g_autoptr(GHashTable) after = wb_engine_holdings(engine, now_ms);
-    holdings_compare(node, state->id, before, after);
+    placements_compare(node, state->id, before, after);
     return engine;
 }
 
-/* The engine of a row that names none any more, or whose row is gone. */
-static void engine_take_out(wb_edge_node_t *node, wb_engine_t *engine, int64_t use_until_ms) {
+/* Removes an engine whose row was removed or became invalid. @param use_until_ms until when it may
+ * still get requests that no other engine can take */
+static void engine_remove(wb_edge_node_t *node, wb_engine_t *engine, int64_t use_until_ms) {
     wb_edge_t *edge = &node->edge;
     g_autofree char *id = g_strdup(engine->state->id);
     if (engine->leaving_ms == 0) {
@@ -76,7 +77,8 @@
     wb_controller_engine_changed(node->controller, id);
 }
 
-/* A crash whose row never lapsed: the engine runs again, empty. What was sent to it has ended. */
+/* The engine crashed and restarted before its row expired: it holds no models, and requests sent to
+ * it have failed. */
 static void engine_restarted(wb_edge_node_t *node, wb_engine_t *engine,
                              const wb_engine_state_t *state) {
     node->edge.metrics.engine_restarts++;
@@ -88,17 +90,17 @@
     wb_engine_ref(engine);
     wb_upstreams_drop(engine);
     wb_controller_engine_restarted(node->controller, state->id);
-    engine_take_out(node, engine, 0);
+    engine_remove(node, engine, 0);
     wb_pace_book_forget(node->pace_book, state->id);
     wb_exchanges_engine_ended(&node->edge, engine);
     wb_engine_unref(engine);
 }
 
-static void refused_log(wb_edge_node_t *node, const wb_table_row_t *row, const char *reason) {
+static void rejected_row_log(wb_edge_node_t *node, const wb_table_row_t *row, const char *reason) {
     int64_t now_ms = wb_clock_ms();
     node->edge.metrics.engine_rows_refused++;
     node->rejected_rows++;
-    if (now_ms - node->rejected_rows_logged_ms < REFUSED_LOG_MS) {
+    if (now_ms - node->rejected_rows_logged_ms < REJECTED_LOG_MS) {
         return;
     }
     wb_event("engine-row-refused",
@@ -109,38 +111,38 @@
     node->rejected_rows = 0;
 }
 
-/* Reads a row. Where engines tell when they started, a row that doesn't is another writer's. */
+/* Parses a row. Once any engine's row has had a start time, a row without one is invalid. */
 static wb_engine_state_t *row_parse(wb_edge_node_t *node, const wb_table_row_t *row) {
     wb_error_t error = {0};
     wb_engine_state_t *state =
         node->edge.dialect->engine_parse(row->key, row->value, row->length, &error);
     if (state != NULL && state->born_ms == 0 && node->starts_reported) {
-        wb_error_set(&error, APR_EINVAL, "it doesn't tell when it started");
+        wb_error_set(&error, APR_EINVAL, "the row has no start time");
         wb_engine_state_free(state);
         state = NULL;
     }
     if (state == NULL) {
-        refused_log(node, row, error.message);
+        rejected_row_log(node, row, error.message);
         return NULL;
     }
     node->starts_reported = node->starts_reported || state->born_ms != 0;
     return state;
 }
 
-static void row_gone(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
+static void row_removed(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
     if (known != NULL) {
         wb_event("engine-gone", ",\"engine\":\"%s\",\"row_version\":%lld", wb_event_text(row->key),
                  (long long)row->version);
-        engine_take_out(node, known,
-                        wb_fleet_use_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
-                                              node->edge.settings.drain_ms, wb_clock_ms()));
+        engine_remove(node, known,
+                      wb_fleet_use_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
+                                            node->edge.settings.drain_ms, wb_clock_ms()));
     }
     wb_edge_node_update_add(node, WB_TABLE_ENGINES, row);
 }
 
-static void row_refused(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
+static void row_rejected(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
     if (known != NULL) {
-        engine_take_out(node, known, 0);
+        engine_remove(node, known, 0);
         wb_edge_node_update_add(node, WB_TABLE_ENGINES, row);
     }
 }
@@ -162,12 +164,12 @@
     wb_engine_t *known = wb_fleet_find(edge->fleet, row->key);
     wb_edge_node_relay_row(node, row);
     if (row->value == NULL) {
-        row_gone(node, known, row);
+        row_removed(node, known, row);
         return;
     }
     wb_engine_state_t *state = row_parse(node, row);
     if (state == NULL) {
-        row_refused(node, known, row);
+        row_rejected(node, known, row);
         return;
     }
     gboolean restarted = known != NULL && wb_engine_state_is_later(known->state, state);
@@ -177,7 +179,7 @@
     if (restarted) {
         engine_restarted(node, known, state);
     }
-    wb_engine_t *engine = engine_announce(node, before, state);
+    wb_engine_t *engine = engine_state_apply(node, before, state);
     if (before != NULL) {
         wb_engine_unref(before);
     }
--- a/src/edge/node_reach.c
+++ b/src/edge/node_reach.c
@@ -1,40 +1,40 @@
-/* Whether the controller hears of what is asked for at this node, and what those are told who wait
- * for it meanwhile. */
+/* Whether a controller receives this node's demand, and how long requests wait or back off
+ * meanwhile.
+ * Times are in ms. */
 #include "edge/edge_node_types.h"
 
-/* A link that ended may be back at once: two tries to connect, 150 ms apart. */
-#define UNHEARD_GRACE_MS 400
-/* A caller that is refused because this node is cut off should come back soon: its next try
- * reaches another node. */
-#define ELSEWHERE_MS 300
-/* While the store is away no node is better than another. One that was lost is asked for a table
- * every 1.2 s, so nothing is known to have changed sooner. */
-#define STORE_AWAY_MS 1200
-/* From when a lease may be taken over until its new holder has heard what is waited for: few nodes'
- * spread of tries (200 ms), a write, a link (150 ms), a decision. */
+/* A link that broke may be reopened at once: time for two attempts to connect. */
+#define UNREACHED_GRACE_MS 400
+/* Retry time while only this node is cut off: the client's next attempt reaches another node. */
+#define OTHER_NODE_RETRY_MS 300
+/* Retry time while the store is unavailable, which affects all nodes: the interval at which a
+ * failing table is polled. */
+#define STORE_UNAVAILABLE_RETRY_MS 1200
+/* Time from when the lease may be taken over until the new holder has received demand: jitter of
+ * the attempts, a write, a link, a decision. */
 #define TAKEOVER_SLACK_MS 500
-/* A take-over that isn't heard of for so long after it was due has failed, or isn't heard here: the
- * spread of tries (200 ms), a write to the store (its timeout is 900 ms) and a link to its holder.
- */
-#define TAKEOVER_LATE_MS 1300
-/* News that are later than this have missed twice. */
-#define NEWS_LATE_MS 700
+/* A takeover that isn't seen this long after it was due has failed or can't be seen here: jitter of
+ * the attempts, a write to the store up to its timeout, a link to the new holder. */
+#define TAKEOVER_OVERDUE_MS 1300
+/* Age at which the last two updates are missing. */
+#define UPDATE_LATE_MS 700
 
 static const char *reach_name(wb_controller_reach_t reach) {
     static const char *const names[] = {"reached", "awaited", "unreached"};
     return names[reach];
 }
 
-/* The holder renews the lease, though this node can't hear it. A renewal that was made before the
- * link was lost may be read a little later. */
-static gboolean holder_renews_unheard(const wb_edge_node_t *node) {
+/* Returns TRUE when the holder renews the lease though this node isn't connected to it. A renewal
+ * from before the link was lost may be read a little later and doesn't count. */
+static gboolean unreached_holder_renews(const wb_edge_node_t *node) {
     int64_t renewal_ms = node->edge.settings.lease_renew_ms;
     return wb_lease_changed_ms(node->lease) >
-           node->unreached_since_ms + UNHEARD_GRACE_MS + renewal_ms;
+           node->unreached_since_ms + UNREACHED_GRACE_MS + renewal_ms;
 }
 
-/* A call to the store has failed, and none was answered since the controller is unheard. */
-static gboolean store_is_unheard(const wb_edge_node_t *node) {
+/* Returns TRUE when a call to the store has failed, and none succeeded since the controller became
+ * unreachable. */
+static gboolean store_is_unreachable(const wb_edge_node_t *node) {
     gboolean failed = FALSE;
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
         failed |= node->store_unavailable[table];
@@ -49,30 +49,30 @@
     const wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
     if (wb_edge_node_has_recent_updates(node) || node->unreached_since_ms == 0 ||
-        now_ms - node->unreached_since_ms < UNHEARD_GRACE_MS) {
+        now_ms - node->unreached_since_ms < UNREACHED_GRACE_MS) {
         return (wb_controller_view_t){WB_CONTROLLER_REACHED, 0};
     }
-    /* The holder is there but may not act: the store is away for it, too, so no other node is
-     * better. */
-    gboolean store_unheard = store_is_unheard(node);
-    if (node->controller_link_open && store_unheard) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, STORE_AWAY_MS};
+    /* The holder is connected but may not send orders: the store is unavailable for it too, so no
+     * other node is better. */
+    gboolean store_unreachable = store_is_unreachable(node);
+    if (node->controller_link_open && store_unreachable) {
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, STORE_UNAVAILABLE_RETRY_MS};
     }
     int64_t takeover_ms = wb_lease_takeover_at_ms(node->lease);
-    gboolean overdue = takeover_ms != 0 && now_ms > takeover_ms + TAKEOVER_LATE_MS;
-    if (store_unheard || overdue || holder_renews_unheard(node)) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, ELSEWHERE_MS};
+    gboolean overdue = takeover_ms != 0 && now_ms > takeover_ms + TAKEOVER_OVERDUE_MS;
+    if (store_unreachable || overdue || unreached_holder_renews(node)) {
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, OTHER_NODE_RETRY_MS};
     }
     return (wb_controller_view_t){WB_CONTROLLER_AWAITED,
                                   MAX(takeover_ms - now_ms, 0) + TAKEOVER_SLACK_MS};
 }
 
-/* When news are late, the lease's row is read at once: its time runs from when it was last seen to
- * change, and whether the store is there shows, too. */
-static void late_news_check(wb_edge_node_t *node, int64_t now_ms) {
+/* Reads the lease row at once when an update is late: the lease's time runs from when its row was
+ * last seen to change, and the read also shows whether the store is available. */
+static void late_update_check(wb_edge_node_t *node, int64_t now_ms) {
     if (node->lease_held || node->update_received_ms == 0 ||
         node->late_update_ms == node->update_received_ms ||
-        now_ms - node->update_received_ms < NEWS_LATE_MS) {
+        now_ms - node->update_received_ms < UPDATE_LATE_MS) {
         return;
     }
     node->late_update_ms = node->update_received_ms;
@@ -80,7 +80,7 @@
 }
 
 void wb_edge_node_tick_reach(wb_edge_node_t *node, int64_t now_ms) {
-    late_news_check(node, now_ms);
+    late_update_check(node, now_ms);
     gboolean just_opened =
         node->controller_link_open && now_ms - node->link_opened_ms < WB_UPDATE_LIFE_MS;
     if (wb_edge_node_has_recent_updates(node) || just_opened) {
@@ -91,7 +91,7 @@
     const wb_lease_row_t *lease = wb_lease_known(node->lease);
     uint64_t token = lease != NULL ? lease->token : 0;
     if (node->unreached_since_ms == 0 || node->unreached_token != token) {
-        /* Another holder than the one that was lost has its own time to be heard. */
+        /* A new holder gets its own time to become reachable. */
         node->unreached_since_ms = now_ms;
         node->unreached_token = token;
     }
@@ -102,7 +102,7 @@
     node->reach_notified = view.reach;
     wb_exchanges_reconsider(&node->edge);
     if (view.reach == WB_CONTROLLER_REACHED) {
-        return; /* another holder was found: it may be heard soon */
+        return; /* a new holder was found and may be reachable soon */
     }
     wb_event("controller-missing", ",\"for_ms\":%lld,\"reach\":\"%s\",\"expected_in_ms\":%lld",
              (long long)(now_ms - node->unreached_since_ms), reach_name(view.reach),
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -1,23 +1,24 @@
-/* A relay: a node that has read the table of engines tells those that haven't what they ask for.
- *
- * For each link it keeps which rows it has told. It tells their changes as it learns of them, and
- * each half second that there are none, so that the other end knows within a bound whether it is
- * still told. It keeps all rows that it has read, those that were removed, too. */
+/* A relay: a node that reads the large engines table and sends rows to the subscribers that don't
+ * (node_directory.c).
+ * For each link it keeps the rows that it has sent, and sends their changes as it learns of them.
+ * Without changes it sends a heartbeat, so that a subscriber detects a lost relay within a bounded
+ * time. It keeps all rows that it has read, including removed ones.
+ * Times are in ms. */
 #include "edge/edge_node_types.h"
 
 #include "directory/engine_subset.h"
 
 #include <string.h>
 
-/* What the other end has heard of its rows is at most so old. */
-#define TELL_MS 500
+/* Upper bound on the age of what a subscriber has received. */
+#define HEARTBEAT_MS 500
 
-/* What one link has asked for. */
+/* What one link has subscribed to. */
 struct wb_subscription_t {
     char *zone;
-    GHashTable *keys; /* set of rows that were told, or asked for by name */
-    GArray *changes;  /* of wb_wire_table_row, not yet told */
-    int64_t told_ms;
+    GHashTable *keys; /* set of keys of rows that were sent, or subscribed to by key */
+    GArray *changes;  /* of wb_wire_table_row, not sent yet */
+    int64_t sent_ms;
 };
 
 static void wire_row_clear(gpointer data) {
@@ -67,8 +68,9 @@
     return fresh_ms == 0 ? G_MAXINT : (unsigned)CLAMP(now_ms - fresh_ms, 0, G_MAXINT);
 }
 
-static void show_send(wb_edge_node_t *node, wb_link_t *link, wb_subscription_t *subscription,
-                      const wb_wire_engines_want *want, const GArray *holds) {
+static void engine_update_send(wb_edge_node_t *node, wb_link_t *link,
+                               wb_subscription_t *subscription, const wb_wire_engines_want *want,
+                               const GArray *holds) {
     int64_t now_ms = wb_clock_ms();
     wb_wire_message message = {.kind = WB_WIRE_ENGINES_SHOW};
     wb_wire_engines_show *show = &message.wb_wire_message_u.engines_show;
@@ -86,18 +88,19 @@
     }
     wb_link_send(link, &message);
     g_array_set_size(subscription->changes, 0);
-    subscription->told_ms = now_ms;
+    subscription->sent_ms = now_ms;
 }
 
-/* Tells a row that was asked for by name, if it is newer than the other end's; from now on its
- * changes, too. One that isn't in the table any more went while another relay told of it. */
-static void known_show(wb_edge_node_t *node, wb_subscription_t *subscription,
-                       const wb_wire_known_row *known) {
+/* Queues a row if the version that the subscriber knows is older, and later its changes. A row that
+ * is no longer in the table was removed while the gateway was subscribed to another relay. */
+static void known_row_add(wb_edge_node_t *node, wb_subscription_t *subscription,
+                          const wb_wire_known_row *known) {
     const wb_table_row_t *row = g_hash_table_lookup(node->engine_rows, known->key);
-    wb_table_row_t gone = {known->key, NULL, 0, wb_table_watch_newest_row(node->engines_watch)};
-    gboolean may_be_gone = known->row_version > 0 && wb_edge_node_knows_engines(node);
-    if (row == NULL && may_be_gone) {
-        row = &gone;
+    wb_table_row_t removed_row = {known->key, NULL, 0,
+                                  wb_table_watch_newest_row(node->engines_watch)};
+    gboolean may_be_removed = known->row_version > 0 && wb_edge_node_knows_engines(node);
+    if (row == NULL && may_be_removed) {
+        row = &removed_row;
     }
     g_hash_table_add(subscription->keys, g_strdup(known->key));
     if (row != NULL && row->version > (int64_t)known->row_version) {
@@ -105,9 +108,9 @@
     }
 }
 
-/* Tells an engine's row, once; from then on its changes. */
-static void engine_show(wb_edge_node_t *node, wb_subscription_t *subscription,
-                        const wb_engine_t *engine) {
+/* Queues an engine's row once, and then its changes. */
+static void engine_row_add(wb_edge_node_t *node, wb_subscription_t *subscription,
+                           const wb_engine_t *engine) {
     const char *id = engine->state->id;
     const wb_table_row_t *row = g_hash_table_lookup(node->engine_rows, id);
     if (row != NULL && g_hash_table_add(subscription->keys, g_strdup(id))) {
@@ -115,7 +118,8 @@
     }
 }
 
-/* News may be ahead of a row: what the model's engines hold by them goes with the answer. */
+/* Placement updates may be ahead of rows: the answer includes the engines that hold the model by
+ * updates only. */
 static void holds_append(GArray *holds, const wb_engine_t *engine, const char *model) {
     if (*model == '\0' || g_hash_table_contains(engine->state->models, model)) {
         return;
@@ -133,21 +137,21 @@
     }
     wb_subscription_t *subscription = gateway->subscription;
     for (guint i = 0; i < want->known.known_len; i++) {
-        known_show(node, subscription, &want->known.known_val[i]);
+        known_row_add(node, subscription, &want->known.known_val[i]);
     }
     for (guint i = 0; i < want->wants.wants_len; i++) {
-        const wb_wire_engine_want *one = &want->wants.wants_val[i];
+        const wb_wire_engine_want *selector = &want->wants.wants_val[i];
         g_autoptr(GPtrArray) engines =
-            wb_engine_subset(wb_fleet_service(node->edge.fleet, one->service), one->model,
+            wb_engine_subset(wb_fleet_service(node->edge.fleet, selector->service), selector->model,
                              subscription->zone, now_ms);
         for (guint j = 0; j < engines->len; j++) {
             const wb_engine_t *engine = g_ptr_array_index(engines, j);
-            engine_show(node, subscription, engine);
-            holds_append(holds, engine, one->model);
+            engine_row_add(node, subscription, engine);
+            holds_append(holds, engine, selector->model);
         }
     }
     node->edge.metrics.directory_answers++;
-    show_send(node, link, subscription, want, holds);
+    engine_update_send(node, link, subscription, want, holds);
 }
 
 void wb_edge_node_tick_relay(wb_edge_node_t *node, int64_t now_ms) {
@@ -159,8 +163,8 @@
         const wb_gateway_t *gateway = value;
         wb_subscription_t *subscription = gateway->subscription;
         if (subscription != NULL &&
-            (subscription->changes->len > 0 || now_ms - subscription->told_ms >= TELL_MS)) {
-            show_send(node, link, subscription, NULL, NULL);
+            (subscription->changes->len > 0 || now_ms - subscription->sent_ms >= HEARTBEAT_MS)) {
+            engine_update_send(node, link, subscription, NULL, NULL);
         }
     }
 }
--- a/src/edge/node_share.c
+++ b/src/edge/node_share.c
@@ -1,15 +1,14 @@
-/* How this node learns among how many nodes is divided what all of them may spend together.
- *
- * It reads the nodes' table itself, or the lease's holder tells it how old its own reading is and a
- * digest of the nodes that it knows: where that is the same as here, nothing is missing here. The
- * highest version of a row wouldn't show that, as rows that came before a link was up may be
- * missing below it. */
+/* The number of nodes that divide the cluster-wide budgets (equal_share.h).
+ * A node reads the nodes table itself, or the lease holder sends the age of its own read and a
+ * digest of the node ids that it knows: with an equal digest no node is missing here. The highest
+ * row version wouldn't show that, as rows from before the link was opened may be missing below it.
+ * Times are in ms. */
 #include "edge/edge_node_types.h"
 
-/* Time between two digests in the holder's news. */
+/* Interval of the digest in store updates. */
 #define DIGEST_INTERVAL_MS 1000
-/* A node whose rounds are so far apart stood still. */
-#define SUSPENDED_MS 1000
+/* Ticks further apart than this mean that the process was paused. */
+#define PAUSED_MS 1000
 
 gboolean wb_edge_node_share_digest_is_due(wb_edge_node_t *node, int64_t now_ms) {
     if (now_ms - node->digest_sent_ms < DIGEST_INTERVAL_MS) {
@@ -24,22 +23,22 @@
     if (view->newest == wb_equal_share_digest(node->edge.share)) {
         wb_equal_share_known(node->edge.share, now_ms - (int64_t)view->age_ms);
     } else if (now_ms - node->digest_polled_ms >= WB_SHARE_TRUST_MS) {
-        /* Either side has missed a node: ask the store, but not with each digest. */
+        /* One side has missed a node: poll the store, but not for each digest. */
         node->digest_polled_ms = now_ms;
         wb_table_watch_look(node->nodes_watch);
     }
 }
 
-/* The store orders writes and reads: of two nodes that begin at the same time at least one reads
- * the other's row with its own. */
-static void begin_first(wb_edge_node_t *node, int64_t now_ms) {
+/* The store orders writes and reads: of two nodes that create their rows at the same time, at least
+ * one reads the other's row along with its own. */
+static void first_row_check(wb_edge_node_t *node, int64_t now_ms) {
     if (node->node_row_created && g_hash_table_contains(node->nodes, node->edge.settings.id)) {
         node->node_row_created = FALSE;
         wb_equal_share_begin_first(node->edge.share, now_ms);
     }
 }
 
-static void nodes_log(wb_edge_node_t *node, int64_t now_ms) {
+static void share_nodes_log(wb_edge_node_t *node, int64_t now_ms) {
     unsigned nodes =
         wb_equal_share_nodes(node->edge.share, wb_edge_retry_window_ms(&node->edge), now_ms);
     if (nodes == node->share_nodes) {
@@ -52,14 +51,14 @@
 
 void wb_edge_node_tick_share(wb_edge_node_t *node, int64_t now_ms) {
     wb_equal_share_t *share = node->edge.share;
-    if (node->share_ticked_ms != 0 && now_ms - node->share_ticked_ms > SUSPENDED_MS) {
+    if (node->share_ticked_ms != 0 && now_ms - node->share_ticked_ms > PAUSED_MS) {
         wb_event("share-restarted", ",\"after_ms\":%lld",
                  (long long)(now_ms - node->share_ticked_ms));
         wb_equal_share_restart(share, now_ms);
     }
     node->share_ticked_ms = now_ms;
     wb_equal_share_known(share, wb_table_watch_known_ms(node->nodes_watch));
-    begin_first(node, now_ms);
+    first_row_check(node, now_ms);
     wb_equal_share_sweep(share, now_ms);
-    nodes_log(node, now_ms);
+    share_nodes_log(node, now_ms);
 }
--- a/src/edge/node_states.c
+++ b/src/edge/node_states.c
@@ -1,17 +1,17 @@
-/* What engines tell of themselves in their answers, told from node to node.
- *
- * A node that hears an engine tells the node that all report to, and that tells all the others.
- * What came from there isn't told back, so nothing goes round. Times are told as ages, so that news
- * which are late on their way look newer than they are, by a link's delay at most. */
+/* Engine-reported state (limit, draining), shared between nodes.
+ * A node that receives new state in a response sends it to the aggregator, which sends it to all
+ * gateways. State that came from the aggregator isn't sent back, so nothing loops. Times are sent
+ * as ages in ms, so an update that was delayed on a link looks newer than it is by that delay. */
 #include "edge/edge_node_types.h"
 
 #include "fleet/engine_heard.h"
 
-/* Bytes of an engine in a message. */
+/* Encoded size of an engine in a message. */
 #define ENTRY_BYTES 48
-#define TELL_MS 50
-/* An end that was told with a delay beyond this might be older than the limit that is known. */
-#define DELAY_MOST_MS 500
+#define SEND_INTERVAL_MS 50
+/* Upper bound of that delay: the end of a limit counts only if it is newer than the known limit by
+ * more than this. */
+#define DELAY_MAX_MS 500
 #define LIMIT_MILLI 1000.0
 
 static void state_write(wb_engine_t *engine, wb_wire_engine_state *wire, int64_t now_ms) {
@@ -30,13 +30,13 @@
     engine->state_told_ms = now_ms;
 }
 
-/* Takes engines out of those that there is something to tell of. @return of wb_wire_engine_state;
- * names are the engines' */
-static GArray *states_take(wb_edge_node_t *node, guint most, int64_t now_ms) {
+/* Removes engines from the queue of updates, at most max_count. Returns an array of
+ * wb_wire_engine_state whose names are borrowed from the engines. */
+static GArray *states_pop(wb_edge_node_t *node, guint max_count, int64_t now_ms) {
     GArray *states = g_array_new(FALSE, FALSE, sizeof(wb_wire_engine_state));
-    wb_list_t *news = &node->edge.state_news;
-    while (news->len > 0 && states->len < most) {
-        wb_engine_t *engine = WB_LIST_OF(wb_list_pop(news), wb_engine_t, state_news);
+    wb_list_t *updates = &node->edge.state_news;
+    while (updates->len > 0 && states->len < max_count) {
+        wb_engine_t *engine = WB_LIST_OF(wb_list_pop(updates), wb_engine_t, state_news);
         wb_wire_engine_state wire;
         state_write(engine, &wire, now_ms);
         g_array_append_val(states, wire);
@@ -53,8 +53,8 @@
     return message;
 }
 
-/* All that engines have told, to a node that has just linked. */
-static void all_tell(wb_edge_node_t *node, wb_link_t *link, int64_t now_ms) {
+/* Sends all known engine-reported state on a link that was just opened. */
+static void all_states_send(wb_edge_node_t *node, wb_link_t *link, int64_t now_ms) {
     g_autoptr(GArray) states = g_array_new(FALSE, FALSE, sizeof(wb_wire_engine_state));
     GHashTableIter iter;
     gpointer engine;
@@ -70,13 +70,13 @@
     }
 }
 
-/* Engines in a message to each of so many nodes. */
-static guint most_engines(const wb_edge_node_t *node, guint nodes) {
-    double bytes = (double)node->edge.settings.load_news_bytes_per_s * TELL_MS / 1000;
+/* Returns the number of engines that fit in a message to each of these nodes. */
+static guint max_engines(const wb_edge_node_t *node, guint nodes) {
+    double bytes = (double)node->edge.settings.load_news_bytes_per_s * SEND_INTERVAL_MS / 1000;
     return CLAMP((guint)(bytes / ENTRY_BYTES / MAX(nodes, 1)), 1, WB_WIRE_LIST_MAX);
 }
 
-static void gateways_tell(wb_edge_node_t *node, int64_t now_ms) {
+static void gateways_send(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer link;
     gpointer value;
@@ -85,23 +85,23 @@
         wb_gateway_t *gateway = value;
         if (!gateway->states_sent && wb_link_form(link) >= 2) {
             gateway->states_sent = TRUE;
-            all_tell(node, link, now_ms);
+            all_states_send(node, link, now_ms);
         }
     }
     g_autoptr(GArray) states =
-        states_take(node, most_engines(node, g_hash_table_size(node->gateways)), now_ms);
+        states_pop(node, max_engines(node, g_hash_table_size(node->gateways)), now_ms);
     if (states->len > 0) {
         wb_wire_message message = states_message(states);
         wb_edge_node_broadcast_v2(node, &message);
     }
 }
 
-static void controller_tell(wb_edge_node_t *node, int64_t now_ms) {
+static void controller_send(wb_edge_node_t *node, int64_t now_ms) {
     if (!node->states_sent) {
         node->states_sent = TRUE;
-        all_tell(node, node->controller_link, now_ms);
+        all_states_send(node, node->controller_link, now_ms);
     }
-    g_autoptr(GArray) states = states_take(node, most_engines(node, 1), now_ms);
+    g_autoptr(GArray) states = states_pop(node, max_engines(node, 1), now_ms);
     if (states->len > 0) {
         wb_wire_message message = states_message(states);
         wb_link_send(node->controller_link, &message);
@@ -110,13 +110,13 @@
 
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms) {
     if (wb_edge_node_is_aggregator(node)) {
-        gateways_tell(node, now_ms);
+        gateways_send(node, now_ms);
     } else if (node->controller_link_open && wb_link_form(node->controller_link) >= 2) {
-        controller_tell(node, now_ms);
+        controller_send(node, now_ms);
     }
 }
 
-/* @return TRUE when something has changed, or is due to be told on */
+/* Returns TRUE when the limit changed or is due to be sent again. */
 static gboolean limit_merge(wb_engine_t *engine, const wb_wire_engine_state *wire, int64_t now_ms) {
     wb_engine_limit_t *limit = &engine->limit;
     int64_t as_of_ms = now_ms - (int64_t)wire->limit_age_ms;
@@ -126,24 +126,24 @@
         changed =
             wb_engine_limit_name(limit, wire->limit_milli / LIMIT_MILLI, as_of_ms, as_of_ms) ||
             (newer && now_ms - engine->state_told_ms >= WB_STATE_CONFIRM_MS);
-    } else if (wire->limit == WB_WIRE_LIMIT_ENDED && as_of_ms > limit->named_ms + DELAY_MOST_MS) {
+    } else if (wire->limit == WB_WIRE_LIMIT_ENDED && as_of_ms > limit->named_ms + DELAY_MAX_MS) {
         changed = wb_engine_limit_unname(limit, as_of_ms);
     }
     return changed;
 }
 
-void wb_edge_node_states_take(wb_edge_node_t *node, const wb_wire_engine_states *told) {
+void wb_edge_node_states_take(wb_edge_node_t *node, const wb_wire_engine_states *states) {
     int64_t now_ms = wb_clock_ms();
-    gboolean tells = wb_edge_node_is_aggregator(node);
-    for (guint i = 0; i < told->engines.engines_len; i++) {
-        const wb_wire_engine_state *wire = &told->engines.engines_val[i];
+    gboolean aggregator = wb_edge_node_is_aggregator(node);
+    for (guint i = 0; i < states->engines.engines_len; i++) {
+        const wb_wire_engine_state *wire = &states->engines.engines_val[i];
         wb_engine_t *engine = wb_fleet_find(node->edge.fleet, wire->engine);
         if (engine == NULL || (int64_t)wire->born_ms != engine->state->born_ms) {
-            continue; /* it isn't needed here, or another start of it is known */
+            continue; /* not needed here, or another start of the engine is known */
         }
-        gboolean leaves =
+        gboolean draining =
             wire->leaving && wb_engine_tell_leaving(engine, node->edge.settings.drain_ms, now_ms);
-        if (!limit_merge(engine, wire, now_ms) && !leaves) {
+        if (!limit_merge(engine, wire, now_ms) && !draining) {
             continue;
         }
         wb_event("engine-state-news",
@@ -151,7 +151,7 @@
                  wb_event_text(engine->state->id), engine->limit.named ? "true" : "false",
                  engine->limit.per_s, engine->told_leaving ? "true" : "false");
         wb_edge_note_told(&node->edge, engine);
-        if (tells) {
+        if (aggregator) {
             wb_edge_queue_state(&node->edge, engine);
         }
     }
--- a/src/edge/node_tell.c
+++ b/src/edge/node_tell.c
@@ -1,36 +1,35 @@
-/* Tells gateways what concerns all of them.
- *
- * Each message costs its sender a call of the system for each gateway: at 84 gateways, half of the
- * processor of a small machine went into one message for each model. So what is told of models and
- * adapters is gathered for some ms, and a message is encoded once for all. */
+/* Messages to all gateways.
+ * Each message costs a system call per gateway. So placement updates are batched for some ms, and a
+ * message is encoded once for all gateways. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* Who waits for a model waits so much longer at most; a cold request takes 600 ms and more. */
-#define GATHER_MS 10
-/* Time for each gateway beyond these: a message costs its sender a call for each of them, and at
- * 985 gateways one each 10 ms would be 98,500 calls a second. */
-#define GATHER_GATEWAYS 84
-/* A gateway that doesn't read what it is told is let go. */
-#define BACKLOG_LIMIT_BYTES (512 * 1024)
+/* Delays requests that wait for a model by at most this; a request for a cold model takes 600 ms
+ * and more. */
+#define BATCH_MS 10
+/* Beyond this number of gateways the batch time grows with it, which bounds the system calls per
+ * second. */
+#define BATCH_GATEWAYS 84
+/* The link of a gateway with more unsent bytes is closed. */
+#define UNSENT_MAX_BYTES (512 * 1024)
 
-/* Sends a frame to gateways. @param frame to those that read messages without parts only; NULL:
- * these aren't told. @param with_parts to the others */
+/* Sends a frame to all gateways. @param frame for gateways of format version 1; NULL: they are
+ * skipped. @param with_extensions for the others */
 static void frame_send(wb_edge_node_t *node, const GByteArray *frame,
-                       const GByteArray *with_parts) {
+                       const GByteArray *with_extensions) {
     GHashTableIter iter;
     gpointer link;
     gpointer gateway;
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, &link, &gateway)) {
-        const GByteArray *form = wb_link_form(link) >= 2 ? with_parts : frame;
-        if (((const wb_gateway_t *)gateway)->subscription != NULL || form == NULL)
-            continue; /* a link for rows of engines only: its gateway has another for news */
-        if (wb_link_unsent(link) > BACKLOG_LIMIT_BYTES)
-            wb_link_break(link, "it doesn't read what it is told");
+        const GByteArray *encoded = wb_link_form(link) >= 2 ? with_extensions : frame;
+        if (((const wb_gateway_t *)gateway)->subscription != NULL || encoded == NULL)
+            continue; /* a subscription link: that gateway has another link for updates */
+        if (wb_link_unsent(link) > UNSENT_MAX_BYTES)
+            wb_link_break(link, "too many unsent bytes");
         else
-            wb_link_send_frame(link, form);
+            wb_link_send_frame(link, encoded);
     }
 }
 
@@ -45,22 +44,22 @@
     frame_send(node, NULL, frame);
 }
 
-/* @param parts NULL: none */
+/* @param extensions NULL: none */
 static void message_send(wb_edge_node_t *node, const wb_wire_message *message,
-                         const wb_wire_parts *parts) {
+                         const wb_wire_parts *extensions) {
     g_autoptr(GByteArray) frame = g_byte_array_new();
-    g_autoptr(GByteArray) with_parts = g_byte_array_new();
+    g_autoptr(GByteArray) with_extensions = g_byte_array_new();
     wb_error_t error;
     if (g_hash_table_size(node->gateways) == 0)
         return;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS ||
-        (parts != NULL &&
-         wb_message_encode_parts(message, parts, with_parts, &error) != APR_SUCCESS)) {
+        (extensions != NULL &&
+         wb_message_encode_parts(message, extensions, with_extensions, &error) != APR_SUCCESS)) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
                  wb_message_kind_name(message->kind), wb_event_text(error.message));
         return;
     }
-    frame_send(node, frame, parts != NULL ? with_parts : frame);
+    frame_send(node, frame, extensions != NULL ? with_extensions : frame);
 }
 
 void wb_edge_node_placement_clear(gpointer data) {
@@ -81,28 +80,28 @@
     placement->token = node->placements_token;
     placement->entries.entries_len = node->placements->len;
     placement->entries.entries_val = (wb_wire_placement_entry *)(void *)node->placements->data;
-    wb_wire_parts parts = {0};
+    wb_wire_parts extensions = {0};
     wb_wire_starts starts = {
         {node->placement_starts->len, (uint64_t *)(void *)node->placement_starts->data}};
-    wb_parts_add(&parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
-    message_send(node, &message, &parts);
-    wb_parts_clear(&parts);
+    wb_parts_add(&extensions, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+    message_send(node, &message, &extensions);
+    wb_parts_clear(&extensions);
     g_array_set_size(node->placement_starts, 0);
     g_array_set_size(node->placements, 0);
 }
 
-static void placements_due(void *context) {
+static void placements_timer_fired(void *context) {
     wb_edge_node_t *node = context;
     node->placements_timer = NULL;
     placements_send(node);
 }
 
-static int64_t gather_ms(const wb_edge_node_t *node) {
+static int64_t batch_ms(const wb_edge_node_t *node) {
     guint gateways = g_hash_table_size(node->gateways);
-    return MAX(GATHER_MS, (int64_t)GATHER_MS * gateways / GATHER_GATEWAYS);
+    return MAX(BATCH_MS, (int64_t)BATCH_MS * gateways / BATCH_GATEWAYS);
 }
 
-static void placements_gather(wb_edge_node_t *node, const wb_wire_placement *placement) {
+static void placements_batch(wb_edge_node_t *node, const wb_wire_placement *placement) {
     if (node->placements_token != placement->token)
         placements_send(node);
     node->placements_token = placement->token;
@@ -117,14 +116,14 @@
     }
     if (node->placements_timer == NULL)
         node->placements_timer =
-            wb_loop_after(node->edge.loop, gather_ms(node), placements_due, node);
+            wb_loop_after(node->edge.loop, batch_ms(node), placements_timer_fired, node);
 }
 
 void wb_edge_node_broadcast(wb_edge_node_t *node, const wb_wire_message *message) {
     if (message->kind == WB_WIRE_PLACEMENT) {
-        placements_gather(node, &message->wb_wire_message_u.placement);
+        placements_batch(node, &message->wb_wire_message_u.placement);
         return;
     }
-    placements_send(node); /* what came first is told first */
+    placements_send(node); /* keep the order of messages */
     message_send(node, message, NULL);
 }
--- a/src/edge/node_zones.c
+++ b/src/edge/node_zones.c
@@ -1,36 +1,35 @@
-/* Zones that operators evacuate: nothing new goes to their engines until that is taken back.
- *
- * A row of the catalog's table says so, so it reaches nodes as a configuration does, within
- * catalog-ms. What the operators allow beyond that (evacuate-ms) is used to load elsewhere what
- * stands in that zone alone: until then its engines get what no other engine can take.
- *
- * The lease's holder tells all that it knows of zones with each of its news, so that a node which
- * the store turns away knows it, too. */
+/* Evacuation of zones by operators: no new requests go to a zone's engines until the evacuation is
+ * ended.
+ * A row of the catalog table starts an evacuation, so it reaches nodes like a configuration, within
+ * catalog-ms. The time that evacuate-ms allows beyond that is used to load elsewhere the models
+ * that only this zone holds; until then its engines get the requests that no other engine can take.
+ * The lease holder includes all known zones in each store update, so that nodes without access to
+ * the store learn of them. Times are in ms. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
 
-/* A request that is sent at the last moment arrives some time later: a new connection takes up to
- * 250 ms, a slow machine some 100. */
-#define ARRIVAL_SHARE 0.25
-/* Rows of more zones than any deployment has (6) are somebody's mistake. */
-#define ZONES_MOST 64
+/* Share of the remaining time kept as a margin: a request that is sent at the last moment arrives
+ * later, as a new connection takes up to connect-timeout-ms. */
+#define ARRIVAL_MARGIN_SHARE 0.25
+/* More zones than any deployment has; further rows are ignored. */
+#define ZONES_MAX 64
 
-/* What is known of a zone's row. */
+/* The last known row of a zone. */
 typedef struct wb_zone_row_t {
     int64_t version;
     gboolean evacuated;
 } wb_zone_row_t;
 
-/* Time for which the zone's engines still get what no other can take. A node that has just started
- * doesn't know for how long the zone has been evacuated. */
+/* Time for which the zone's engines still get what no other engine can take. 0 at a node that has
+ * just started, which doesn't know when the evacuation began. */
 static int64_t grace_ms(const wb_edge_node_t *node) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     if (!wb_table_watch_is_synced(node->catalog_watch)) {
         return 0;
     }
     int64_t left_ms = MAX(settings->evacuate_ms - settings->catalog_ms, 0);
-    return (int64_t)((1 - ARRIVAL_SHARE) * (double)left_ms);
+    return (int64_t)((1 - ARRIVAL_MARGIN_SHARE) * (double)left_ms);
 }
 
 static void zone_evacuate(wb_edge_node_t *node, const char *zone) {
@@ -45,9 +44,9 @@
              wb_event_text(zone), engines, (long long)(closed_ms - now_ms));
 }
 
-/* Engines of a zone that is taken back may have turned cold just before, and their rows, a
- * heartbeat old, don't tell yet. */
-static void zone_is_cold(wb_edge_node_t *node, const char *zone) {
+/* Treats the engines of a zone as cold when its evacuation ends: they may have turned cold just
+ * before, and their rows, up to a heartbeat old, don't show it yet. */
+static void zone_engines_set_cold(wb_edge_node_t *node, const char *zone) {
     int64_t now_ms = wb_clock_ms();
     GHashTableIter iter;
     gpointer value;
@@ -64,20 +63,20 @@
     }
 }
 
-static void zone_take_back(wb_edge_node_t *node, const char *zone) {
+static void zone_evacuation_end(wb_edge_node_t *node, const char *zone) {
     if (!wb_fleet_zone_is_closed(node->edge.fleet, zone)) {
         return;
     }
     unsigned engines = wb_fleet_open_zone(node->edge.fleet, zone);
-    zone_is_cold(node, zone);
+    zone_engines_set_cold(node, zone);
     wb_event("zone-taken-back", ",\"of\":\"%s\",\"engines\":%u", wb_event_text(zone), engines);
     wb_exchanges_retry_waiting(&node->edge);
 }
 
 static void zone_note(wb_edge_node_t *node, const char *zone, int64_t version, gboolean evacuated) {
     wb_zone_row_t *known = g_hash_table_lookup(node->zones, zone);
-    if (known == NULL && g_hash_table_size(node->zones) >= ZONES_MOST) {
-        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_text(zone), ZONES_MOST);
+    if (known == NULL && g_hash_table_size(node->zones) >= ZONES_MAX) {
+        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_text(zone), ZONES_MAX);
         return;
     }
     if (known == NULL) {
@@ -91,7 +90,7 @@
     if (evacuated) {
         zone_evacuate(node, zone);
     } else {
-        zone_take_back(node, zone);
+        zone_evacuation_end(node, zone);
     }
 }
 
--- a/src/edge/store_calls.c
+++ b/src/edge/store_calls.c
@@ -1,4 +1,4 @@
-/* Counts a node's calls to the store by what was asked for and why. */
+/* Counts a node's calls to the store by table and cause. */
 #include "wickbridge/store_calls.h"
 
 #include "wickbridge/event_log.h"
@@ -31,7 +31,7 @@
     if (now_ms - calls->told_ms < interval_ms) {
         return;
     }
-    int64_t passed_ms = calls->told_ms == 0 ? 0 : now_ms - calls->told_ms;
+    int64_t elapsed_ms = calls->told_ms == 0 ? 0 : now_ms - calls->told_ms;
     g_autoptr(GString) text = g_string_new(NULL);
     for (size_t table = 0; table < WB_STORE_TABLES; table++) {
         for (size_t cause = 0; cause < WB_STORE_CAUSE_COUNT; cause++) {
@@ -46,7 +46,7 @@
     if (text->len == 0) {
         return;
     }
-    wb_event("store-calls", ",\"for_ms\":%lld,\"failed\":%llu%s", (long long)passed_ms,
+    wb_event("store-calls", ",\"for_ms\":%lld,\"failed\":%llu%s", (long long)elapsed_ms,
              (unsigned long long)(calls->failed - calls->failed_told), text->str);
     memcpy(calls->told, calls->made, sizeof(calls->told));
     calls->failed_told = calls->failed;
