--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -200,7 +200,7 @@
     wb_event_log_flush();
 }
 
-/* Baseline time in which an engine processes one prompt token of a request. */
+/* Baseline prefill time per prompt token sent, averaged over cached and uncached tokens. */
 static double token_ms(const wb_edge_settings_t *settings) {
     return WB_UNREAD_SHARE / settings->prefill_tokens_per_ms;
 }
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -4,7 +4,7 @@
  *
  * A node serves clients as a gateway. The node that holds the placement controller's lease also
  * runs the controller; every other node keeps a link to it, sends it demand and receives updates.
- * The node that the lease row names, even while the lease has lapsed, is the aggregator: it
+ * The node that the lease row names is the aggregator, even while its lease has expired: it
  * collects the gateways' reports on quota use, engine load and poison requests.
  *
  * Times are milliseconds of wb_clock_ms (monotonic) unless a name says otherwise. Functions run on
@@ -156,7 +156,7 @@
  * the holder's
  * @param context the node */
 int64_t wb_edge_node_catalog_age_ms(void *context);
-/** Create the watches of the catalog, engines and nodes tables. */
+/** Create the catalog reader and the watches of the catalog, engines and nodes tables. */
 void wb_edge_node_follow_store(wb_edge_node_t *node);
 /** Renew this node's row in the store and expire the rows of nodes that no longer change. */
 void wb_edge_node_tick_rows(wb_edge_node_t *node, int64_t now_ms);
@@ -165,7 +165,7 @@
 /** As wb_table_watch_events_t.on_row for engines. @param context the node */
 void wb_edge_node_engine_row(const wb_table_row_t *row, void *context);
 /** As wb_table_watch_events_t.on_batch for engines. @param context the node */
-void wb_edge_node_engine_batch(gboolean whole, void *context);
+void wb_edge_node_engine_batch(gboolean full_read, void *context);
 
 /* node_directory.c */
 wb_directory_t *wb_edge_node_directory_create(wb_edge_node_t *node);
@@ -313,8 +313,8 @@
 /* node_tell.c */
 /** Send a message to all gateways of format version 2 or later. */
 void wb_edge_node_broadcast_v2(wb_edge_node_t *node, const wb_wire_message *message);
-/** Send a message to all gateways. Placement messages are batched for some ms; messages are never
- * reordered. */
+/** Send a message to all gateways. Placement messages are batched for some ms; the order of
+ * the messages sent by this function is kept. */
 void wb_edge_node_broadcast(wb_edge_node_t *node, const wb_wire_message *message);
 /** Frees the texts of a wb_wire_placement_entry. */
 void wb_edge_node_placement_clear(gpointer data);
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -197,8 +197,8 @@
     wb_controller_engine_changed(node->controller, row->key);
 }
 
-void wb_edge_node_engine_batch(gboolean whole, void *context) {
-    (void)whole;
+void wb_edge_node_engine_batch(gboolean full_read, void *context) {
+    (void)full_read;
     wb_edge_node_t *node = context;
     wb_exchanges_retry_waiting(&node->edge);
     if (node->edge.waiting.len > 0) {
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -107,15 +107,15 @@
 
 /* Writes the format version of this build. Returns bytes written; 0: it doesn't fit. */
 static u_int extensions_write(char *bytes, u_int room) {
-    wb_wire_parts parts = {0};
+    wb_wire_parts extensions = {0};
     wb_wire_writer writer = {WB_WIRE_FORM};
     XDR stream;
-    wb_parts_add(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+    wb_parts_add(&extensions, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
-    gboolean encoded = xdr_wb_wire_parts(&stream, &parts);
+    gboolean encoded = xdr_wb_wire_parts(&stream, &extensions);
     u_int length = encoded ? xdr_getpos(&stream) : 0;
     xdr_destroy(&stream);
-    wb_parts_clear(&parts);
+    wb_parts_clear(&extensions);
     return length;
 }
 
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -45,14 +45,14 @@
              wb_event_text(entry->adapter), entry->held ? "true" : "false");
 }
 
-/* Applies a placement update. @param parts extensions of its message; NULL: it comes from this
+/* Applies a placement update. @param extensions of its message; NULL: it comes from this
  * node's own controller */
 static void placements_take(wb_edge_node_t *node, const wb_wire_placement *placement,
-                            const wb_wire_parts *parts) {
+                            const wb_wire_parts *extensions) {
     wb_edge_t *edge = &node->edge;
     wb_wire_starts starts = {{0, NULL}};
-    if (parts != NULL) {
-        wb_parts_read(parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+    if (extensions != NULL) {
+        wb_parts_read(extensions, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
     }
     for (guint i = 0; i < placement->entries.entries_len; i++) {
         const wb_wire_placement_entry *entry = &placement->entries.entries_val[i];
--- a/src/edge/node_news.c
+++ b/src/edge/node_news.c
@@ -187,8 +187,8 @@
 
 void wb_edge_node_set_poll_policies(wb_edge_node_t *node) {
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
-        wb_table_pace_t pace = wb_edge_node_poll_policy(node, table);
-        wb_table_watch_set_pace(wb_edge_node_watch(node, table), &pace);
+        wb_table_pace_t policy = wb_edge_node_poll_policy(node, table);
+        wb_table_watch_set_pace(wb_edge_node_watch(node, table), &policy);
     }
 }
 
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -100,20 +100,20 @@
 
 /* The nodes table: nodes and the controller's lease. */
 
-/* Extensions of the lease row; format version 2 and later writes them. */
+/* Reads the extensions of the lease row, which builds before format version 2 don't write. */
 static void lease_extensions_read(wb_edge_node_t *node, XDR *stream) {
-    wb_wire_parts parts = {0};
+    wb_wire_parts extensions = {0};
     wb_wire_writer writer = {1};
-    if (!xdr_wb_wire_parts(stream, &parts)) {
-        wb_event("lease-parts-refused", "%s", "");
+    if (!xdr_wb_wire_parts(stream, &extensions)) {
+        wb_event("lease-extensions-refused", "%s", "");
     } else {
-        wb_parts_read(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+        wb_parts_read(&extensions, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     }
     if (writer.form != node->lease_format_version) {
         wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORM);
     }
     node->lease_format_version = writer.form;
-    wb_parts_clear(&parts);
+    wb_parts_clear(&extensions);
 }
 
 void wb_edge_node_take_lease_row(wb_edge_node_t *node, const wb_table_row_t *row) {
@@ -259,7 +259,7 @@
 }
 
 static void node_row_remove_done(const wb_table_answer_t *answer, void *context) {
-    (void)answer; /* tried again if the row is still there */
+    (void)answer; /* the row has expired here whatever the outcome */
     (void)context;
 }
 
@@ -312,13 +312,13 @@
                                        .context = node,
                                        .on_large = wb_edge_node_directory_on_large};
     wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_call_done, node};
-    wb_table_pace_t pace = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
+    wb_table_pace_t policy = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
     node->catalog_watch =
-        wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &pace, &catalog);
-    pace = wb_edge_node_poll_policy(node, WB_TABLE_ENGINES);
+        wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &policy, &catalog);
+    policy = wb_edge_node_poll_policy(node, WB_TABLE_ENGINES);
     node->engines_watch =
-        wb_table_watch_create(loop, node->table, WB_TABLE_ENGINES, &pace, &engines);
+        wb_table_watch_create(loop, node->table, WB_TABLE_ENGINES, &policy, &engines);
     wb_table_watch_limit(node->engines_watch, (unsigned)node->edge.settings.engine_rows_most);
-    pace = wb_edge_node_poll_policy(node, WB_TABLE_NODES);
-    node->nodes_watch = wb_table_watch_create(loop, node->table, WB_TABLE_NODES, &pace, &nodes);
+    policy = wb_edge_node_poll_policy(node, WB_TABLE_NODES);
+    node->nodes_watch = wb_table_watch_create(loop, node->table, WB_TABLE_NODES, &policy, &nodes);
 }
