--- a/src/edge/node_poison.c
+++ b/src/edge/node_poison.c
@@ -137,8 +137,8 @@
     if (cleared || wb_edge_node_is_aggregator(node)) {
         changes_send(node);
     } else if (node->controller_link_open) {
-        node->poison_sent_version = wb_poison_book_version(
-            node->edge.poison); /* the aggregator has just sent these entries */
+        /* The aggregator has just sent these entries. */
+        node->poison_sent_version = wb_poison_book_version(node->edge.poison);
     }
     wb_exchanges_refuse_poison(&node->edge);
 }
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -105,7 +105,7 @@
     wb_wire_parts extensions = {0};
     wb_wire_writer writer = {1};
     if (!xdr_wb_wire_parts(stream, &extensions)) {
-        wb_event("lease-extensions-refused", "%s", "");
+        wb_event("lease-parts-refused", "%s", "");
     } else {
         wb_parts_read(&extensions, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     }
