--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -1,5 +1,7 @@
-/* Puts an edge node together: follows the store, listens, holds the lease, talks to the controller.
- */
+/* Creates an edge node and drives it: listeners, the periodic tick, planned stops and settings
+ * reloads.
+ * Times are in ms. Only errors of opening a listener are returned to the caller of
+ * wb_edge_node_create. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
@@ -7,36 +9,35 @@
 #define TICK_MS 50
 #define SWEEP_MS 500
 #define LOG_FLUSH_MS 100
-/* A stop lasts at least so long: callers' connections still come until the entry has seen it. */
-#define STOP_LEAST_MS 2600
-/* Rounds of the loop in which all is read that has come. */
+/* Least duration of a planned stop: new client connections arrive until the load balancer has seen
+ * that the node isn't ready. */
+#define STOP_MIN_MS 2600
+/* Loop rounds after which everything that had arrived is read. */
 #define STOP_READ_ROUNDS 2
-/* What runs is broken off so long before the grace is over. */
+/* Open requests are ended this long before the grace time is over. */
 #define STOP_MARGIN_MS 700
-/* What waits for a model is refused so long before that. */
-#define STOP_WAITS_MS 1200
-/* Longest time that giving the lease up may take at the end of a stop. */
+/* Requests that wait for a model are refused this long before that. */
+#define STOP_REFUSE_WAITING_MS 1200
+/* Longest time to wait for the release of the lease at the end of a stop. */
 #define RELEASE_MS 400
 #define READY_HEAD_BYTES 16384
 #define READY_BODY_BYTES 65536
 #define READY_TIMEOUT_MS 5000
 #define READY_IDLE_MS 60000
 
-/* Listeners. */
-
-static void caller_request(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
+static void client_request(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
                            void *context) {
     wb_exchange_begin(&((wb_edge_node_t *)context)->edge, connection, head, body);
 }
 
-static void caller_gone(wb_http_connection_t *connection, void *request, void *context) {
+static void client_disconnected(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)context;
     if (request != NULL)
         wb_exchange_gone(request);
 }
 
-static void caller_drained(wb_http_connection_t *connection, void *request, void *context) {
+static void client_drained(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)context;
     if (request != NULL)
@@ -67,7 +68,7 @@
 static apr_status_t listeners_open(wb_edge_node_t *node, wb_error_t *error) {
     wb_edge_t *edge = &node->edge;
     wb_http_limits_t limits = {READY_HEAD_BYTES, READY_BODY_BYTES, READY_TIMEOUT_MS, READY_IDLE_MS};
-    wb_http_handler_t callers = {caller_request, caller_gone, caller_drained, node};
+    wb_http_handler_t clients = {client_request, client_disconnected, client_drained, node};
     wb_http_handler_t ready = {ready_request, NULL, NULL, node};
     wb_http_handler_t operators = {wb_edge_operators_request, NULL, NULL, node};
     wb_link_events_t links = {wb_edge_node_gateway_open,
@@ -76,23 +77,23 @@
                               node,
                               NULL,
                               NULL};
-    apr_status_t status = wb_http_listener_open(edge->loop, edge->settings.listen_callers, &callers,
-                                                &limits, &node->callers, error);
+    apr_status_t status = wb_http_listener_open(edge->loop, edge->settings.listen_callers, &clients,
+                                                &limits, &node->client_listener, error);
     if (status == APR_SUCCESS)
         status = wb_http_listener_open(edge->loop, edge->settings.listen_ready, &ready, &limits,
-                                       &node->ready, error);
+                                       &node->ready_listener, error);
     if (status == APR_SUCCESS && *edge->settings.listen_operators != '\0')
         status = wb_http_listener_open(edge->loop, edge->settings.listen_operators, &operators,
-                                       &limits, &node->operators, error);
+                                       &limits, &node->operator_listener, error);
     if (status == APR_SUCCESS)
         status = wb_link_listen(edge->loop, edge->settings.listen_nodes, &links,
                                 &node->link_counters, &node->link_listener, error);
     return status;
 }
 
-/* Gives the lease up, answers what is left, and ends the process. */
+/* Releases the lease, refuses the remaining requests and ends the loop. */
 static void stop_finish(wb_edge_node_t *node, int64_t now_ms) {
-    if (node->drained)
+    if (node->stopped)
         return;
     if (!node->releasing) {
         node->releasing = TRUE;
@@ -100,53 +101,54 @@
         wb_lease_release(node->lease);
     }
     if (wb_lease_is_owed(node->lease) && now_ms < node->release_until_ms)
-        return; /* the lease's last write is under way */
+        return; /* the write that releases the lease is pending */
     wb_exchanges_refuse_unanswered(&node->edge);
-    node->drained = TRUE;
+    node->stopped = TRUE;
     wb_event("stopped", ",\"ms\":%lld,\"open\":%u", (long long)(now_ms - node->edge.drain_began_ms),
              g_hash_table_size(node->edge.open));
     wb_event_log_flush();
     wb_loop_quit(node->edge.loop);
 }
 
-/* Connections are accepted in one round of the loop and read in the next, so after two rounds all
- * is read that had come when a look began, however long the loop was held up before. */
-static void stop_look(void *context) {
+/* Connections are accepted in one loop round and read in the next. So after two rounds everything
+ * is read that had arrived when the check began, however long the loop was blocked before. */
+static void stop_check(void *context) {
     wb_edge_node_t *node = context;
-    if (++node->look_rounds <= STOP_READ_ROUNDS) {
-        wb_loop_post(node->edge.loop, stop_look, node);
+    if (++node->drain_check_rounds <= STOP_READ_ROUNDS) {
+        wb_loop_post(node->edge.loop, stop_check, node);
         return;
     }
-    node->look_rounds = 0;
-    if (!node->resting_closed) {
-        node->resting_closed = TRUE;
-        wb_http_listener_close_resting(node->callers);
+    node->drain_check_rounds = 0;
+    if (!node->idle_closed) {
+        node->idle_closed = TRUE;
+        wb_http_listener_close_resting(node->client_listener);
     }
-    if (wb_http_listener_busy(node->callers) > 0)
+    if (wb_http_listener_busy(node->client_listener) > 0)
         return;
-    if (node->refusing) {
+    if (node->listener_stopped) {
         stop_finish(node, wb_clock_ms());
         return;
     }
-    /* Who connects from now on is refused by the system; one more look takes up who came before. */
-    node->refusing = TRUE;
-    wb_http_listener_stop(node->callers);
-    stop_look(node);
+    /* Later connections are refused by the system; one more check handles those that were accepted
+     * before. */
+    node->listener_stopped = TRUE;
+    wb_http_listener_stop(node->client_listener);
+    stop_check(node);
 }
 
-/* A planned stop is over when nothing runs and the entry has had time to see it, or when the grace
- * is. */
+/* A planned stop ends when no requests are left and the load balancer has had time to see it, or at
+ * the end of the grace time. */
 static void drain_tick(wb_edge_node_t *node, int64_t now_ms) {
-    int64_t passed_ms = now_ms - node->edge.drain_began_ms;
+    int64_t elapsed_ms = now_ms - node->edge.drain_began_ms;
     int64_t grace_ms = (int64_t)(node->edge.settings.stop_grace_s * 1000) - STOP_MARGIN_MS;
-    if (passed_ms >= grace_ms - STOP_WAITS_MS)
+    if (elapsed_ms >= grace_ms - STOP_REFUSE_WAITING_MS)
         wb_exchanges_refuse_waiting(&node->edge);
-    if (passed_ms >= grace_ms || node->releasing) {
+    if (elapsed_ms >= grace_ms || node->releasing) {
         stop_finish(node, now_ms);
         return;
     }
-    if (passed_ms >= STOP_LEAST_MS && node->look_rounds == 0)
-        stop_look(node);
+    if (elapsed_ms >= STOP_MIN_MS && node->drain_check_rounds == 0)
+        stop_check(node);
 }
 
 static void node_tick(void *context) {
@@ -158,21 +160,21 @@
     wb_edge_node_tick_relay(node, now_ms);
     wb_edge_node_tick_lease(node, now_ms);
     wb_edge_node_tick_link(node, now_ms);
-    wb_edge_node_tick_news(node, now_ms);
-    wb_edge_node_tick_hearing(node, now_ms);
+    wb_edge_node_tick_updates(node, now_ms);
+    wb_edge_node_tick_reach(node, now_ms);
     wb_edge_node_tick_quota(node, now_ms);
     wb_edge_node_tick_poison(node);
     wb_edge_node_tick_pace(node, now_ms);
     wb_edge_node_tick_states(node, now_ms);
     wb_edge_node_tick_announce(node, now_ms);
-    if (now_ms - node->demand_told_ms >= node->edge.settings.demand_interval_ms)
-        wb_edge_node_tell_demand(node);
+    if (now_ms - node->demand_sent_ms >= node->edge.settings.demand_interval_ms)
+        wb_edge_node_send_demand(node);
     if (node->edge.waiting.len > 0) {
         wb_exchanges_retry_waiting(&node->edge);
-        wb_edge_node_hurry(node);
+        wb_edge_node_expedite_engines(node);
     }
-    if (!node->ready_told && wb_edge_node_is_ready(node)) {
-        node->ready_told = TRUE;
+    if (!node->ready_logged && wb_edge_node_is_ready(node)) {
+        node->ready_logged = TRUE;
         wb_event("ready", ",\"catalog\":%lld,\"engines\":%u,\"nodes\":%u",
                  (long long)node->edge.catalog->version,
                  g_hash_table_size(wb_fleet_all(node->edge.fleet)), node->edge.node_count);
@@ -198,7 +200,7 @@
     wb_event_log_flush();
 }
 
-/* Time in which a usual engine reads a token that was sent. */
+/* Baseline prefill time per prompt token sent, averaged over cached and uncached tokens. */
 static double token_ms(const wb_edge_settings_t *settings) {
     return WB_UNREAD_SHARE / settings->prefill_tokens_per_ms;
 }
@@ -231,7 +233,7 @@
     wb_list_init(&edge->state_news);
     edge->told_engines = g_hash_table_new_full(NULL, NULL, (GDestroyNotify)wb_engine_unref, NULL);
     edge->open = g_hash_table_new(NULL, NULL);
-    edge->on_need = wb_edge_node_need_arose;
+    edge->on_need = wb_edge_node_demand_pending;
     edge->need_context = created;
     edge->controller_view = wb_edge_node_controller_view;
     edge->catalog_age_ms = wb_edge_node_catalog_age_ms;
@@ -242,7 +244,7 @@
     created->directory = wb_edge_node_directory_create(created);
     created->engine_rows =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)wb_table_row_free);
-    edge->engines_known = wb_edge_node_directory_knows;
+    edge->engines_known = wb_edge_node_directory_engines_known;
     created->placements = g_array_new(FALSE, FALSE, sizeof(wb_wire_placement_entry));
     created->placement_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_set_clear_func(created->placements, wb_edge_node_placement_clear);
@@ -252,14 +254,14 @@
     created->quota_book = wb_quota_book_create();
     created->quota_row = g_byte_array_new();
     created->pace_book = wb_pace_book_create(token_ms(settings));
-    created->news_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
+    created->update_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
     apr_status_t status = listeners_open(created, error);
     if (status != APR_SUCCESS)
         return status;
     wb_edge_node_open_lease(created);
-    wb_controller_events_t events = {wb_edge_node_may_act,      wb_edge_node_ask_order,
-                                     wb_edge_node_blocked_ms,   wb_edge_node_tell_news,
-                                     wb_edge_node_states_heard, created};
+    wb_controller_events_t events = {wb_edge_node_may_act,         wb_edge_node_authorize_order,
+                                     wb_edge_node_blocked_ms,      wb_edge_node_publish,
+                                     wb_edge_node_engine_reported, created};
     created->controller =
         wb_controller_create(loop, &edge->settings, dialect, edge->fleet, &edge->metrics, &events);
     wb_edge_node_follow_store(created);
@@ -274,7 +276,7 @@
     if (node->edge.drain_began_ms != 0)
         return;
     node->edge.drain_began_ms = wb_clock_ms();
-    wb_http_listener_drain(node->callers);
+    wb_http_listener_drain(node->client_listener);
     wb_event("stopping", ",\"open\":%u,\"grace_s\":%g", g_hash_table_size(node->edge.open),
              node->edge.settings.stop_grace_s);
 }
@@ -301,7 +303,7 @@
     own->admission = settings->admission;
     own->load_news_ms = settings->load_news_ms;
     own->load_news_bytes_per_s = settings->load_news_bytes_per_s;
-    wb_edge_node_set_paces(node);
-    /* What was taken up is the same by now; the rest waits for a start. */
+    wb_edge_node_set_poll_policies(node);
+    /* The settings above are equal by now; the others that differ take effect at the next start. */
     return wb_settings_differ(&wb_edge_settings_table, own, settings);
 }
