--- a/src/dispatch/admission.h
+++ b/src/dispatch/admission.h
@@ -1,18 +1,18 @@
 /**
  * @file admission.h
- * @brief Whether a request is taken, by when its first event is predicted at the best engine.
+ * @brief Admission control: refuses requests whose first event is predicted too late at the best
+ * engine.
  *
- * The load that it answers: the engines of a model are asked for more than they can read, for
- * seconds, and nowhere else is the model loaded. All that is taken then waits for all that was
- * taken before: every answer is late, and of long prompts up to a half isn't there when its caller
- * leaves, though the engine has read it. An engine that is behind reads as much when less waits, so
- * what it can't answer near the target is refused at once, with when to come back.
+ * When all engines of a model are overloaded, admitting every request makes every response late,
+ * and engines spend time on prompts whose clients time out before the first event. A request that
+ * can't be answered near its target is therefore refused at once, with a Retry-After.
  *
- * Gateways know an engine's backlog half a second late, so the chance of a refusal rises by
- * degrees: all of them refusing at once, then taking all, would swing. Urgent requests are refused
- * later than others.
+ * A gateway's view of an engine's backlog is up to half a second old. The probability of a refusal
+ * therefore rises gradually: with a hard threshold all gateways would refuse and admit in step, and
+ * the load would oscillate. Requests of the highest priority are refused later than others.
  *
- * Pure. What it doesn't do: requests that wait for a model (exchange_wait.c), limits of tenants.
+ * Times are in milliseconds. Pure functions without errors. Requests that wait for a model
+ * (exchange_wait.c) and limits of tenants (quota_gate.h) are handled elsewhere.
  */
 #ifndef WICKBRIDGE_ADMISSION_H
 #define WICKBRIDGE_ADMISSION_H
@@ -22,15 +22,15 @@
 #include <stdint.h>
 
 /**
- * @param rank       0 is the most urgent
- * @param patience_ms time from its arrival after which its caller leaves
- * @return chance of a refusal, 0 to 1
+ * @param priority          0 is the most urgent
+ * @param client_timeout_ms time from the request's arrival after which the client gives up
+ * @return probability of a refusal, 0 to 1
  */
 double wb_admission_refusal_chance(const wb_choice_request_t *request,
-                                   const wb_choice_estimate_t *estimate, int rank,
-                                   double patience_ms);
+                                   const wb_choice_estimate_t *estimate, int priority,
+                                   double client_timeout_ms);
 
-/** @return ms after which coming back has a use: the backlog is then within the target */
+/** @return Retry-After in ms: time until the backlog is within the target, within fixed bounds */
 int64_t wb_admission_retry_ms(const wb_choice_request_t *request,
                               const wb_choice_estimate_t *estimate);
 
--- a/src/dispatch/cold_share.c
+++ b/src/dispatch/cold_share.c
@@ -1,8 +1,8 @@
-/* How many requests a second this node may send to an engine that is cold. */
+/* This node's request rate for a warming engine. */
 #include "wickbridge/cold_share.h"
 
-/* Nodes that come and go are known to others some seconds later: until then two of them may take
- * one share. Of 87 nodes some three come at a time. */
+/* Nodes learn of added and removed nodes some seconds late; until then two of them may use the same
+ * share. The unused rest covers for that. */
 #define USED_SHARE 0.75
 
 unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank) {
--- a/src/dispatch/engine_limit.c
+++ b/src/dispatch/engine_limit.c
@@ -1,14 +1,15 @@
-/* How many requests this node may send to an engine that has named a limit. */
+/* This node's share of the request rate that an engine accepts. */
 #include "wickbridge/engine_limit.h"
 
-/* Time for which a limit is dealt out in whole requests. */
+/* Period whose requests are divided among the nodes in whole numbers. */
 #define LIMIT_PERIOD_S 4.0
-/* Longest time between two requests of all nodes: one shows whether a limit still holds. */
+/* Longest time between two requests of all nodes to a limited engine, even at a limit of 0: the
+ * response shows whether the limit still holds. */
 #define PROBE_MS 10000
-/* Nodes without a part try in turn once nobody has heard the engine for so long. */
-#define UNHEARD_MS 10000
-/* Length of a turn. */
-#define TURN_MS 5000
+/* Time since the limit was last reported after which nodes without a share probe in turn. */
+#define PROBE_AFTER_MS 10000
+/* Time slot in which one such node may send a probe. */
+#define PROBE_SLOT_MS 5000
 
 /* Requests that all nodes may send within a window. */
 typedef struct wb_limit_units_t {
@@ -16,7 +17,7 @@
     int64_t window_ms;
 } wb_limit_units_t;
 
-static wb_limit_units_t units_of(double per_s) {
+static wb_limit_units_t limit_units(double per_s) {
     unsigned count = (unsigned)(per_s * LIMIT_PERIOD_S);
     if (count > 0) {
         return (wb_limit_units_t){count, WB_LIMIT_WINDOW_MS};
@@ -29,14 +30,14 @@
                               int64_t named_ms) {
     if (!limit->named) {
         if (limit->ended_ms != 0 && sent_ms <= limit->ended_ms) {
-            return FALSE; /* overtaken by the answer that showed its end */
+            return FALSE; /* older than the response that ended the limit */
         }
         limit->named = TRUE;
         limit->per_s = per_s;
         limit->named_ms = named_ms;
         return TRUE;
     }
-    /* Of two answers whose order isn't known the stricter one holds. */
+    /* The order of these two responses is unknown: the stricter limit applies. */
     double next_per_s = sent_ms > limit->named_ms ? per_s : MIN(limit->per_s, per_s);
     gboolean changed = next_per_s != limit->per_s;
     limit->per_s = next_per_s;
@@ -54,19 +55,19 @@
     return ends;
 }
 
-/* When a node without a part may next try. */
-static int64_t turn_opens_ms(const wb_engine_limit_t *limit, const wb_limit_place_t *place,
+/* Returns when a node without a share may send its next probe. */
+static int64_t probe_next_ms(const wb_engine_limit_t *limit, const wb_limit_place_t *place,
                              unsigned units, int64_t now_ms) {
-    int64_t turns = place->nodes - units;
-    int64_t own = (place->rank - units) % turns;
-    int64_t first_ms = limit->named_ms + UNHEARD_MS;
-    int64_t turn = now_ms > first_ms ? (now_ms - first_ms) / TURN_MS : 0;
-    int64_t next = turn - turn % turns + own;
-    next += next < turn ? turns : 0;
-    int64_t from_ms = first_ms + next * TURN_MS;
-    int64_t gate_ms = wb_send_gate_opens_ms(&limit->gate, 1, TURN_MS, 0, now_ms);
-    int64_t opens_ms = MAX(from_ms, gate_ms);
-    return opens_ms < from_ms + TURN_MS ? opens_ms : from_ms + turns * TURN_MS;
+    int64_t slots = place->nodes - units;
+    int64_t own_slot = (place->rank - units) % slots;
+    int64_t first_slot_ms = limit->named_ms + PROBE_AFTER_MS;
+    int64_t slot = now_ms > first_slot_ms ? (now_ms - first_slot_ms) / PROBE_SLOT_MS : 0;
+    int64_t next_slot = slot - slot % slots + own_slot;
+    next_slot += next_slot < slot ? slots : 0;
+    int64_t slot_ms = first_slot_ms + next_slot * PROBE_SLOT_MS;
+    int64_t gate_ms = wb_send_gate_opens_ms(&limit->gate, 1, PROBE_SLOT_MS, 0, now_ms);
+    int64_t next_ms = MAX(slot_ms, gate_ms);
+    return next_ms < slot_ms + PROBE_SLOT_MS ? next_ms : slot_ms + slots * PROBE_SLOT_MS;
 }
 
 int64_t wb_engine_limit_opens_ms(const wb_engine_limit_t *limit, const wb_limit_place_t *place,
@@ -77,17 +78,18 @@
     if (place->nodes == 0) {
         return G_MAXINT64;
     }
-    wb_limit_units_t units = units_of(limit->per_s);
+    wb_limit_units_t units = limit_units(limit->per_s);
     unsigned share = wb_dealt_share(units.count, place->nodes, place->rank);
     if (share > 0) {
         return wb_send_gate_opens_ms(&limit->gate, share, units.window_ms, ahead, now_ms);
     }
-    return ahead == 0 ? turn_opens_ms(limit, place, units.count, now_ms) : G_MAXINT64;
+    return ahead == 0 ? probe_next_ms(limit, place, units.count, now_ms) : G_MAXINT64;
 }
 
 void wb_engine_limit_note(wb_engine_limit_t *limit, int64_t now_ms) {
     if (limit->named) {
-        wb_send_gate_note(&limit->gate, MAX(units_of(limit->per_s).window_ms, TURN_MS), now_ms);
+        wb_send_gate_note(&limit->gate, MAX(limit_units(limit->per_s).window_ms, PROBE_SLOT_MS),
+                          now_ms);
     }
 }
 
--- a/src/dispatch/length_guess.c
+++ b/src/dispatch/length_guess.c
@@ -1,50 +1,52 @@
-/* How many tokens an answer will have. */
+/* Estimates the number of output tokens of a response. */
 #include "dispatch/length_guess.h"
 
 #include <math.h>
 
-/* Before any answer of a kind was seen: half of a chat's. */
-#define FIRST_TOKENS 150.0
-/* Each answer moves the average by this share: some thirty make it new. */
-#define LEARN_SHARE 0.05
-/* Kinds are an operator's routes: some dozen. A configuration may rename them. */
-#define KINDS_LIMIT 512
+/* Estimate for a route without any response yet. */
+#define DEFAULT_TOKENS 150.0
+/* Weight of a new response in the moving average. */
+#define LEARNING_RATE 0.05
+/* Traffic routes are routes of the configuration. All are dropped at this bound, as names of
+ * former configurations are never removed. */
+#define ROUTES_MAX 512
 
 struct wb_length_guess_t {
-    GHashTable *means; /* kind -> double *, of the logarithm of tokens */
+    GHashTable *means; /* route -> double *, mean of the logarithm of tokens */
 };
 
 wb_length_guess_t *wb_length_guess_create(void) {
-    wb_length_guess_t *guess = g_new0(wb_length_guess_t, 1);
-    guess->means = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    return guess;
+    wb_length_guess_t *estimate = g_new0(wb_length_guess_t, 1);
+    estimate->means = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    return estimate;
 }
 
-void wb_length_guess_free(wb_length_guess_t *guess) {
-    g_hash_table_unref(guess->means);
-    g_free(guess);
+void wb_length_guess_free(wb_length_guess_t *estimate) {
+    g_hash_table_unref(estimate->means);
+    g_free(estimate);
 }
 
-void wb_length_guess_learn(wb_length_guess_t *guess, const char *kind, double tokens) {
-    double seen = log(MAX(tokens, 1));
-    double *mean = g_hash_table_lookup(guess->means, kind);
+void wb_length_guess_learn(wb_length_guess_t *estimate, const char *route, double tokens) {
+    double log_tokens = log(MAX(tokens, 1));
+    double *mean = g_hash_table_lookup(estimate->means, route);
     if (mean != NULL) {
-        *mean += LEARN_SHARE * (seen - *mean);
+        *mean += LEARNING_RATE * (log_tokens - *mean);
         return;
     }
-    if (g_hash_table_size(guess->means) >= KINDS_LIMIT) {
-        g_hash_table_remove_all(guess->means);
+    if (g_hash_table_size(estimate->means) >= ROUTES_MAX) {
+        g_hash_table_remove_all(estimate->means);
     }
-    g_hash_table_insert(guess->means, g_strdup(kind), g_memdup2(&seen, sizeof(seen)));
+    g_hash_table_insert(estimate->means, g_strdup(route),
+                        g_memdup2(&log_tokens, sizeof(log_tokens)));
 }
 
-double wb_length_guess_tokens(const wb_length_guess_t *guess, const char *kind, double hint,
-                              double most) {
-    const double *mean = g_hash_table_lookup(guess->means, kind);
-    double usual = mean != NULL ? exp(*mean) : FIRST_TOKENS;
-    double tokens = hint > 0 ? sqrt(usual * hint) : usual;
-    if (most > 0) {
-        tokens = MIN(tokens, most);
+double wb_length_guess_tokens(const wb_length_guess_t *estimate, const char *route, double hint,
+                              double max_tokens) {
+    const double *mean = g_hash_table_lookup(estimate->means, route);
+    double mean_tokens = mean != NULL ? exp(*mean) : DEFAULT_TOKENS;
+    double tokens = hint > 0 ? sqrt(mean_tokens * hint) : mean_tokens;
+    if (max_tokens > 0) {
+        tokens = MIN(tokens, max_tokens);
     }
     return MAX(tokens, 1);
 }
--- a/src/dispatch/length_guess.h
+++ b/src/dispatch/length_guess.h
@@ -1,10 +1,10 @@
 /**
  * @file length_guess.h
- * @brief How many tokens an answer will have: by the caller's hint, else by what answers of its
- * kind had.
+ * @brief Estimates the number of output tokens of a response, from the client's hint and from
+ * earlier responses of the same route.
  *
- * Hints are right in the middle and often far off, so one counts as much as the average of its
- * kind: the guess is their geometric mean. It never exceeds what the caller allows. Pure.
+ * Hints are right on average but vary widely, so the estimate is the geometric mean of the hint and
+ * the mean of the route. It never exceeds the client's limit. Pure; no errors.
  */
 #ifndef WICKBRIDGE_LENGTH_GUESS_H
 #define WICKBRIDGE_LENGTH_GUESS_H
@@ -14,15 +14,15 @@
 typedef struct wb_length_guess_t wb_length_guess_t;
 
 wb_length_guess_t *wb_length_guess_create(void);
-void wb_length_guess_free(wb_length_guess_t *guess);
-/** An answer of a kind of request was whole. */
-void wb_length_guess_learn(wb_length_guess_t *guess, const char *kind, double tokens);
+void wb_length_guess_free(wb_length_guess_t *estimate);
+/** Add the number of tokens of a complete response. */
+void wb_length_guess_learn(wb_length_guess_t *estimate, const char *route, double tokens);
 /**
- * @param hint the caller's, 0: none
- * @param most the caller's limit, 0: none
- * @return expected tokens, 1 at least
+ * @param hint       the client's hint in tokens; 0: none
+ * @param max_tokens the client's limit; 0: none
+ * @return expected output tokens, at least 1
  */
-double wb_length_guess_tokens(const wb_length_guess_t *guess, const char *kind, double hint,
-                              double most);
+double wb_length_guess_tokens(const wb_length_guess_t *estimate, const char *route, double hint,
+                              double max_tokens);
 
 #endif
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_gate.c
@@ -1,4 +1,4 @@
-/* How many requests this node may send to an engine in any window of time. */
+/* Sliding-window rate limiter for requests to an engine, and rendezvous hashing. */
 #include "wickbridge/send_gate.h"
 
 #include <string.h>
@@ -10,13 +10,14 @@
         return G_MAXINT64;
     }
     int64_t sent = gate->sent_ms != NULL ? gate->sent_ms->len : 0;
-    /* The one that it follows in its place by a window: sent already, or itself ahead. */
-    int64_t before = sent + ahead % share - share;
-    int64_t opens_ms = now_ms;
-    if (before >= 0) {
-        opens_ms = MAX(now_ms, g_array_index(gate->sent_ms, int64_t, before) + window_ms);
+    /* A request may be sent one window after the one `share` places before it. Applied repeatedly,
+     * this leads to a request already sent, at index `earlier`; a negative index means none. */
+    int64_t earlier = sent + ahead % share - share;
+    int64_t next_ms = now_ms;
+    if (earlier >= 0) {
+        next_ms = MAX(now_ms, g_array_index(gate->sent_ms, int64_t, earlier) + window_ms);
     }
-    return opens_ms + (int64_t)(ahead / share) * window_ms;
+    return next_ms + (int64_t)(ahead / share) * window_ms;
 }
 
 void wb_send_gate_note(wb_send_gate_t *gate, int64_t window_ms, int64_t now_ms) {
@@ -41,19 +42,19 @@
     return nodes > 0 ? units / nodes + (rank < units % nodes) : 0;
 }
 
-static uint64_t weight(const char *node, uint64_t seed) {
+static uint64_t rendezvous_hash(const char *node, uint64_t seed) {
     return XXH64(node, strlen(node), seed);
 }
 
 unsigned wb_dealt_rank(const char *subject, const char *own, GHashTable *nodes) {
     uint64_t seed = XXH64(subject, strlen(subject), 0);
-    uint64_t own_weight = weight(own, seed);
-    unsigned before = 0;
+    uint64_t own_hash = rendezvous_hash(own, seed);
+    unsigned preceding = 0;
     GHashTableIter iter;
     gpointer id;
     g_hash_table_iter_init(&iter, nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        before += strcmp(id, own) != 0 && weight(id, seed) > own_weight;
+        preceding += strcmp(id, own) != 0 && rendezvous_hash(id, seed) > own_hash;
     }
-    return before;
+    return preceding;
 }
--- a/src/dispatch/told_load.c
+++ b/src/dispatch/told_load.c
@@ -1,12 +1,12 @@
-/* Reads what an engine tells of its load on an answer. */
+/* Parser of the engine load header. */
 #include "dispatch/told_load.h"
 
 #include "wickbridge/engine_pace.h"
 
 #include <string.h>
 
-/* Reads a count up to the next comma. Returns FALSE when it is none. */
-static gboolean count_read(const char *text, unsigned *count) {
+/* Parses a count up to the next comma. Returns FALSE when it is missing, malformed or too large. */
+static gboolean parse_count(const char *text, unsigned *count) {
     if (text == NULL || !g_ascii_isdigit(*text)) {
         return FALSE;
     }
@@ -35,7 +35,7 @@
 gboolean wb_told_load_read(const char *text, wb_told_load_t *load) {
     memset(load, 0, sizeof(*load));
     const char *waiting = next_field(text);
-    if (!count_read(text, &load->running) || !count_read(waiting, &load->waiting)) {
+    if (!parse_count(text, &load->running) || !parse_count(waiting, &load->waiting)) {
         memset(load, 0, sizeof(*load));
         return FALSE;
     }
--- a/src/dispatch/told_load.h
+++ b/src/dispatch/told_load.h
@@ -1,29 +1,30 @@
 /**
  * @file told_load.h
- * @brief Reads what an engine tells of its load on an answer. Pure.
+ * @brief Parses the response header in which an engine reports its load. Pure.
  */
 #ifndef WICKBRIDGE_TOLD_LOAD_H
 #define WICKBRIDGE_TOLD_LOAD_H
 
 #include <glib.h>
 
-/** More requests than this at one engine are no figure: engines have some dozen places. */
+/** Larger counts are rejected as malformed. */
 #define WB_TOLD_REQUESTS_MOST 100000
 
 typedef struct wb_told_load_t {
-    unsigned running;
-    unsigned waiting;
-    unsigned pace_percent; /**< how long work takes there now, 100: as usual; 0: not told, or a
-                              figure that can't be (wb_engine_pace_read) */
+    unsigned running;      /**< requests */
+    unsigned waiting;      /**< requests */
+    unsigned pace_percent; /**< current duration of work relative to baseline, 100; 0: not reported,
+                              malformed or out of range (wb_engine_pace_read) */
 } wb_told_load_t;
 
 /**
- * Read RUNNING,WAITING[,SLOTS[,PACE]].
- * @return FALSE when running and waiting aren't both told, or can't be; `load` is then zeroed
+ * Parse RUNNING,WAITING[,SLOTS[,PACE]].
+ * @return FALSE when RUNNING or WAITING is missing, malformed or out of range; `load` is then
+ * zeroed
  */
 gboolean wb_told_load_read(const char *text, wb_told_load_t *load);
 
-/** @return TRUE when a pace is told, whatever it is */
+/** @return TRUE when the header has a PACE field, valid or not */
 gboolean wb_told_load_has_pace(const char *text);
 
 #endif
--- a/src/dispatch/told_state.c
+++ b/src/dispatch/told_state.c
@@ -1,13 +1,14 @@
-/* Reads what an engine tells of its state at the head of an answer. */
+/* Parser of the engine state headers. */
 #include "dispatch/told_state.h"
 
 #include <string.h>
 
 #define RETRY_AFTER "Retry-After"
-#define SHED_STATUS 503
+#define UNAVAILABLE_STATUS 503
 
-/* Returns how often a header comes. @param value out: the first one */
-static unsigned header_count(const wb_http_head_t *head, const char *name, const char **value) {
+/* Returns the number of headers with this name. @param value out: the first one; unchanged if none
+ */
+static unsigned count_header(const wb_http_head_t *head, const char *name, const char **value) {
     unsigned count = 0;
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
@@ -19,54 +20,54 @@
     return count;
 }
 
-/* Reads a decimal number from 0 up. Returns FALSE when it is none. */
-static gboolean number_read(const char *text, double most, double *number) {
+/* Parses a non-negative decimal number. Returns FALSE when it is malformed or exceeds the bound. */
+static gboolean parse_number(const char *text, double max, double *number) {
     size_t len = strlen(text);
     char *end;
     if (len == 0 || strspn(text, "0123456789.") != len) {
         return FALSE;
     }
     *number = g_ascii_strtod(text, &end);
-    return *end == '\0' && *number <= most;
+    return *end == '\0' && *number <= max;
 }
 
-static void limit_read(const wb_http_head_t *head, const char *name, wb_told_state_t *told) {
+static void parse_limit(const wb_http_head_t *head, const char *name, wb_told_state_t *state) {
     const char *text = NULL;
-    unsigned count = header_count(head, name, &text);
-    told->limit_named = count > 0;
-    told->limit_known =
-        count == 1 && number_read(text, WB_TOLD_LIMIT_MOST_PER_S, &told->limit_per_s);
-    told->refused += told->limit_named && !told->limit_known;
+    unsigned count = count_header(head, name, &text);
+    state->limit_named = count > 0;
+    state->limit_known =
+        count == 1 && parse_number(text, WB_TOLD_LIMIT_MOST_PER_S, &state->limit_per_s);
+    state->refused += state->limit_named && !state->limit_known;
 }
 
-static void leaving_read(const wb_http_head_t *head, const char *name, wb_told_state_t *told) {
+static void parse_draining(const wb_http_head_t *head, const char *name, wb_told_state_t *state) {
     const char *text = NULL;
-    unsigned count = header_count(head, name, &text);
+    unsigned count = count_header(head, name, &text);
     if (count == 0) {
         return;
     }
-    told->leaving = count == 1 && strcmp(text, "1") == 0;
-    told->refused += count > 1 || (strcmp(text, "1") != 0 && strcmp(text, "0") != 0);
+    state->leaving = count == 1 && strcmp(text, "1") == 0;
+    state->refused += count > 1 || (strcmp(text, "1") != 0 && strcmp(text, "0") != 0);
 }
 
-static void rest_read(const wb_http_head_t *head, wb_told_state_t *told) {
+static void parse_backoff(const wb_http_head_t *head, wb_told_state_t *state) {
     const char *text = NULL;
-    unsigned count = header_count(head, RETRY_AFTER, &text);
-    double rest_s;
-    if (head->status != SHED_STATUS || count == 0) {
+    unsigned count = count_header(head, RETRY_AFTER, &text);
+    double backoff_s;
+    if (head->status != UNAVAILABLE_STATUS || count == 0) {
         return;
     }
-    if (count == 1 && number_read(text, (double)WB_TOLD_REST_MOST_MS / 1000, &rest_s)) {
-        told->rest_ms = (int64_t)(rest_s * 1000);
+    if (count == 1 && parse_number(text, (double)WB_TOLD_REST_MOST_MS / 1000, &backoff_s)) {
+        state->rest_ms = (int64_t)(backoff_s * 1000);
     } else {
-        told->refused++;
+        state->refused++;
     }
 }
 
 wb_told_state_t wb_told_state_read(const wb_http_head_t *head, const wb_dialect_t *dialect) {
-    wb_told_state_t told = {0};
-    limit_read(head, dialect->engine_limit, &told);
-    leaving_read(head, dialect->engine_leaving, &told);
-    rest_read(head, &told);
-    return told;
+    wb_told_state_t state = {0};
+    parse_limit(head, dialect->engine_limit, &state);
+    parse_draining(head, dialect->engine_leaving, &state);
+    parse_backoff(head, &state);
+    return state;
 }
--- a/src/dispatch/told_state.h
+++ b/src/dispatch/told_state.h
@@ -1,9 +1,11 @@
 /**
  * @file told_state.h
- * @brief Reads what an engine tells of its state at the head of an answer, beside its load. Pure.
+ * @brief Parses the response headers in which an engine reports a rate limit, draining and a
+ * backoff. Pure.
  *
- * Three things: how many requests a second it takes from all nodes together, that it leaves, and
- * for how long it wants nothing from this node. A value that can't be tells nothing.
+ * The limit is the number of requests a second that the engine accepts from all nodes together.
+ * The backoff (Retry-After of a 503) applies to this node only. Malformed, repeated and
+ * out-of-range values are ignored and counted.
  */
 #ifndef WICKBRIDGE_TOLD_STATE_H
 #define WICKBRIDGE_TOLD_STATE_H
@@ -11,18 +13,18 @@
 #include "wickbridge/dialect.h"
 #include "wickbridge/http_reader.h"
 
-/** Far above what any engine takes. */
+/** Larger limits are rejected as malformed. */
 #define WB_TOLD_LIMIT_MOST_PER_S 100000.0
-/** An engine that wants nothing for longer has gone, or tells nonsense. */
+/** Longer backoffs are rejected as malformed. */
 #define WB_TOLD_REST_MOST_MS (3600 * 1000LL)
 
 typedef struct wb_told_state_t {
-    gboolean limit_named; /**< a limit is named, be it one that can't be read */
-    gboolean limit_known; /**< it could be read */
-    double limit_per_s;   /**< 0: it takes none */
-    gboolean leaving;
-    int64_t rest_ms;  /**< 0: none is asked for */
-    unsigned refused; /**< values that can't be */
+    gboolean limit_named; /**< the limit header is present, valid or not */
+    gboolean limit_known; /**< the limit header is valid */
+    double limit_per_s;   /**< requests a second; 0: the engine accepts none */
+    gboolean leaving;     /**< the engine drains */
+    int64_t rest_ms;      /**< backoff; 0: none */
+    unsigned refused;     /**< number of invalid values */
 } wb_told_state_t;
 
 wb_told_state_t wb_told_state_read(const wb_http_head_t *head, const wb_dialect_t *dialect);
--- a/src/dispatch/wait_scale.c
+++ b/src/dispatch/wait_scale.c
@@ -1,56 +1,56 @@
-/* How long requests of a kind really wait to be read. */
+/* Ratio of measured to predicted waits for prefill, by route. */
 #include "dispatch/wait_scale.h"
 
-/* Each measurement takes this share from what was summed up before: some fifty count. */
-#define FORGET_SHARE 0.02
-/* Before so much was predicted in all, the ratio is chance: a few waits of a busy engine. */
-#define LEAST_MS 500.0
-#define SCALE_LEAST 0.05
-#define SCALE_MOST 3.0
-/* A single wait counts up to this: beyond, the engine is at fault. */
-#define MEASURED_MOST_MS 5000.0
-/* Kinds are an operator's routes: some dozen. A configuration may rename them. */
-#define KINDS_LIMIT 512
+/* Share of the sums that decays with each measurement. */
+#define DECAY 0.02
+/* The ratio isn't used while the decayed sum of predicted waits is below this. */
+#define PREDICTED_MIN_MS 500.0
+#define SCALE_MIN 0.05
+#define SCALE_MAX 3.0
+/* A longer wait is a fault of the engine and is counted as this. */
+#define MEASURED_MAX_MS 5000.0
+/* Traffic routes are routes of the configuration. All are dropped at this bound, as names of
+ * former configurations are never removed. */
+#define ROUTES_MAX 512
 
-typedef struct wb_kind_waits_t {
+typedef struct wb_route_waits_t {
     double predicted_ms;
     double measured_ms;
-} wb_kind_waits_t;
+} wb_route_waits_t;
 
 struct wb_wait_scale_t {
-    GHashTable *kinds; /* name -> wb_kind_waits_t */
+    GHashTable *routes; /* route -> wb_route_waits_t */
 };
 
 wb_wait_scale_t *wb_wait_scale_create(void) {
     wb_wait_scale_t *scale = g_new0(wb_wait_scale_t, 1);
-    scale->kinds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    scale->routes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return scale;
 }
 
 void wb_wait_scale_free(wb_wait_scale_t *scale) {
-    g_hash_table_unref(scale->kinds);
+    g_hash_table_unref(scale->routes);
     g_free(scale);
 }
 
-void wb_wait_scale_learn(wb_wait_scale_t *scale, const char *kind, double predicted_ms,
+void wb_wait_scale_learn(wb_wait_scale_t *scale, const char *route, double predicted_ms,
                          double measured_ms) {
-    wb_kind_waits_t *waits = g_hash_table_lookup(scale->kinds, kind);
+    wb_route_waits_t *waits = g_hash_table_lookup(scale->routes, route);
     if (waits == NULL) {
-        if (g_hash_table_size(scale->kinds) >= KINDS_LIMIT) {
-            g_hash_table_remove_all(scale->kinds);
+        if (g_hash_table_size(scale->routes) >= ROUTES_MAX) {
+            g_hash_table_remove_all(scale->routes);
         }
-        waits = g_new0(wb_kind_waits_t, 1);
-        g_hash_table_insert(scale->kinds, g_strdup(kind), waits);
+        waits = g_new0(wb_route_waits_t, 1);
+        g_hash_table_insert(scale->routes, g_strdup(route), waits);
     }
-    waits->predicted_ms = (1 - FORGET_SHARE) * waits->predicted_ms + MAX(predicted_ms, 0);
-    waits->measured_ms =
-        (1 - FORGET_SHARE) * waits->measured_ms + CLAMP(measured_ms, 0, MEASURED_MOST_MS);
+    waits->predicted_ms = (1 - DECAY) * waits->predicted_ms + MAX(predicted_ms, 0);
+    waits->measured_ms = (1 - DECAY) * waits->measured_ms + CLAMP(measured_ms, 0, MEASURED_MAX_MS);
 }
 
-double wb_wait_scale_get(const wb_wait_scale_t *scale, const char *kind) {
-    const wb_kind_waits_t *waits = g_hash_table_lookup(scale->kinds, kind);
-    if (waits == NULL || waits->predicted_ms < LEAST_MS) {
+double wb_wait_scale_get(const wb_wait_scale_t *scale, const char *route) {
+    const wb_route_waits_t *waits = g_hash_table_lookup(scale->routes, route);
+    if (waits == NULL || waits->predicted_ms < PREDICTED_MIN_MS) {
         return 1;
     }
-    return CLAMP(waits->measured_ms / waits->predicted_ms, SCALE_LEAST, SCALE_MOST);
+    return CLAMP(waits->measured_ms / waits->predicted_ms, SCALE_MIN, SCALE_MAX);
 }
--- a/src/dispatch/wait_scale.h
+++ b/src/dispatch/wait_scale.h
@@ -1,11 +1,13 @@
 /**
  * @file wait_scale.h
- * @brief How long requests of a kind really wait to be read, beside what an engine's backlog says.
+ * @brief Learns for each route how its measured waits for prefill relate to the predicted
+ * ones.
  *
- * Engines read the prompts of urgent requests first, and nobody tells in which order: under load,
- * urgent short ones wait a sixth of what the whole backlog says, the others a little more than it.
- * So each kind's predicted and measured waits are summed up, and the ratio scales what is predicted
- * next. Pure.
+ * Engines prefill urgent prompts first, in an order that gateways don't know. Under load, urgent
+ * short requests wait much less than the whole backlog suggests, and others slightly longer. The
+ * ratio of the route's decayed sums of measured and predicted waits corrects later predictions.
+ *
+ * Waits are in milliseconds. Pure; no errors.
  */
 #ifndef WICKBRIDGE_WAIT_SCALE_H
 #define WICKBRIDGE_WAIT_SCALE_H
@@ -16,10 +18,10 @@
 
 wb_wait_scale_t *wb_wait_scale_create(void);
 void wb_wait_scale_free(wb_wait_scale_t *scale);
-/** @param predicted_ms before it was scaled */
-void wb_wait_scale_learn(wb_wait_scale_t *scale, const char *kind, double predicted_ms,
+/** Add a measurement. @param predicted_ms the prediction before scaling */
+void wb_wait_scale_learn(wb_wait_scale_t *scale, const char *route, double predicted_ms,
                          double measured_ms);
-/** @return by what a predicted wait of the kind is to be multiplied; 1: nothing is known */
-double wb_wait_scale_get(const wb_wait_scale_t *scale, const char *kind);
+/** @return factor for predicted waits of the route; 1 before there are enough measurements */
+double wb_wait_scale_get(const wb_wait_scale_t *scale, const char *route);
 
 #endif
