--- a/src/dispatch/length_guess.c
+++ b/src/dispatch/length_guess.c
@@ -7,8 +7,7 @@
 #define DEFAULT_TOKENS 150.0
 /* Weight of a new response in the moving average. */
 #define LEARNING_RATE 0.05
-/* Traffic routes are routes of the configuration. All are dropped at this bound, as names of
- * former configurations are never removed. */
+/* All routes are dropped at this bound; those of former configurations aren't removed otherwise. */
 #define ROUTES_MAX 512
 
 struct wb_length_guess_t {
--- a/src/dispatch/wait_scale.c
+++ b/src/dispatch/wait_scale.c
@@ -9,8 +9,7 @@
 #define SCALE_MAX 3.0
 /* A longer wait is a fault of the engine and is counted as this. */
 #define MEASURED_MAX_MS 5000.0
-/* Traffic routes are routes of the configuration. All are dropped at this bound, as names of
- * former configurations are never removed. */
+/* All routes are dropped at this bound; those of former configurations aren't removed otherwise. */
 #define ROUTES_MAX 512
 
 typedef struct wb_route_waits_t {
--- a/src/dispatch/wait_scale.h
+++ b/src/dispatch/wait_scale.h
@@ -1,7 +1,6 @@
 /**
  * @file wait_scale.h
- * @brief Learns for each route how its measured waits for prefill relate to the predicted
- * ones.
+ * @brief Learns for each route how its measured waits for prefill relate to predictions.
  *
  * Engines prefill urgent prompts first, in an order that gateways don't know. Under load, urgent
  * short requests wait much less than the whole backlog suggests, and others slightly longer. The
--- a/src/quota/equal_share.c
+++ b/src/quota/equal_share.c
@@ -1,26 +1,25 @@
-/* Among how many nodes something is divided that all of them may spend together. */
+/* Division of a shared budget among nodes. */
 #include "quota/equal_share.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Longest time between that a node is listed, or no longer, and that nobody spends as if it weren't
- * so. */
-#define SETTLES_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS)
+/* Longest time from a change of the list until no node uses the list before it. */
+#define SETTLE_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS)
 
 /* A node, by its id. */
 typedef struct wb_shared_node_t {
     gboolean listed;
-    int64_t since_ms; /* steady time since which it is, or isn't */
+    int64_t since_ms; /* monotonic time of the last change of `listed` */
 } wb_shared_node_t;
 
 struct wb_equal_share_t {
     char *own_id;
     int64_t window_ms;
     GHashTable *nodes; /* id -> wb_shared_node_t */
-    unsigned listed;   /* of these, those that are */
-    uint64_t digest;
-    int64_t as_of_ms;  /* 0: nothing is known */
+    unsigned listed;   /* number of listed nodes */
+    uint64_t digest;   /* of the listed ids */
+    int64_t as_of_ms;  /* time as of which the list is complete; 0: never */
     gboolean is_first; /* no process ran on this machine before this one */
 };
 
@@ -83,13 +82,13 @@
     wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
     share->is_first = TRUE;
     if (own != NULL && own->listed && g_hash_table_size(share->nodes) == 1) {
-        own->since_ms = now_ms - SETTLES_MS - share->window_ms;
+        own->since_ms = now_ms - SETTLE_MS - share->window_ms;
     }
 }
 
-/* Whether a node that is no longer listed may still spend, or what it spent still counts. */
+/* Whether a node counts: it is listed, or may still use its share, or did so within the window. */
 static gboolean still_counts(const wb_shared_node_t *node, int64_t window_ms, int64_t now_ms) {
-    return node->listed || now_ms - node->since_ms < SETTLES_MS + window_ms;
+    return node->listed || now_ms - node->since_ms < SETTLE_MS + window_ms;
 }
 
 static gboolean all_are_listed(const wb_equal_share_t *share) {
@@ -98,7 +97,7 @@
 
 void wb_equal_share_sweep(wb_equal_share_t *share, int64_t now_ms) {
     if (all_are_listed(share)) {
-        return; /* as usual, also where there are a thousand */
+        return; /* the normal case, without a scan of all nodes */
     }
     GHashTableIter iter;
     gpointer value;
@@ -118,17 +117,17 @@
     return share->nodes;
 }
 
-/* Whether this node has been listed for so long. */
-static gboolean is_listed_for(const wb_equal_share_t *share, int64_t least_ms, int64_t now_ms) {
+/* Whether this node has been listed for at least `min_ms`. */
+static gboolean listed_for_at_least(const wb_equal_share_t *share, int64_t min_ms, int64_t now_ms) {
     const wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
-    return own != NULL && own->listed && now_ms - own->since_ms >= least_ms;
+    return own != NULL && own->listed && now_ms - own->since_ms >= min_ms;
 }
 
-static gboolean is_known_now(const wb_equal_share_t *share, int64_t now_ms) {
+static gboolean list_is_valid(const wb_equal_share_t *share, int64_t now_ms) {
     return share->as_of_ms != 0 && now_ms - share->as_of_ms < WB_SHARE_TRUST_MS;
 }
 
-static unsigned nodes_count(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
+static unsigned count_nodes(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
     if (all_are_listed(share)) {
         return share->listed;
     }
@@ -143,23 +142,23 @@
 }
 
 unsigned wb_equal_share_nodes(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
-    gboolean has_part =
-        is_known_now(share, now_ms) && is_listed_for(share, SETTLES_MS + window_ms, now_ms);
-    return has_part ? nodes_count(share, window_ms, now_ms) : 0;
+    gboolean has_share =
+        list_is_valid(share, now_ms) && listed_for_at_least(share, SETTLE_MS + window_ms, now_ms);
+    return has_share ? count_nodes(share, window_ms, now_ms) : 0;
 }
 
-/* Nodes that come before this one. Who counts more nodes never comes earlier by that, so that those
- * who spend come to no more than the units even where they know of different nodes. */
-static unsigned rank_of(const wb_equal_share_t *share) {
+/* Number of nodes ordered before this one. Counting more nodes never lowers it, so that even with
+ * different lists no more nodes than units consider themselves entitled to one. */
+static unsigned own_rank(const wb_equal_share_t *share) {
     uint64_t own = id_digest(share->own_id);
-    unsigned before = 0;
+    unsigned preceding = 0;
     GHashTableIter iter;
     gpointer id;
     g_hash_table_iter_init(&iter, share->nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        before += id_digest(id) > own;
+        preceding += id_digest(id) > own;
     }
-    return before;
+    return preceding;
 }
 
 double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
@@ -171,10 +170,10 @@
     if (whole >= nodes) {
         return whole / nodes;
     }
-    return rank_of(share) + 1 <= whole ? 1 : 0;
+    return own_rank(share) + 1 <= whole ? 1 : 0;
 }
 
 unsigned wb_equal_share_listed(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
-    int64_t least_ms = share->is_first ? 0 : window_ms;
-    return is_listed_for(share, least_ms, now_ms) ? nodes_count(share, window_ms, now_ms) : 0;
+    int64_t min_ms = share->is_first ? 0 : window_ms;
+    return listed_for_at_least(share, min_ms, now_ms) ? count_nodes(share, window_ms, now_ms) : 0;
 }
--- a/src/quota/equal_share.h
+++ b/src/quota/equal_share.h
@@ -1,22 +1,24 @@
 /**
  * @file equal_share.h
- * @brief Among how many nodes something is divided that all of them may spend together.
+ * @brief Divides a shared budget equally among nodes, without messages about what each has used.
  *
- * Each node spends an equal part of the whole in any window of time, without a message about what
- * it spends. Whichever nodes start, end, come or are cut off from the store, all parts together are
- * never more than the whole. That rests on three rules, all kept here:
+ * In any window of time each node may use an equal share of the whole. All shares together never
+ * exceed the whole, whichever nodes start, stop, join or lose the store. This rests on three rules,
+ * all implemented here:
  *
- * - A node has a part only while it knows which nodes are listed, itself among them, as of
- *   WB_SHARE_TRUST_MS ago at most.
- * - It has none until it has been listed for as long as it takes that nobody goes by an older list,
- *   and a window more: by then all others count it, and what they spent by larger parts, or what a
- *   process before it spent on its machine, has left the window.
- * - A node that is no longer listed is counted for just as long: it may go on by an older list.
+ * - A node has a share only while its list of nodes, which must include itself, is at most
+ *   WB_SHARE_TRUST_MS old.
+ * - A node has no share until it has been listed long enough that no node uses an older list, and
+ *   one window longer. By then all other nodes count it, and whatever they used from larger shares,
+ *   or an earlier process used on this machine, has left the window.
+ * - A node that is no longer listed is counted for the same time, as it may still use an older
+ *   list.
  *
- * So whoever spends in a window is counted by all others that do: each of N nodes divides by N at
- * least, and no more than N parts of 1/N are spent.
+ * So each node that uses its share in a window is counted by all others that do: each of N nodes
+ * divides by at least N, and at most N shares of 1/N are used.
  *
- * Pure: the time is passed in.
+ * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors: a node that
+ * can't have a share gets 0.
  */
 #ifndef WICKBRIDGE_EQUAL_SHARE_H
 #define WICKBRIDGE_EQUAL_SHARE_H
@@ -24,57 +26,58 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** What is known of the nodes stands for so long: some times the second in which it is usually told
- * anew. */
+/** Validity of the list of nodes. It is normally refreshed every second. */
 #define WB_SHARE_TRUST_MS 4000
-/** What another node told may have been under way for so long: then links that are cut end. */
+/** Longest time that another node's report of the list may be in transit: then a broken link is
+ * closed. */
 #define WB_SHARE_DELAY_MS 3000
 
 typedef struct wb_equal_share_t wb_equal_share_t;
 
 /**
- * @param own_id    this node
+ * @param own_id    id of this node
  * @param window_ms the longest window that will be asked for
  */
 wb_equal_share_t *wb_equal_share_create(const char *own_id, int64_t window_ms);
 void wb_equal_share_free(wb_equal_share_t *share);
-/** A node is listed; nothing changes if it was. */
+/** A node is listed; no effect if it already was. */
 void wb_equal_share_add(wb_equal_share_t *share, const char *id, int64_t now_ms);
-/** A node is no longer listed. */
+/** A node is no longer listed; no effect if it wasn't. */
 void wb_equal_share_remove(wb_equal_share_t *share, const char *id, int64_t now_ms);
-/** All that are listed are known as of this steady time, or as of a later one told before. */
+/** The list of nodes is complete as of this time; an earlier time than before has no effect. */
 void wb_equal_share_known(wb_equal_share_t *share, int64_t as_of_ms);
-/** This process stood still and can't know how old what it is told is: it waits as after a start.
+/** This process was paused, so the age of what it receives is unknown: it waits as after a start.
  */
 void wb_equal_share_restart(wb_equal_share_t *share, int64_t now_ms);
 /**
  * This process has written the first row that its machine ever had, and has read it back: no
- * process before it has spent anything. If no other node is listed, nobody has: it has the whole at
+ * earlier process used anything. If no other node is listed, no node has: it gets the whole at
  * once.
  */
 void wb_equal_share_begin_first(wb_equal_share_t *share, int64_t now_ms);
-/** Forget nodes that are gone for so long that nobody counts them. */
+/** Drop removed nodes that no node counts any more. */
 void wb_equal_share_sweep(wb_equal_share_t *share, int64_t now_ms);
-/** @return a digest of the ids that are listed, whatever the order in which they came */
+/** @return a digest of the listed ids that doesn't depend on their order */
 uint64_t wb_equal_share_digest(const wb_equal_share_t *share);
-/** @return set of ids: all that count, and maybe some that no longer do; owned by the share */
+/** @return set of the ids that count, possibly with some that no longer do; owned by `share` */
 GHashTable *wb_equal_share_ids(const wb_equal_share_t *share);
 /**
- * @param window_ms in which what is shared is counted
- * @return by how many the whole is divided in such a window; 0: this node has no part now
+ * @param window_ms window over which usage is counted
+ * @return number of nodes by which the whole is divided; 0: this node has no share now
  */
 unsigned wb_equal_share_nodes(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms);
 /**
- * @param whole     units that all nodes may spend together in the window
- * @param window_ms as above
- * @return this node's part. Where there are more nodes than units, a part of one is of no use to
- * anybody: as many nodes as there are units have a whole one, by the order of their ids' hashes
+ * @param whole     units that all nodes together may use in the window
+ * @param window_ms window over which usage is counted
+ * @return units for this node. With more nodes than units the units aren't split: one each goes to
+ * as many nodes, ordered by the hashes of their ids
  */
 double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
                            int64_t now_ms);
 /**
- * The same where a part of the whole is set aside for nodes that don't know of each other yet: this
- * one waits only until what a process before it spent has left the window.
+ * Like wb_equal_share_nodes, for budgets of which a part is reserved for nodes that don't know of
+ * each other yet: this node only waits until the usage of an earlier process on its machine has
+ * left the window.
  */
 unsigned wb_equal_share_listed(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms);
 
--- a/src/quota/quota_book.h
+++ b/src/quota/quota_book.h
@@ -1,23 +1,25 @@
 /**
  * @file quota_book.h
- * @brief What all gateways together spend of each tenant's limit, and which share of a tenant's
- * requests they may admit.
+ * @brief Ledger of what all gateways admit of each tenant's limit. It decides which share of a
+ * tenant's requests they may admit.
  *
- * One node keeps the book: the one that gateways tell what is asked for. It has a token bucket a
- * tenant, filled at the tenant's rate up to its burst, from which it takes what gateways say that
- * they have admitted. A tenant whose bucket would run empty before gateways can be told again is
- * **short**: gateways then admit the share of its requests that the bucket can bear. Tenants that
- * are not short cost nothing but the gateways' reports.
+ * One node, to which all gateways report, keeps the ledger. For each tenant it has a token bucket,
+ * filled at the tenant's rate up to its burst, from which it takes what gateways report as
+ * admitted. A tenant whose bucket would run empty before the next shares can take effect is
+ * **throttled**: gateways then admit the share of its requests that the bucket can sustain. Tenants
+ * that aren't throttled cause no messages to gateways.
  *
- * A node that can't be reached goes on at the rate of its last reports (quota_gate.h), so the book
- * takes that much for it. Of a node that never reported to this book, or while another node may
- * keep a book too, it takes an equal part of each limit: two books then share each limit by the
- * nodes that report to either.
+ * A disconnected node goes on admitting at the rate of its last reports (quota_gate.h), so the
+ * ledger deducts that rate. For nodes that never reported to this ledger, and for all disconnected
+ * nodes while another node may keep a ledger too, it deducts an equal share of each limit: two
+ * ledgers thus divide each limit by the nodes that report to either.
  *
- * A book starts with empty buckets: who kept it before may have given the bursts away. A tenant
- * within its rate isn't refused for that.
+ * A ledger starts with empty buckets, as the previous one may have used up the bursts. A tenant
+ * within its rate isn't refused because of that.
  *
- * Pure: the time is passed in. What it doesn't do: sending, and admitting single requests.
+ * Rates are in units a second (see wb_tenant_cost), times monotonic and in milliseconds. Pure: the
+ * time is passed in. No errors: reports about tenants without a limit are ignored. Messages and the
+ * admission of single requests are handled elsewhere.
  */
 #ifndef WICKBRIDGE_QUOTA_BOOK_H
 #define WICKBRIDGE_QUOTA_BOOK_H
@@ -28,46 +30,46 @@
 
 typedef struct wb_quota_book_t wb_quota_book_t;
 
-/** What the book knows of a tenant, for operators. */
+/** State of a tenant, for operators. */
 typedef struct wb_quota_state_t {
-    double asked_per_s;
-    double admitted_per_s;
-    double assumed_per_s; /**< of nodes that can't be reached */
-    double level;
-    double share; /**< 1: not short */
+    double asked_per_s;    /**< requested by clients */
+    double admitted_per_s; /**< admitted, as reported by gateways */
+    double assumed_per_s;  /**< deducted for disconnected nodes */
+    double level;          /**< of the token bucket, in units; negative: overdrawn */
+    double share;          /**< of the requested units to admit; 1: not throttled */
 } wb_quota_state_t;
 
 wb_quota_book_t *wb_quota_book_create(void);
-void wb_quota_book_free(wb_quota_book_t *book);
+void wb_quota_book_free(wb_quota_book_t *ledger);
 
-/** Take the limits of another configuration. @param tenants NULL: there are none */
-void wb_quota_book_set_tenants(wb_quota_book_t *book, const wb_tenants_t *tenants, int64_t now_ms);
+/** Apply the limits of a new configuration. @param tenants NULL: there are none */
+void wb_quota_book_set_tenants(wb_quota_book_t *ledger, const wb_tenants_t *tenants,
+                               int64_t now_ms);
 
-/** A node has told what was asked of it of a kind, and what it admitted, since it told that last.
- */
-void wb_quota_book_report(wb_quota_book_t *book, const char *node, const wb_quota_use_t *use,
+/** A node has reported its usage of one traffic class since its last report. */
+void wb_quota_book_report(wb_quota_book_t *ledger, const char *node, const wb_quota_use_t *use,
                           int64_t now_ms);
-/** A node is reached (anew): nothing is assumed of it any more. */
-void wb_quota_book_node_reached(wb_quota_book_t *book, const char *node);
-/** A node can't be reached any more; it may go on. */
-void wb_quota_book_node_lost(wb_quota_book_t *book, const char *node, int64_t now_ms);
-/** A node is known to be there: unless it reports, it counts as lost. */
-void wb_quota_book_expect(wb_quota_book_t *book, const char *node, int64_t now_ms);
-/** Whether this is surely the only book; when it isn't, others may report to another one. */
-void wb_quota_book_set_sole(wb_quota_book_t *book, gboolean sole);
-/** Begin anew, with empty buckets: another node has kept the book meanwhile. */
-void wb_quota_book_clear(wb_quota_book_t *book, int64_t now_ms);
+/** A node is connected (again): nothing is deducted for it any more. */
+void wb_quota_book_node_reached(wb_quota_book_t *ledger, const char *node);
+/** A node is disconnected, but may go on admitting requests. */
+void wb_quota_book_node_lost(wb_quota_book_t *ledger, const char *node, int64_t now_ms);
+/** A node exists: until it reports, it counts as disconnected. */
+void wb_quota_book_expect(wb_quota_book_t *ledger, const char *node, int64_t now_ms);
+/** @param sole whether this is certainly the only ledger; else nodes may report to another one */
+void wb_quota_book_set_sole(wb_quota_book_t *ledger, gboolean sole);
+/** Start again with empty buckets: another node has kept the ledger in the meantime. */
+void wb_quota_book_clear(wb_quota_book_t *ledger, int64_t now_ms);
 
 /**
- * Which tenants are short.
- * @param changed set to TRUE when gateways should be told: something has changed, or what was told
- * has to be repeated
- * @return wb_quota_share_t of all tenants that are short, owned by the book, until the next call
+ * Compute the shares of throttled tenants.
+ * @param changed out: TRUE when the shares must be sent to gateways, because they have changed or
+ * because a repetition is due; they then count as sent
+ * @return wb_quota_share_t of all throttled tenants; owned by the ledger, valid until the next call
  */
-const GArray *wb_quota_book_shares(wb_quota_book_t *book, int64_t now_ms, gboolean *changed);
+const GArray *wb_quota_book_shares(wb_quota_book_t *ledger, int64_t now_ms, gboolean *changed);
 
-/** @return FALSE when nothing is known of the tenant */
-gboolean wb_quota_book_state(const wb_quota_book_t *book, const char *tenant, int64_t now_ms,
+/** @return FALSE when the tenant is unknown or has no limit */
+gboolean wb_quota_book_state(const wb_quota_book_t *ledger, const char *tenant, int64_t now_ms,
                              wb_quota_state_t *state);
 
 #endif
--- a/src/quota/quota_gate.c
+++ b/src/quota/quota_gate.c
@@ -1,38 +1,36 @@
-/* Admits requests within their tenants' limits. */
+/* Admission of requests within their tenants' limits. */
 #include "quota/quota_gate.h"
 
 #include "quota/token_bucket.h"
 
-/* A gateway's own demand of a tenant is averaged over about so long: a tenth of a request a second
- * is usual where 84 gateways share 368 requests a second of 16 tenants. */
+/* Time constant of the averages of a tenant's demand at this gateway, where requests are rare. */
 #define DEMAND_TIME_S 8.0
-#define RETRY_LEAST_MS 100
-/* The window that limits are counted over on the users' deployments; later than this the state is
- * another one. */
-#define RETRY_MOST_MS 8000
-/* A tenant without requests for so long has no demand worth to remember. */
-#define ENTRY_LIFE_MS 60000
+#define RETRY_MIN_MS 100
+/* By then the shares have changed. */
+#define RETRY_MAX_MS 8000
+/* A tenant without requests for this long is dropped. */
+#define ENTRY_EXPIRY_MS 60000
 
-/* A kind of a tenant's requests. */
-typedef struct wb_gate_kind_t {
+/* A traffic class of a tenant. */
+typedef struct wb_gate_class_t {
     wb_decayed_rate_t demand;
-    double asked;    /* since the last report */
-    double requests; /* the same */
-    double admitted; /* the same */
-    double share;    /* while the tenant is short */
-    double credit;   /* the same; what was admitted beyond its share is owed */
-    gboolean credit_begins;
-} wb_gate_kind_t;
+    double asked;          /* units requested since the last report */
+    double requests;       /* since the last report */
+    double admitted;       /* units since the last report */
+    double share;          /* in force while the tenant is throttled */
+    double credit;         /* units that may be admitted while throttled; negative: a debt */
+    gboolean credit_unset; /* credit must be initialized */
+} wb_gate_class_t;
 
 typedef struct wb_gate_entry_t {
     char *tenant;
-    GHashTable *kinds; /* wb_quota_kind_t -> wb_gate_kind_t */
+    GHashTable *classes; /* wb_quota_kind_t -> wb_gate_class_t */
     wb_decayed_rate_t demand;
-    double share;          /* of all kinds that aren't named; 1: not short */
-    double share_before;   /* as told before the last list */
-    wb_token_bucket_t own; /* while the book can't be reached */
-    double own_rate_per_s; /* as of when it could be reached last */
-    gboolean own_begins;
+    double share;                   /* of classes without a share of their own; 1: not throttled */
+    double previous_share;          /* before the latest shares were received */
+    wb_token_bucket_t local_bucket; /* used while the ledger is unreachable */
+    double local_rate_per_s;        /* fill rate of the local bucket */
+    gboolean local_unset;           /* local bucket and rate must be initialized */
     int64_t used_ms;
 } wb_gate_entry_t;
 
@@ -44,7 +42,7 @@
 
 static void entry_free(gpointer data) {
     wb_gate_entry_t *entry = data;
-    g_hash_table_unref(entry->kinds);
+    g_hash_table_unref(entry->classes);
     g_free(entry->tenant);
     g_free(entry);
 }
@@ -65,84 +63,85 @@
     if (entry == NULL) {
         entry = g_new0(wb_gate_entry_t, 1);
         entry->tenant = g_strdup(tenant);
-        entry->kinds = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+        entry->classes = g_hash_table_new_full(NULL, NULL, NULL, g_free);
         entry->share = 1;
-        entry->share_before = 1;
-        entry->own_begins = TRUE;
+        entry->previous_share = 1;
+        entry->local_unset = TRUE;
         g_hash_table_insert(gate->entries, entry->tenant, entry);
     }
     return entry;
 }
 
-static wb_gate_kind_t *kind_get(wb_gate_entry_t *entry, wb_quota_kind_t kind) {
-    wb_gate_kind_t *one = g_hash_table_lookup(entry->kinds, GUINT_TO_POINTER(kind));
-    if (one == NULL) {
-        one = g_new0(wb_gate_kind_t, 1);
-        one->share = entry->share;
-        one->credit_begins = TRUE;
-        g_hash_table_insert(entry->kinds, GUINT_TO_POINTER(kind), one);
+static wb_gate_class_t *class_get(wb_gate_entry_t *entry, wb_quota_kind_t kind) {
+    wb_gate_class_t *traffic = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(kind));
+    if (traffic == NULL) {
+        traffic = g_new0(wb_gate_class_t, 1);
+        traffic->share = entry->share;
+        traffic->credit_unset = TRUE;
+        g_hash_table_insert(entry->classes, GUINT_TO_POINTER(kind), traffic);
     }
-    return one;
+    return traffic;
 }
 
-static int64_t retry_after(double missing, double gain_per_s) {
-    if (gain_per_s <= 0) {
-        return RETRY_MOST_MS;
+static int64_t retry_ms(double debt, double income_per_s) {
+    if (income_per_s <= 0) {
+        return RETRY_MAX_MS;
     }
-    return (int64_t)CLAMP(1000.0 * missing / gain_per_s, RETRY_LEAST_MS, RETRY_MOST_MS);
+    return (int64_t)CLAMP(1000.0 * debt / income_per_s, RETRY_MIN_MS, RETRY_MAX_MS);
 }
 
-/* Requests are admitted one after the other, so that their costs add up to the share. The first
- * is admitted by chance: that of many nodes would be too much otherwise. */
-static void ask_short(wb_gate_kind_t *entry, double cost, int64_t now_ms,
-                      wb_quota_verdict_t *verdict) {
-    if (entry->credit_begins) {
-        entry->credit_begins = FALSE;
-        entry->credit = -cost * g_random_double();
+/* Credit grows by the share of each request's cost, and a request is admitted while it is positive,
+ * so that admitted costs add up to the share. The initial credit is random: otherwise each of many
+ * nodes would admit its first request, which is too much in total. */
+static void admit_throttled(wb_gate_class_t *traffic, double cost, int64_t now_ms,
+                            wb_quota_verdict_t *verdict) {
+    if (traffic->credit_unset) {
+        traffic->credit_unset = FALSE;
+        traffic->credit = -cost * g_random_double();
     }
-    entry->credit += entry->share * cost;
-    verdict->admitted = entry->credit > 0;
+    traffic->credit += traffic->share * cost;
+    verdict->admitted = traffic->credit > 0;
     if (verdict->admitted) {
-        entry->credit -= cost;
+        traffic->credit -= cost;
         return;
     }
-    double gain_per_s = entry->share * wb_decayed_rate_read(&entry->demand, DEMAND_TIME_S, now_ms);
-    verdict->retry_ms = retry_after(-entry->credit, gain_per_s);
+    double income_per_s =
+        traffic->share * wb_decayed_rate_read(&traffic->demand, DEMAND_TIME_S, now_ms);
+    verdict->retry_ms = retry_ms(-traffic->credit, income_per_s);
 }
 
-/* Depth of the bucket that a tenant has at this node alone; one unit at least. */
-static double own_depth(const wb_gate_entry_t *entry) {
-    return MAX(WB_QUOTA_UNREACHED_DEPTH_S * entry->own_rate_per_s, 1);
+/* Depth of the local bucket; at least one unit. */
+static double local_depth(const wb_gate_entry_t *entry) {
+    return MAX(WB_QUOTA_UNREACHED_DEPTH_S * entry->local_rate_per_s, 1);
 }
 
-/* What this node may spend by itself: set once when the book is lost, and for tenants that came
- * later. */
-static void own_begin(wb_gate_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
-                      double demand_per_s, double cost, int64_t now_ms) {
+/* Initializes a tenant's local bucket, at its first request after the ledger became unreachable. */
+static void local_start(wb_gate_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
+                        double demand_per_s, double cost, int64_t now_ms) {
     double equal_per_s = nodes > 0 ? WB_QUOTA_UNREACHED_PART * tenant->rate_per_s / nodes : 0;
-    double usual_per_s =
+    double allowed_per_s =
         entry->share < 1 ? entry->share * demand_per_s : WB_QUOTA_UNREACHED_TIMES * demand_per_s;
-    entry->own_rate_per_s = MAX(usual_per_s, entry->share * equal_per_s);
-    entry->own.at_ms = now_ms;
-    entry->own.level =
-        entry->share < 1 ? (entry->share - g_random_double()) * cost : own_depth(entry);
-    entry->own_begins = FALSE;
+    entry->local_rate_per_s = MAX(allowed_per_s, entry->share * equal_per_s);
+    entry->local_bucket.at_ms = now_ms;
+    entry->local_bucket.level =
+        entry->share < 1 ? (entry->share - g_random_double()) * cost : local_depth(entry);
+    entry->local_unset = FALSE;
 }
 
-static void ask_alone(wb_gate_entry_t *entry, double cost, int64_t now_ms,
-                      wb_quota_verdict_t *verdict) {
-    double level =
-        wb_token_bucket_fill(&entry->own, entry->own_rate_per_s, own_depth(entry), now_ms);
+static void admit_locally(wb_gate_entry_t *entry, double cost, int64_t now_ms,
+                          wb_quota_verdict_t *verdict) {
+    double level = wb_token_bucket_fill(&entry->local_bucket, entry->local_rate_per_s,
+                                        local_depth(entry), now_ms);
     verdict->admitted = level > 0;
     if (verdict->admitted) {
-        entry->own.level -= cost;
+        entry->local_bucket.level -= cost;
         return;
     }
-    verdict->retry_ms = retry_after(-level, entry->own_rate_per_s);
+    verdict->retry_ms = retry_ms(-level, entry->local_rate_per_s);
 }
 
 wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *gate, const wb_tenant_t *tenant,
-                                     wb_quota_kind_t kind_id, double cost, unsigned nodes,
+                                     wb_quota_kind_t kind, double cost, unsigned nodes,
                                      int64_t now_ms) {
     wb_quota_verdict_t verdict = {
         .admitted = TRUE, .share = 1, .reached = gate->reached, .told_ms = gate->told_ms};
@@ -150,24 +149,24 @@
         return verdict;
     }
     wb_gate_entry_t *entry = entry_get(gate, tenant->name);
-    double usual_per_s = wb_decayed_rate_read(&entry->demand, DEMAND_TIME_S, now_ms);
+    double demand_before_per_s = wb_decayed_rate_read(&entry->demand, DEMAND_TIME_S, now_ms);
     wb_decayed_rate_add(&entry->demand, cost, DEMAND_TIME_S, now_ms);
     entry->used_ms = now_ms;
-    wb_gate_kind_t *kind = kind_get(entry, kind_id);
-    wb_decayed_rate_add(&kind->demand, cost, DEMAND_TIME_S, now_ms);
-    kind->asked += cost;
-    kind->requests += 1;
-    verdict.share = entry->share < 1 ? kind->share : 1;
+    wb_gate_class_t *traffic = class_get(entry, kind);
+    wb_decayed_rate_add(&traffic->demand, cost, DEMAND_TIME_S, now_ms);
+    traffic->asked += cost;
+    traffic->requests += 1;
+    verdict.share = entry->share < 1 ? traffic->share : 1;
     if (!gate->reached) {
-        if (entry->own_begins) {
-            own_begin(entry, tenant, nodes, usual_per_s, cost, now_ms);
+        if (entry->local_unset) {
+            local_start(entry, tenant, nodes, demand_before_per_s, cost, now_ms);
         }
-        ask_alone(entry, cost, now_ms, &verdict);
+        admit_locally(entry, cost, now_ms, &verdict);
     } else if (entry->share < 1) {
-        ask_short(kind, cost, now_ms, &verdict);
+        admit_throttled(traffic, cost, now_ms, &verdict);
     }
     if (verdict.admitted) {
-        kind->admitted += cost;
+        traffic->admitted += cost;
     }
     return verdict;
 }
@@ -176,20 +175,20 @@
                           double cost) {
     wb_gate_entry_t *entry = g_hash_table_lookup(gate->entries, tenant);
     if (entry != NULL) {
-        kind_get(entry, kind)->admitted += cost;
-        entry->own.level -= cost;
+        class_get(entry, kind)->admitted += cost;
+        entry->local_bucket.level -= cost;
     }
 }
 
-static void uses_drop(wb_gate_entry_t *entry) {
+static void usage_reset(wb_gate_entry_t *entry) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, entry->kinds);
+    g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_kind_t *kind = value;
-        kind->asked = 0;
-        kind->requests = 0;
-        kind->admitted = 0;
+        wb_gate_class_t *traffic = value;
+        traffic->asked = 0;
+        traffic->requests = 0;
+        traffic->admitted = 0;
     }
 }
 
@@ -203,28 +202,29 @@
     g_hash_table_iter_init(&iter, gate->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gate_entry_t *entry = value;
-        entry->own_begins = TRUE;
+        entry->local_unset = TRUE;
         if (reached) {
-            uses_drop(entry); /* the book has assumed what was spent meanwhile */
+            usage_reset(entry); /* the ledger has already deducted an assumed usage for this time */
         }
     }
 }
 
-/* A tenant is short, or still is: kinds that the list doesn't name get the share of all. */
-static void share_take(wb_gate_entry_t *entry, double share) {
-    gboolean begins = entry->share_before >= 1;
+/* Sets the share of a throttled tenant for all its classes; shares of single classes follow it in
+ * the list. */
+static void share_set(wb_gate_entry_t *entry, double share) {
+    gboolean starts = entry->previous_share >= 1;
     GHashTableIter iter;
     gpointer value;
     entry->share = CLAMP(share, 0, 1);
-    g_hash_table_iter_init(&iter, entry->kinds);
+    g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_kind_t *kind = value;
-        kind->share = entry->share;
-        kind->credit_begins |= begins;
+        wb_gate_class_t *traffic = value;
+        traffic->share = entry->share;
+        traffic->credit_unset |= starts;
     }
 }
 
-void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *told, size_t count,
+void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *shares, size_t count,
                         int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
@@ -232,55 +232,55 @@
     g_hash_table_iter_init(&iter, gate->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gate_entry_t *entry = value;
-        entry->share_before = entry->share;
+        entry->previous_share = entry->share;
         entry->share = 1;
     }
     for (size_t i = 0; i < count; i++) {
-        wb_gate_entry_t *entry = entry_get(gate, told[i].tenant);
+        wb_gate_entry_t *entry = entry_get(gate, shares[i].tenant);
         entry->used_ms = now_ms;
-        if (told[i].kind == WB_QUOTA_OTHER_KINDS) {
-            share_take(entry, told[i].share);
+        if (shares[i].kind == WB_QUOTA_OTHER_KINDS) {
+            share_set(entry, shares[i].share);
         } else {
-            kind_get(entry, told[i].kind)->share = CLAMP(told[i].share, 0, 1);
+            class_get(entry, shares[i].kind)->share = CLAMP(shares[i].share, 0, 1);
         }
     }
 }
 
-static void uses_append(GArray *uses, wb_gate_entry_t *entry) {
+static void usage_append(GArray *usage, wb_gate_entry_t *entry) {
     GHashTableIter iter;
     gpointer key;
     gpointer value;
-    g_hash_table_iter_init(&iter, entry->kinds);
+    g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const wb_gate_kind_t *kind = value;
-        if (kind->asked == 0 && kind->admitted == 0) {
+        const wb_gate_class_t *traffic = value;
+        if (traffic->asked == 0 && traffic->admitted == 0) {
             continue;
         }
-        wb_quota_use_t use = {entry->tenant, GPOINTER_TO_UINT(key), kind->asked, kind->requests,
-                              kind->admitted};
-        g_array_append_val(uses, use);
+        wb_quota_use_t class_usage = {entry->tenant, GPOINTER_TO_UINT(key), traffic->asked,
+                                      traffic->requests, traffic->admitted};
+        g_array_append_val(usage, class_usage);
     }
-    uses_drop(entry);
+    usage_reset(entry);
 }
 
 GArray *wb_quota_gate_take_uses(wb_quota_gate_t *gate) {
-    GArray *uses = g_array_new(FALSE, FALSE, sizeof(wb_quota_use_t));
+    GArray *usage = g_array_new(FALSE, FALSE, sizeof(wb_quota_use_t));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, gate->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        uses_append(uses, value);
+        usage_append(usage, value);
     }
-    return uses;
+    return usage;
 }
 
-static gboolean has_uses(const wb_gate_entry_t *entry) {
+static gboolean has_usage(const wb_gate_entry_t *entry) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, entry->kinds);
+    g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const wb_gate_kind_t *kind = value;
-        if (kind->asked != 0 || kind->admitted != 0) {
+        const wb_gate_class_t *traffic = value;
+        if (traffic->asked != 0 || traffic->admitted != 0) {
             return TRUE;
         }
     }
@@ -293,7 +293,7 @@
     g_hash_table_iter_init(&iter, gate->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_gate_entry_t *entry = value;
-        if (now_ms - entry->used_ms > ENTRY_LIFE_MS && !has_uses(entry)) {
+        if (now_ms - entry->used_ms > ENTRY_EXPIRY_MS && !has_usage(entry)) {
             g_hash_table_iter_remove(&iter);
         }
     }
--- a/src/quota/quota_gate.h
+++ b/src/quota/quota_gate.h
@@ -1,19 +1,21 @@
 /**
  * @file quota_gate.h
- * @brief Admits a gateway's requests within their tenants' limits, which hold over all nodes.
+ * @brief Admits a gateway's requests within their tenants' limits, which apply to all nodes
+ * together.
  *
- * Three states, by what the node that keeps the book (quota_book.h) has told:
- * - the tenant isn't short: all its requests are admitted, and reported;
- * - it is short: the told share of its requests of each kind (quota_order.h) is admitted, by their
- *   cost, one after the other;
- * - the book can't be reached: the tenant has a bucket here that fills at what it asked for here
- *   lately and somewhat more, or at a small part of an equal share of its limit if that is more; a
- * tenant that was short keeps to its share of what it asked for.
+ * A tenant is in one of three states, depending on the node that keeps the ledger (quota_ledger.h):
+ * - not throttled: all requests are admitted and reported;
+ * - throttled: of each traffic class (quota_order.h) the share received from the ledger is
+ *   admitted, by the cost of its requests in the order of their arrival;
+ * - the ledger is unreachable: the tenant has a local token bucket, filled at somewhat more than
+ *   its recent demand here, or at a small part of an equal share of its limit if that is more. A
+ *   throttled tenant keeps to its share of its recent demand.
  *
- * Costs are large beside what one node may spend in a second, so a request is admitted while its
- * bucket isn't empty, and what it costs beyond that is owed.
+ * A single request may cost more than a node's budget for a second, so a request is admitted while
+ * the bucket isn't empty, and costs beyond its level are a debt.
  *
- * Pure: the time is passed in.
+ * Costs are in units (wb_tenant_cost), times monotonic and in milliseconds. Pure: the time is
+ * passed in. No errors.
  */
 #ifndef WICKBRIDGE_QUOTA_GATE_H
 #define WICKBRIDGE_QUOTA_GATE_H
@@ -26,39 +28,40 @@
 
 typedef struct wb_quota_verdict_t {
     gboolean admitted;
-    int64_t retry_ms; /**< when it is not: time after which a request of its cost is, if no more is
-                       * asked for here than lately */
-    double share;     /**< the share that is in force for the tenant; 1: it isn't short */
-    gboolean reached; /**< whether the book could be reached */
-    int64_t told_ms;  /**< steady time at which the share was told; 0: never */
+    int64_t retry_ms; /**< if refused: time after which a request of this cost would be admitted at
+                       * the recent demand */
+    double share;     /**< share in force for the request's traffic class; 1: not throttled */
+    gboolean reached; /**< the ledger is reachable */
+    int64_t told_ms;  /**< when the shares were received; 0: never */
 } wb_quota_verdict_t;
 
 wb_quota_gate_t *wb_quota_gate_create(void);
 void wb_quota_gate_free(wb_quota_gate_t *gate);
 
 /**
- * Ask to admit a request.
- * @param kind  as wb_quota_kind has it; WB_QUOTA_OTHER_KINDS when kinds don't count
- * @param cost  as wb_tenant_cost has it
- * @param nodes nodes that share the limit; 0: not known yet
+ * Decide whether to admit a request, and count it.
+ * @param kind  traffic class by wb_quota_kind; WB_QUOTA_OTHER_KINDS when classes aren't used
+ * @param cost  by wb_tenant_cost
+ * @param nodes number of nodes that share the limit; 0: unknown yet
  */
 wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *gate, const wb_tenant_t *tenant,
                                      wb_quota_kind_t kind, double cost, unsigned nodes,
                                      int64_t now_ms);
 /**
- * An admitted request has run more often than once, or not at all.
- * @param cost what it costs more than was admitted; negative: it is given back
+ * Correct the cost of an admitted request that ran more than once, or not at all.
+ * @param cost units beyond those admitted; negative: units given back
  */
 void wb_quota_gate_adjust(wb_quota_gate_t *gate, const char *tenant, wb_quota_kind_t kind,
                           double cost);
-/** The book can, or can't, be reached from now on. */
+/** Set whether the ledger is reachable. */
 void wb_quota_gate_set_reached(wb_quota_gate_t *gate, gboolean reached);
-/** The book has told all tenants that are short; the others aren't. */
-void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *told, size_t count,
+/** Set the shares of all throttled tenants; a tenant that isn't listed isn't throttled. */
+void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *shares, size_t count,
                         int64_t now_ms);
-/** @return wb_quota_use_t of what was spent since the last call; to be unreffed */
+/** @return wb_quota_use_t of the usage since the last call; to be freed with g_array_unref, the
+ * tenants' names belong to the gate */
 GArray *wb_quota_gate_take_uses(wb_quota_gate_t *gate);
-/** Forget tenants that asked for nothing for long. */
+/** Drop tenants without recent requests. */
 void wb_quota_gate_sweep(wb_quota_gate_t *gate, int64_t now_ms);
 
 #endif
--- a/src/quota/quota_order.h
+++ b/src/quota/quota_order.h
@@ -1,18 +1,17 @@
 /**
  * @file quota_order.h
- * @brief Which of a tenant's requests go first while it is short of its limit.
+ * @brief Allocates a throttled tenant's limit to its traffic classes.
  *
- * Its requests are of kinds: those of one service and one rank. What its callers need most is what
- * is cheap: at 7.5 times its usual, a tenant of the users' sheet can be given all its payouts,
- * look-ups and chats for a sixth of what it asks for in tokens, and a sixth of its drafts and
- * audits besides; by chance each kind got a quarter. So cheap kinds go before dear ones, kinds of a
- * like cost share alike, no kind goes before a more urgent one of its service, and each keeps a
- * part of what chance would give it, so that none starves.
+ * A traffic class is a service and a priority. Classes with a low mean cost come first, as their
+ * requests can mostly be served in full for a small part of the limit. Classes of similar cost
+ * share alike, no class comes before a more urgent one of its service, and each class keeps part of
+ * its proportional share, so that none starves.
  *
- * Kinds are judged by their mean cost, never single requests: a long prompt is as good as a short
- * one of its kind.
+ * Single requests are not ranked by their cost: within a class a long prompt is treated like a
+ * short one.
  *
- * Pure: the same claims give the same shares at any node.
+ * Rates are in units a second (see wb_tenant_cost). Pure: the same claims give the same shares on
+ * every node. No errors.
  */
 #ifndef WICKBRIDGE_QUOTA_ORDER_H
 #define WICKBRIDGE_QUOTA_ORDER_H
@@ -20,24 +19,28 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** A kind of request: a service and a rank in it, in one figure. */
+/** Traffic class: a hash of the service and a priority. */
 typedef uint32_t wb_quota_kind_t;
 
-/** All kinds that aren't named. */
+/** Stands for all classes that aren't listed. */
 #define WB_QUOTA_OTHER_KINDS 0
 
-/** What is asked of a kind. */
+/** Demand of a traffic class. */
 typedef struct wb_quota_claim_t {
     wb_quota_kind_t kind;
-    double asked_per_s; /**< units */
-    double cost;        /**< of a request, on average */
-    double share;       /**< out: of what is asked that may be admitted, 0 to 1 */
+    double asked_per_s; /**< units a second requested */
+    double cost;        /**< mean units of a request */
+    double share;       /**< out: share of the requested units to admit, 0 to 1 */
 } wb_quota_claim_t;
 
-/** @param rank 0 is the most urgent; beyond 254 they count as one */
-wb_quota_kind_t wb_quota_kind(const char *service, int rank);
+/** @param priority 0 is the most urgent; 254 and above form one class */
+wb_quota_kind_t wb_quota_kind(const char *service, int priority);
 
-/** Share what a limit bears among kinds. The shares of what is asked add up to it, or are all 1. */
-void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double bearable_per_s);
+/**
+ * Set the share of each claim.
+ * @param available_per_s units a second to allocate. The allocated units add up to it, or all
+ * shares are 1
+ */
+void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double available_per_s);
 
 #endif
--- a/src/quota/quota_share.h
+++ b/src/quota/quota_share.h
@@ -1,38 +1,39 @@
 /**
  * @file quota_share.h
- * @brief What the node that keeps the book tells gateways of a tenant that is short of its limit.
+ * @brief What gateways and the node that keeps the quota ledger send each other: shares of
+ * throttled tenants, and usage.
+ *
+ * Units are those of wb_tenant_cost.
  */
 #ifndef WICKBRIDGE_QUOTA_SHARE_H
 #define WICKBRIDGE_QUOTA_SHARE_H
 
 #include "quota/quota_order.h"
 
-/** While the book can't be reached, a tenant that wasn't short may ask at a node for so many times
- * what it asked for there lately: limits are further above what is usual (1.8 times on the users'
- * sheets), and single requests are large beside what one node sees. */
+/** While the ledger is unreachable, a node admits an unthrottled tenant up to this multiple of its
+ * recent demand there. */
 #define WB_QUOTA_UNREACHED_TIMES 1.5
-/** Or this part of an equal share of its limit, if that is more. All nodes may be alone at once,
- * for as long as a holder is cut off from them that the store still serves: together they then
- * spend 1.5 / 1.8 of a limit and this part of it, 0.98. With a half, 1.33: 9 s of a surge came
- * to 1.09 of the users' rule in its window. */
+/** Or up to this share of an equal share of the tenant's limit, if that is more. All nodes may be
+ * disconnected at once, and their allowances together must not exceed the limit. */
 #define WB_QUOTA_UNREACHED_PART 0.15
-/** Meanwhile its bucket at a node holds what it gets there in so long. */
+/** Depth of the tenant's local token bucket meanwhile, in seconds of its local rate. */
 #define WB_QUOTA_UNREACHED_DEPTH_S 1.0
 
-/** A tenant that is short has one for all kinds that aren't named, and one a kind that is. */
+/** Share of a throttled tenant's requests to admit. A throttled tenant has one for
+ * WB_QUOTA_OTHER_KINDS, and one for each traffic class with a share of its own. */
 typedef struct wb_quota_share_t {
     const char *tenant; /**< borrowed */
     wb_quota_kind_t kind;
-    double share; /**< of what is asked that may be admitted, 0 to 1 */
+    double share; /**< of the units requested, 0 to 1 */
 } wb_quota_share_t;
 
-/** What a tenant's requests of a kind spent at a gateway since its last report. */
+/** Usage of a tenant's traffic class at a gateway since its last report. */
 typedef struct wb_quota_use_t {
     const char *tenant; /**< borrowed */
     wb_quota_kind_t kind;
-    double asked;
-    double requests; /**< that asked for it */
-    double admitted; /**< negative when more was given back than admitted */
+    double asked;    /**< units requested */
+    double requests; /**< requests that asked for them */
+    double admitted; /**< units admitted; negative when more was given back than admitted */
 } wb_quota_use_t;
 
 #endif
--- a/src/quota/token_bucket.h
+++ b/src/quota/token_bucket.h
@@ -1,6 +1,9 @@
 /**
  * @file token_bucket.h
- * @brief A token bucket, and a rate that forgets what is long ago. Pure: the time is passed in.
+ * @brief A token bucket, and an exponentially decaying rate.
+ *
+ * Times are monotonic and in milliseconds, rates in units a second; the caller defines the unit.
+ * Pure: the time is passed in. No errors.
  */
 #ifndef WICKBRIDGE_TOKEN_BUCKET_H
 #define WICKBRIDGE_TOKEN_BUCKET_H
@@ -8,15 +11,15 @@
 #include <stdint.h>
 
 typedef struct wb_token_bucket_t {
-    double level; /**< may be negative: what was taken beyond it is owed */
+    double level; /**< may be negative: a debt that later tokens pay off first */
     int64_t at_ms;
 } wb_token_bucket_t;
 
-/** Fill it by what has come since the last call, up to `depth`. @return its level */
+/** Add the tokens accrued since the last call, up to `depth`. @return the level */
 double wb_token_bucket_fill(wb_token_bucket_t *bucket, double rate_per_s, double depth,
                             int64_t now_ms);
 
-/** A rate over about `time_s`: what is older counts less and less. */
+/** A moving average with exponential decay; all calls for one rate pass the same time constant. */
 typedef struct wb_decayed_rate_t {
     double per_s;
     int64_t at_ms;
