--- a/src/dispatch/admission.h
+++ b/src/dispatch/admission.h
@@ -12,7 +12,7 @@
  * the load would oscillate. Requests of the highest priority are refused later than others.
  *
  * Times are in milliseconds. Pure functions without errors. Requests that wait for a model
- * (exchange_wait.c) and limits of tenants (quota_gate.h) are handled elsewhere.
+ * (exchange_wait.c) and limits of tenants (quota_limiter.h) are handled elsewhere.
  */
 #ifndef WICKBRIDGE_ADMISSION_H
 #define WICKBRIDGE_ADMISSION_H
--- a/src/dispatch/engine_limit.c
+++ b/src/dispatch/engine_limit.c
@@ -65,8 +65,8 @@
     int64_t next_slot = slot - slot % slots + own_slot;
     next_slot += next_slot < slot ? slots : 0;
     int64_t slot_ms = first_slot_ms + next_slot * PROBE_SLOT_MS;
-    int64_t gate_ms = wb_send_gate_opens_ms(&limit->gate, 1, PROBE_SLOT_MS, 0, now_ms);
-    int64_t next_ms = MAX(slot_ms, gate_ms);
+    int64_t limiter_ms = wb_send_gate_opens_ms(&limit->gate, 1, PROBE_SLOT_MS, 0, now_ms);
+    int64_t next_ms = MAX(slot_ms, limiter_ms);
     return next_ms < slot_ms + PROBE_SLOT_MS ? next_ms : slot_ms + slots * PROBE_SLOT_MS;
 }
 
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_gate.c
@@ -4,38 +4,38 @@
 #include <string.h>
 #include <xxhash.h>
 
-int64_t wb_send_gate_opens_ms(const wb_send_gate_t *gate, unsigned share, int64_t window_ms,
+int64_t wb_send_gate_opens_ms(const wb_send_gate_t *limiter, unsigned share, int64_t window_ms,
                               unsigned ahead, int64_t now_ms) {
     if (share == 0) {
         return G_MAXINT64;
     }
-    int64_t sent = gate->sent_ms != NULL ? gate->sent_ms->len : 0;
+    int64_t sent = limiter->sent_ms != NULL ? limiter->sent_ms->len : 0;
     /* A request may be sent one window after the one `share` places before it. Applied repeatedly,
      * this leads to a request already sent, at index `earlier`; a negative index means none. */
     int64_t earlier = sent + ahead % share - share;
     int64_t next_ms = now_ms;
     if (earlier >= 0) {
-        next_ms = MAX(now_ms, g_array_index(gate->sent_ms, int64_t, earlier) + window_ms);
+        next_ms = MAX(now_ms, g_array_index(limiter->sent_ms, int64_t, earlier) + window_ms);
     }
     return next_ms + (int64_t)(ahead / share) * window_ms;
 }
 
-void wb_send_gate_note(wb_send_gate_t *gate, int64_t window_ms, int64_t now_ms) {
-    if (gate->sent_ms == NULL) {
-        gate->sent_ms = g_array_new(FALSE, FALSE, sizeof(int64_t));
+void wb_send_gate_note(wb_send_gate_t *limiter, int64_t window_ms, int64_t now_ms) {
+    if (limiter->sent_ms == NULL) {
+        limiter->sent_ms = g_array_new(FALSE, FALSE, sizeof(int64_t));
     }
-    while (gate->sent_ms->len > 0 &&
-           g_array_index(gate->sent_ms, int64_t, 0) + window_ms <= now_ms) {
-        g_array_remove_index(gate->sent_ms, 0);
+    while (limiter->sent_ms->len > 0 &&
+           g_array_index(limiter->sent_ms, int64_t, 0) + window_ms <= now_ms) {
+        g_array_remove_index(limiter->sent_ms, 0);
     }
-    g_array_append_val(gate->sent_ms, now_ms);
+    g_array_append_val(limiter->sent_ms, now_ms);
 }
 
-void wb_send_gate_clear(wb_send_gate_t *gate) {
-    if (gate->sent_ms != NULL) {
-        g_array_unref(gate->sent_ms);
+void wb_send_gate_clear(wb_send_gate_t *limiter) {
+    if (limiter->sent_ms != NULL) {
+        g_array_unref(limiter->sent_ms);
     }
-    gate->sent_ms = NULL;
+    limiter->sent_ms = NULL;
 }
 
 unsigned wb_dealt_share(unsigned units, unsigned nodes, unsigned rank) {
--- a/src/poison/poison_book.c
+++ b/src/poison/poison_book.c
@@ -1,11 +1,11 @@
-/* Which requests crash the engines that run them. */
+/* Registry of requests that crash engines. */
 #include "poison/poison_book.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Pauses don't grow further: 4^8 minutes are 45 days. */
-#define TRIALS_COUNTED 8
+/* Trials up to which the delay between trials grows: 4^8 minutes are 45 days. */
+#define TRIALS_MAX 8
 
 struct wb_poison_book_t {
     wb_poison_options_t options;
@@ -15,29 +15,29 @@
 };
 
 wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options) {
-    wb_poison_book_t *book = g_new0(wb_poison_book_t, 1);
-    book->options.kept_ms = options->kept_ms > 0 ? options->kept_ms : WB_POISON_KEPT_MS;
-    book->options.trial_ms = options->trial_ms > 0 ? options->trial_ms : WB_POISON_TRIAL_MS;
-    wb_list_init(&book->entries);
-    book->version = 1;
-    return book;
+    wb_poison_book_t *registry = g_new0(wb_poison_book_t, 1);
+    registry->options.kept_ms = options->kept_ms > 0 ? options->kept_ms : WB_POISON_KEPT_MS;
+    registry->options.trial_ms = options->trial_ms > 0 ? options->trial_ms : WB_POISON_TRIAL_MS;
+    wb_list_init(&registry->entries);
+    registry->version = 1;
+    return registry;
 }
 
 static wb_poison_entry_t *entry_of(const wb_list_item_t *item) {
     return WB_LIST_OF(item, wb_poison_entry_t, item);
 }
 
-static void entry_remove(wb_poison_book_t *book, wb_poison_entry_t *entry) {
-    wb_list_remove(&book->entries, &entry->item);
+static void entry_remove(wb_poison_book_t *registry, wb_poison_entry_t *entry) {
+    wb_list_remove(&registry->entries, &entry->item);
     g_free(entry);
 }
 
-void wb_poison_book_free(wb_poison_book_t *book) {
+void wb_poison_book_free(wb_poison_book_t *registry) {
     wb_list_item_t *item;
-    while ((item = wb_list_pop(&book->entries)) != NULL) {
+    while ((item = wb_list_pop(&registry->entries)) != NULL) {
         g_free(entry_of(item));
     }
-    g_free(book);
+    g_free(registry);
 }
 
 uint64_t wb_poison_engine_hash(const char *engine_id) {
@@ -52,13 +52,13 @@
     return count;
 }
 
-static void entry_changed(wb_poison_book_t *book, wb_poison_entry_t *entry) {
-    entry->changed = ++book->version;
+static void entry_mark_changed(wb_poison_book_t *registry, wb_poison_entry_t *entry) {
+    entry->changed = ++registry->version;
 }
 
-static wb_poison_entry_t *entry_find(const wb_poison_book_t *book,
+static wb_poison_entry_t *entry_find(const wb_poison_book_t *registry,
                                      const wb_request_digest_t *digest) {
-    WB_LIST_EACH(item, &book->entries) {
+    WB_LIST_EACH(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
         if (wb_request_digest_equal(&entry->digest, digest)) {
             return entry;
@@ -67,43 +67,44 @@
     return NULL;
 }
 
-/* Returns the entry that can best be done without: few engines, and long ago. */
-static wb_poison_entry_t *entry_least(const wb_poison_book_t *book) {
-    wb_poison_entry_t *least = NULL;
-    WB_LIST_EACH(item, &book->entries) {
+/* Returns the entry to evict: the one with the fewest engines, of those the first to expire. */
+static wb_poison_entry_t *entry_evictable(const wb_poison_book_t *registry) {
+    wb_poison_entry_t *evictable = NULL;
+    WB_LIST_EACH(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
         guint engines = wb_poison_entry_engines(entry);
-        guint fewest = least != NULL ? wb_poison_entry_engines(least) : G_MAXUINT;
-        if (engines < fewest || (engines == fewest && entry->until_ms < least->until_ms)) {
-            least = entry;
+        guint min_engines = evictable != NULL ? wb_poison_entry_engines(evictable) : G_MAXUINT;
+        if (engines < min_engines ||
+            (engines == min_engines && entry->until_ms < evictable->until_ms)) {
+            evictable = entry;
         }
     }
-    return least;
+    return evictable;
 }
 
-static wb_poison_entry_t *entry_add(wb_poison_book_t *book, const wb_request_digest_t *digest,
+static wb_poison_entry_t *entry_add(wb_poison_book_t *registry, const wb_request_digest_t *digest,
                                     uint32_t body_bytes) {
-    if (book->entries.len >= WB_POISON_ENTRIES) {
-        entry_remove(book, entry_least(book));
+    if (registry->entries.len >= WB_POISON_ENTRIES) {
+        entry_remove(registry, entry_evictable(registry));
     }
     wb_poison_entry_t *entry = g_new0(wb_poison_entry_t, 1);
     entry->digest = *digest;
     entry->body_bytes = body_bytes;
-    wb_list_add_head(&book->entries, &entry->item);
+    wb_list_add_head(&registry->entries, &entry->item);
     return entry;
 }
 
-/* Returns the engine's place, or engine_count when it isn't known. */
-static guint engine_place(const wb_poison_entry_t *entry, uint64_t engine) {
-    guint place = 0;
-    while (place < entry->engine_count && entry->engines[place] != engine) {
-        place++;
+/* Returns the engine's index, or engine_count when it isn't found. */
+static guint engine_index(const wb_poison_entry_t *entry, uint64_t engine) {
+    guint index = 0;
+    while (index < entry->engine_count && entry->engines[index] != engine) {
+        index++;
     }
-    return place;
+    return index;
 }
 
-/* Makes room for one more engine; of a full entry a forgiven one goes. Returns FALSE when there is
- * none. */
+/* Makes room for one more engine; in a full entry a cleared one is removed. Returns FALSE when
+ * there is none. */
 static gboolean engine_make_room(wb_poison_entry_t *entry) {
     if (entry->engine_count < WB_POISON_ENGINES_KEPT) {
         return TRUE;
@@ -121,67 +122,67 @@
     return FALSE;
 }
 
-/* Returns TRUE when the engine wasn't known. */
+/* Returns TRUE when the engine is new, or newly cleared. */
 static gboolean engine_add(wb_poison_entry_t *entry, uint64_t engine, gboolean forgiven) {
-    guint place = engine_place(entry, engine);
-    if (place < entry->engine_count) {
-        gboolean news = forgiven && (entry->forgiven & (1U << place)) == 0;
-        entry->forgiven |= forgiven ? 1U << place : 0;
-        return news;
+    guint index = engine_index(entry, engine);
+    if (index < entry->engine_count) {
+        gboolean changed = forgiven && (entry->forgiven & (1U << index)) == 0;
+        entry->forgiven |= forgiven ? 1U << index : 0;
+        return changed;
     }
-    /* A forgiven engine isn't worth another's place. */
+    /* A cleared engine doesn't replace another one. */
     if ((forgiven && entry->engine_count == WB_POISON_ENGINES_KEPT) || !engine_make_room(entry)) {
         return FALSE;
     }
-    place = entry->engine_count++;
-    entry->engines[place] = engine;
-    entry->forgiven |= forgiven ? 1U << place : 0;
+    index = entry->engine_count++;
+    entry->engines[index] = engine;
+    entry->forgiven |= forgiven ? 1U << index : 0;
     return TRUE;
 }
 
-gboolean wb_poison_book_note(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_book_note(wb_poison_book_t *registry, const wb_request_digest_t *digest,
                              uint32_t body_bytes, uint64_t engine, int64_t now_ms) {
-    wb_poison_entry_t *entry = entry_find(book, digest);
+    wb_poison_entry_t *entry = entry_find(registry, digest);
     if (entry == NULL) {
-        entry = entry_add(book, digest, body_bytes);
+        entry = entry_add(registry, digest, body_bytes);
     }
     if (!engine_add(entry, engine, FALSE)) {
         return FALSE;
     }
-    entry->until_ms = now_ms + book->options.kept_ms;
-    entry_changed(book, entry);
+    entry->until_ms = now_ms + registry->options.kept_ms;
+    entry_mark_changed(registry, entry);
     return TRUE;
 }
 
-gboolean wb_poison_book_forgive(wb_poison_book_t *book, const wb_request_digest_t *digest) {
-    wb_poison_entry_t *entry = entry_find(book, digest);
+gboolean wb_poison_book_forgive(wb_poison_book_t *registry, const wb_request_digest_t *digest) {
+    wb_poison_entry_t *entry = entry_find(registry, digest);
     if (entry == NULL || wb_poison_entry_engines(entry) == 0) {
         return FALSE;
     }
     entry->forgiven = (1U << entry->engine_count) - 1;
-    entry_changed(book, entry);
+    entry_mark_changed(registry, entry);
     return TRUE;
 }
 
-gboolean wb_poison_book_merge(wb_poison_book_t *book, const wb_poison_entry_t *told) {
-    wb_poison_entry_t *entry = entry_find(book, &told->digest);
+gboolean wb_poison_book_merge(wb_poison_book_t *registry, const wb_poison_entry_t *received) {
+    wb_poison_entry_t *entry = entry_find(registry, &received->digest);
     if (entry == NULL) {
-        entry = entry_add(book, &told->digest, told->body_bytes);
+        entry = entry_add(registry, &received->digest, received->body_bytes);
     }
-    gboolean news = FALSE;
-    for (guint i = 0; i < MIN(told->engine_count, WB_POISON_ENGINES_KEPT); i++) {
-        gboolean forgiven = (told->forgiven & (1U << i)) != 0;
-        news = engine_add(entry, told->engines[i], forgiven) || news;
+    gboolean changed = FALSE;
+    for (guint i = 0; i < MIN(received->engine_count, WB_POISON_ENGINES_KEPT); i++) {
+        gboolean forgiven = (received->forgiven & (1U << i)) != 0;
+        changed = engine_add(entry, received->engines[i], forgiven) || changed;
     }
-    entry->until_ms = MAX(entry->until_ms, told->until_ms);
-    if (news) {
-        entry_changed(book, entry);
+    entry->until_ms = MAX(entry->until_ms, received->until_ms);
+    if (changed) {
+        entry_mark_changed(registry, entry);
     }
-    return news;
+    return changed;
 }
 
-gboolean wb_poison_book_has_length(const wb_poison_book_t *book, uint32_t body_bytes) {
-    WB_LIST_EACH(item, &book->entries) {
+gboolean wb_poison_book_has_length(const wb_poison_book_t *registry, uint32_t body_bytes) {
+    WB_LIST_EACH(item, &registry->entries) {
         if (entry_of(item)->body_bytes == body_bytes) {
             return TRUE;
         }
@@ -189,9 +190,9 @@
     return FALSE;
 }
 
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *book,
+const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *registry,
                                              const wb_request_digest_t *digest) {
-    return entry_find(book, digest);
+    return entry_find(registry, digest);
 }
 
 wb_poison_state_t wb_poison_entry_state(const wb_poison_entry_t *entry) {
@@ -202,87 +203,88 @@
     return engines >= WB_POISON_ENGINES ? WB_POISON_REFUSED : WB_POISON_SUSPECT;
 }
 
-unsigned wb_poison_book_count(const wb_poison_book_t *book, wb_poison_state_t state) {
+unsigned wb_poison_book_count(const wb_poison_book_t *registry, wb_poison_state_t state) {
     unsigned count = 0;
-    WB_LIST_EACH(item, &book->entries) {
+    WB_LIST_EACH(item, &registry->entries) {
         count += wb_poison_entry_state(entry_of(item)) == state;
     }
     return count;
 }
 
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *book) {
-    return &book->entries;
+const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *registry) {
+    return &registry->entries;
 }
 
-uint64_t wb_poison_book_version(const wb_poison_book_t *book) {
-    return book->version;
+uint64_t wb_poison_book_version(const wb_poison_book_t *registry) {
+    return registry->version;
 }
 
-/* Returns engines that are held against both requests. */
-static guint engines_shared(const wb_poison_entry_t *left, const wb_poison_entry_t *right) {
-    guint shared = 0;
+/* Returns the number of engines that crashed under both requests and aren't cleared. */
+static guint common_engines(const wb_poison_entry_t *left, const wb_poison_entry_t *right) {
+    guint common = 0;
     for (guint i = 0; i < left->engine_count; i++) {
-        guint place = engine_place(right, left->engines[i]);
-        gboolean both = place < right->engine_count && (left->forgiven & (1U << i)) == 0 &&
-                        (right->forgiven & (1U << place)) == 0;
-        shared += both;
+        guint index = engine_index(right, left->engines[i]);
+        gboolean both = index < right->engine_count && (left->forgiven & (1U << i)) == 0 &&
+                        (right->forgiven & (1U << index)) == 0;
+        common += both;
     }
-    return shared;
+    return common;
 }
 
-/* Returns TRUE when another refused request may explain why engines ended under this one. */
-static gboolean entry_is_tied(const wb_poison_book_t *book, const wb_poison_entry_t *entry) {
-    WB_LIST_EACH(item, &book->entries) {
+/* Returns TRUE when another refused request may have caused this one's crashes. */
+static gboolean entry_overlaps(const wb_poison_book_t *registry, const wb_poison_entry_t *entry) {
+    WB_LIST_EACH(item, &registry->entries) {
         const wb_poison_entry_t *other = entry_of(item);
         if (other != entry && wb_poison_entry_state(other) == WB_POISON_REFUSED &&
-            engines_shared(entry, other) + 1 >= WB_POISON_ENGINES) {
+            common_engines(entry, other) + 1 >= WB_POISON_ENGINES) {
             return TRUE;
         }
     }
     return FALSE;
 }
 
-/* Returns the steady time from which the request may be tried. */
-static int64_t trial_due_ms(const wb_poison_book_t *book, const wb_poison_entry_t *entry) {
-    int64_t pause_ms = book->options.trial_ms;
+/* Returns the time from which the request may be run as a trial. */
+static int64_t trial_next_ms(const wb_poison_book_t *registry, const wb_poison_entry_t *entry) {
+    int64_t delay_ms = registry->options.trial_ms;
     if (entry->trials == 0) {
-        gboolean soon = pause_ms > WB_POISON_TIED_TRIAL_MS && entry_is_tied(book, entry);
-        /* Neither lies before the last crash; what other nodes told late makes that look newer. */
-        int64_t crashed_ms = entry->until_ms - book->options.kept_ms;
-        return MIN(crashed_ms, entry->asked_ms) + (soon ? WB_POISON_TIED_TRIAL_MS : pause_ms);
+        gboolean overlaps = delay_ms > WB_POISON_TIED_TRIAL_MS && entry_overlaps(registry, entry);
+        /* Neither time lies before the last crash. Late reports of other nodes make the crash look
+         * more recent than it was, so the earlier of the two is used. */
+        int64_t crashed_ms = entry->until_ms - registry->options.kept_ms;
+        return MIN(crashed_ms, entry->asked_ms) + (overlaps ? WB_POISON_TIED_TRIAL_MS : delay_ms);
     }
     for (guint i = 0; i < entry->trials; i++) {
-        pause_ms *= WB_POISON_TRIAL_TIMES;
+        delay_ms *= WB_POISON_TRIAL_TIMES;
     }
-    return entry->tried_ms + pause_ms;
+    return entry->tried_ms + delay_ms;
 }
 
-gboolean wb_poison_book_take_trial(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_book_take_trial(wb_poison_book_t *registry, const wb_request_digest_t *digest,
                                    int64_t now_ms) {
-    wb_poison_entry_t *entry = entry_find(book, digest);
+    wb_poison_entry_t *entry = entry_find(registry, digest);
     if (wb_poison_entry_state(entry) != WB_POISON_REFUSED) {
         return FALSE;
     }
     if (entry->asked_ms == 0) {
         entry->asked_ms = now_ms;
     }
-    if (now_ms < trial_due_ms(book, entry) || now_ms < book->next_trial_ms) {
+    if (now_ms < trial_next_ms(registry, entry) || now_ms < registry->next_trial_ms) {
         return FALSE;
     }
     entry->tried_ms = now_ms;
-    entry->trials = MIN(entry->trials + 1, TRIALS_COUNTED);
-    book->next_trial_ms = now_ms + WB_POISON_TRIAL_APART_MS;
+    entry->trials = MIN(entry->trials + 1, TRIALS_MAX);
+    registry->next_trial_ms = now_ms + WB_POISON_TRIAL_APART_MS;
     return TRUE;
 }
 
-/* Forgives engines until one more crash would refuse the request again. Which ones doesn't matter,
- * but every node must choose the same: the highest hashes. */
-static void entry_let_through(wb_poison_entry_t *entry, int64_t kept_ms) {
+/* Clears engines until one more crash would refuse the request again. It doesn't matter which, but
+ * every node must choose the same ones: those with the highest hashes. */
+static void entry_demote(wb_poison_entry_t *entry, int64_t kept_ms) {
     while (wb_poison_entry_engines(entry) >= WB_POISON_ENGINES) {
         guint highest = entry->engine_count;
         for (guint i = 0; i < entry->engine_count; i++) {
-            gboolean held = (entry->forgiven & (1U << i)) == 0;
-            if (held &&
+            gboolean uncleared = (entry->forgiven & (1U << i)) == 0;
+            if (uncleared &&
                 (highest == entry->engine_count || entry->engines[i] > entry->engines[highest])) {
                 highest = i;
             }
@@ -292,18 +294,18 @@
     entry->until_ms += kept_ms;
 }
 
-void wb_poison_book_sweep(wb_poison_book_t *book, int64_t now_ms) {
-    WB_LIST_EACH_SAFE(item, &book->entries) {
+void wb_poison_book_sweep(wb_poison_book_t *registry, int64_t now_ms) {
+    WB_LIST_EACH_SAFE(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
         if (now_ms < entry->until_ms) {
             continue;
         }
         if (wb_poison_entry_engines(entry) >= WB_POISON_ENGINES) {
-            entry_let_through(entry, book->options.kept_ms);
-            entry_changed(book, entry);
+            entry_demote(entry, registry->options.kept_ms);
+            entry_mark_changed(registry, entry);
         } else {
-            entry_remove(book, entry);
-            book->version++;
+            entry_remove(registry, entry);
+            registry->version++;
         }
     }
 }
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_book.h
@@ -1,23 +1,26 @@
 /**
  * @file poison_book.h
- * @brief Which requests crash the engines that run them.
+ * @brief Registry of requests that crash the engines that run them.
  *
- * A poison request (elsewhere: query of death) ends each engine that begins to run it, and all that
- * runs there with it. It comes again, at any node, so what one node saw must be known to all, and
- * outlive that node. A book keeps for each request, by its digest, the engines that ended while
- * they had it. Whatever else ran there looks as guilty at first, so a request is refused only once
- * WB_POISON_ENGINES engines have ended under it with no good end of it in between: an engine that
- * answered it whole forgives all that is held against it.
+ * A poison request (also: query of death) crashes each engine that runs it, and with it all other
+ * requests there. Clients send it again, to any node, so what one node observes must reach all and
+ * outlive that node. The registry stores for each request, by its digest, the engines that crashed
+ * while running it. Other requests on those engines look the same at first, so a request is refused
+ * only after WB_POISON_ENGINES different engines have crashed under it. A complete answer in
+ * between clears all recorded crashes.
  *
- * Each node has a book. Books are merged by union: engines of a request are a set, and so are those
- * that were forgiven. So it doesn't matter in which order, how often and by whom nodes are told.
+ * Each node has a registry. Registries merge by union: the crashed engines of a request form a
+ * set, and so do the cleared ones. So it doesn't matter in which order, how often and by which node
+ * updates are sent.
  *
- * Bounds: WB_POISON_ENTRIES requests; the ones with the fewest engines give way, of those the
- * oldest. What is held against a request is forgotten `kept_ms` after its last crash; a
- * refused one is let through then, until one more crash refuses it again. Long before, one node
- * tries it: a bystander that was taken for poison, being refused, could never end well.
+ * Bounds: WB_POISON_ENTRIES requests; the ones with the fewest engines are evicted, of those the
+ * one that expires first. The crashes of a request expire `kept_ms` after the last one; a refused
+ * request is then admitted again until one more crash refuses it again. Long before, one node runs
+ * it as a trial: a refused request that is in fact harmless could otherwise never be cleared by a
+ * complete answer.
  *
- * Pure: the time is passed in. What it doesn't do: finding out which engines ended, and sending.
+ * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors. Crash detection
+ * and messages are handled elsewhere.
  */
 #ifndef WICKBRIDGE_POISON_BOOK_H
 #define WICKBRIDGE_POISON_BOOK_H
@@ -28,96 +31,100 @@
 
 #include <stdint.h>
 
-/** Engines that must have ended under a request before it is refused. With two, a request that two
- * engines' own crashes broke off would be refused; with more, each poison request ends more. */
+/** Crashed engines from which a request is refused. With fewer, two unrelated crashes would refuse
+ * a harmless request; each more costs another engine for each poison request. */
 #define WB_POISON_ENGINES 3
-/** Requests are told to other nodes from so many engines on: with one, each crash of an engine
- * would be told of all that ran there, and only a repeat matters to others. */
+/** Crashed engines from which an entry is sent to other nodes. With one, each crash would send all
+ * requests that ran on the engine, and only a repetition concerns other nodes. */
 #define WB_POISON_TOLD_ENGINES 2
-/** Engines kept of a request; more say nothing new. */
+/** Max engines stored for a request. */
 #define WB_POISON_ENGINES_KEPT 8
-/** Requests in a book: two engines full of bystanders (64 places each) beside those that matter. */
+/** Max requests in a registry: those of two crashed engines with all slots in use. */
 #define WB_POISON_ENTRIES 128
-/** Ten minutes: an engine's crash costs its callers seconds, so one each ten minutes is borne to
- * find out whether the request still crashes engines. */
+/** Default retention of crashes. The crash of an engine each time it ends is the price of finding
+ * out whether a request still crashes engines. */
 #define WB_POISON_KEPT_MS (10 * 60 * 1000)
-/** One node tries a refused request so long after its last crash, after so many times that the next
- * time, and so on. A minute is what a bystander pays for being taken for poison; poison crashes one
- * engine more a minute after it became known, then one in four minutes, in sixteen. */
+/** Default time from the last crash to the first trial of a refused request. Each further trial
+ * waits WB_POISON_TRIAL_TIMES times as long. */
 #define WB_POISON_TRIAL_MS (60 * 1000)
 #define WB_POISON_TRIAL_TIMES 4
-/** Two refused requests that share most of their engines: one is likely a bystander, and may be
- * what many ask for. It is worth an engine to find out soon. */
+/** Shorter time to the first trial of a request that shares most of its engines with another
+ * refused one: one of the two is probably harmless, and possibly a frequent request. */
 #define WB_POISON_TIED_TRIAL_MS (5 * 1000)
-/** Trials are so far apart that the engine of one isn't crashed by the next: a load and a run. */
+/** Min time between trials, so that the next one doesn't crash the engine that still runs the last
+ * one. */
 #define WB_POISON_TRIAL_APART_MS (2 * 1000)
 
-/** A request under which engines ended. */
+/** A request under which engines crashed. */
 typedef struct wb_poison_entry_t {
-    wb_list_item_t item; /**< private: its place in the book */
+    wb_list_item_t item; /**< private: in the registry's list */
     wb_request_digest_t digest;
-    uint32_t body_bytes;                      /**< its body's length, to tell most others by */
-    uint64_t engines[WB_POISON_ENGINES_KEPT]; /**< that ended under it: hashes of their ids */
-    guint engine_count;                       /**< of engines */
-    guint forgiven;                           /**< one bit for each engine */
-    int64_t until_ms;                         /**< steady time until which it is kept */
-    uint64_t changed;                         /**< the book's version of its last change */
-    int64_t asked_ms; /**< private: steady time at which a trial was first asked for; 0: never */
-    int64_t tried_ms; /**< private: of the last trial */
-    guint trials;     /**< private */
+    uint32_t body_bytes; /**< body length: most requests are ruled out by it */
+    uint64_t
+        engines[WB_POISON_ENGINES_KEPT]; /**< that crashed: wb_poison_engine_hash of their ids */
+    guint engine_count;                  /**< of engines */
+    guint forgiven;                      /**< bit i: engines[i] is cleared */
+    int64_t until_ms;                    /**< expiry */
+    uint64_t changed;                    /**< registry version of the last change */
+    int64_t asked_ms;                    /**< private: when a trial was first asked for; 0: never */
+    int64_t tried_ms;                    /**< private: time of the last trial */
+    guint trials;                        /**< private: number of trials, up to a bound */
 } wb_poison_entry_t;
 
-/** What is held against a request. */
+/** State of a request by its uncleared crashes. */
 typedef enum wb_poison_state_t {
     WB_POISON_NONE,
-    WB_POISON_SUSPECT, /**< fewer engines than it takes; it is served */
+    WB_POISON_SUSPECT, /**< fewer than WB_POISON_ENGINES; it is served */
     WB_POISON_REFUSED
 } wb_poison_state_t;
 
 typedef struct wb_poison_book_t wb_poison_book_t;
 
-/** Zero values are the usual ones. */
 typedef struct wb_poison_options_t {
     int64_t kept_ms;  /**< 0: WB_POISON_KEPT_MS */
     int64_t trial_ms; /**< 0: WB_POISON_TRIAL_MS */
 } wb_poison_options_t;
 
 wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options);
-void wb_poison_book_free(wb_poison_book_t *book);
+void wb_poison_book_free(wb_poison_book_t *registry);
 
-/** @return what stands for an engine in books; the same at every node */
+/** @return the identity of an engine in registries; the same on every node */
 uint64_t wb_poison_engine_hash(const char *engine_id);
 
-/** An engine ended while it had a request. @return TRUE when that wasn't known */
-gboolean wb_poison_book_note(wb_poison_book_t *book, const wb_request_digest_t *digest,
+/** Record that an engine crashed while it ran a request. @return TRUE when that is new */
+gboolean wb_poison_book_note(wb_poison_book_t *registry, const wb_request_digest_t *digest,
                              uint32_t body_bytes, uint64_t engine, int64_t now_ms);
-/** An engine ran a request to a good end. @return TRUE when something was held against it */
-gboolean wb_poison_book_forgive(wb_poison_book_t *book, const wb_request_digest_t *digest);
-/** Take what another node knows of a request. @return TRUE when something of it wasn't known */
-gboolean wb_poison_book_merge(wb_poison_book_t *book, const wb_poison_entry_t *entry);
+/** An engine answered a request completely: clear its crashes. @return TRUE when it had any */
+gboolean wb_poison_book_forgive(wb_poison_book_t *registry, const wb_request_digest_t *digest);
+/** Merge another node's entry. @return TRUE when it held anything new */
+gboolean wb_poison_book_merge(wb_poison_book_t *registry, const wb_poison_entry_t *entry);
 
-/** @return TRUE when something is held against a request with a body of this length: only then its
- * digest need be known */
-gboolean wb_poison_book_has_length(const wb_poison_book_t *book, uint32_t body_bytes);
-/** @return the request's entry, or NULL; valid until the book changes */
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *book,
+/** @return TRUE when a request with a body of this length has an entry; else its digest needn't be
+ * computed */
+gboolean wb_poison_book_has_length(const wb_poison_book_t *registry, uint32_t body_bytes);
+/** @return the request's entry, or NULL; valid until the registry changes */
+const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *registry,
                                              const wb_request_digest_t *digest);
-/** @return engines that are held against a request */
+/** @return number of crashed engines that aren't cleared */
 guint wb_poison_entry_engines(const wb_poison_entry_t *entry);
-/** @return a request's state; NULL: it has no entry */
+/** @param entry NULL: WB_POISON_NONE */
 wb_poison_state_t wb_poison_entry_state(const wb_poison_entry_t *entry);
-/** @return all entries, of wb_poison_entry_t by its `item`; owned by the book */
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *book);
-/** @return how many requests are in a state */
-unsigned wb_poison_book_count(const wb_poison_book_t *book, wb_poison_state_t state);
+/** @return all entries, linked by `item`; owned by the registry */
+const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *registry);
+/** @return number of requests in a state */
+unsigned wb_poison_book_count(const wb_poison_book_t *registry, wb_poison_state_t state);
 /** @return a number that grows with each change */
-uint64_t wb_poison_book_version(const wb_poison_book_t *book);
+uint64_t wb_poison_book_version(const wb_poison_book_t *registry);
 
-/** The one node that tries refused requests asks for a request that has come. @return TRUE: send it
- * to an engine, once */
-gboolean wb_poison_book_take_trial(wb_poison_book_t *book, const wb_request_digest_t *digest,
+/**
+ * Ask whether to run a refused request that has arrived as a trial. Only the one node that runs
+ * trials may call this.
+ * @return TRUE: send the request to an engine, once
+ */
+gboolean wb_poison_book_take_trial(wb_poison_book_t *registry, const wb_request_digest_t *digest,
                                    int64_t now_ms);
-/** Forget what is too old, and let refused requests through once when their time is over. */
-void wb_poison_book_sweep(wb_poison_book_t *book, int64_t now_ms);
+/** Drop expired entries. An expired refused request is kept as a suspect, one crash short of
+ * refusal. */
+void wb_poison_book_sweep(wb_poison_book_t *registry, int64_t now_ms);
 
 #endif
--- a/src/poison/request_digest.c
+++ b/src/poison/request_digest.c
@@ -1,14 +1,14 @@
-/* Names what a request asks for. */
+/* Digest of a request: truncated SHA-256. */
 #include "poison/request_digest.h"
 
 #include <string.h>
 
 #define SHA256_BYTES 32
 
-/* Each part goes in behind its length, so that no two contents give the same bytes. */
+/* Adds a part prefixed by its length, so that different contents never give the same input. */
 static void part_add(GChecksum *checksum, const void *bytes, gsize length) {
-    guint64 told = GUINT64_TO_LE((guint64)length);
-    g_checksum_update(checksum, (const guchar *)&told, sizeof(told));
+    guint64 length_le = GUINT64_TO_LE((guint64)length);
+    g_checksum_update(checksum, (const guchar *)&length_le, sizeof(length_le));
     g_checksum_update(checksum, bytes, (gssize)length);
 }
 
@@ -23,11 +23,11 @@
     text_add(checksum, content->target);
     text_add(checksum, content->tenant != NULL ? content->tenant : "");
     part_add(checksum, content->body, content->body_bytes);
-    guint8 whole[SHA256_BYTES];
-    gsize length = sizeof(whole);
-    g_checksum_get_digest(checksum, whole, &length);
+    guint8 sha256[SHA256_BYTES];
+    gsize length = sizeof(sha256);
+    g_checksum_get_digest(checksum, sha256, &length);
     wb_request_digest_t digest;
-    memcpy(digest.bytes, whole, sizeof(digest.bytes));
+    memcpy(digest.bytes, sha256, sizeof(digest.bytes));
     return digest;
 }
 
--- a/src/poison/request_digest.h
+++ b/src/poison/request_digest.h
@@ -1,32 +1,34 @@
 /**
  * @file request_digest.h
- * @brief Names what a request asks for, so that the same request is known again when it comes with
- * another id, at another node.
+ * @brief Digest of what a request asks for. It identifies the same request when it comes again with
+ * another request id or at another node.
  *
- * The digest covers method, host, target, tenant and body. It is the same at every node and after
- * every restart, and it can't be turned back into what was asked. It is cryptographic: nobody can
- * make a request that is taken for another caller's.
+ * The digest covers method, host, target, tenant and body. It is the same on every node and after
+ * every restart. It is cryptographic: it doesn't reveal the content, and nobody can make a request
+ * with the digest of another client's request.
+ *
+ * Pure. Parsing malformed text returns FALSE; there are no other errors.
  */
 #ifndef WICKBRIDGE_REQUEST_DIGEST_H
 #define WICKBRIDGE_REQUEST_DIGEST_H
 
 #include <glib.h>
 
-/** 128 bits: two different requests among 2^40 share a digest with a chance of 2^-49. */
+/** 128 bits: some two different requests among 2^40 share a digest with a probability of 2^-49. */
 #define WB_REQUEST_DIGEST_BYTES 16
-/** A digest as text: two hexadecimal digits a byte and the end. */
+/** Size of a digest as text: two hexadecimal digits a byte and the terminating zero. */
 #define WB_REQUEST_DIGEST_TEXT_BYTES (2 * WB_REQUEST_DIGEST_BYTES + 1)
 
 typedef struct wb_request_digest_t {
     guint8 bytes[WB_REQUEST_DIGEST_BYTES];
 } wb_request_digest_t;
 
-/** What a request's digest is made of; all texts are borrowed. */
+/** Input of the digest; all members are borrowed. */
 typedef struct wb_request_content_t {
     const char *method;
     const char *host;
-    const char *target; /**< path and query as they came */
-    const char *tenant; /**< NULL: it has none */
+    const char *target; /**< path and query as received */
+    const char *tenant; /**< NULL: none */
     const guint8 *body;
     gsize body_bytes;
 } wb_request_content_t;
@@ -36,7 +38,7 @@
 /** @param text out: hexadecimal digits. @return text */
 const char *wb_request_digest_write(const wb_request_digest_t *digest,
                                     char text[WB_REQUEST_DIGEST_TEXT_BYTES]);
-/** Read what wb_request_digest_write wrote. @return FALSE when the text is no digest */
+/** Parse the text form. @return FALSE when the text isn't a digest */
 gboolean wb_request_digest_read(const char *text, wb_request_digest_t *digest);
 gboolean wb_request_digest_equal(const wb_request_digest_t *left, const wb_request_digest_t *right);
 
--- a/src/poison/served_set.h
+++ b/src/poison/served_set.h
@@ -1,12 +1,16 @@
 /**
  * @file served_set.h
- * @brief Requests that engines have lately answered whole at this node.
+ * @brief Requests to which engines have recently given complete answers at this node.
  *
- * What many callers ask for alike (a status, an empty search) is under way at nearly every engine
- * that crashes, and would soon look like a request that crashes engines. But such a request ends
- * well all the time, and poison never does: so nothing is held against what was lately served.
+ * A request that many clients send alike (a status query, an empty search) runs on nearly every
+ * engine that crashes and would soon be taken for a poison request. But it also succeeds all the
+ * time, which a poison request never does. So no crashes are recorded against a recently served
+ * request.
  *
- * Bounded: WB_SERVED_PLACES of 16 bytes; a later request takes an earlier one's place.
+ * Memory is bounded by WB_SERVED_PLACES slots of 16 bytes. The slot is chosen by the digest; a new
+ * entry overwrites the one in its slot.
+ *
+ * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors.
  */
 #ifndef WICKBRIDGE_SERVED_SET_H
 #define WICKBRIDGE_SERVED_SET_H
@@ -15,22 +19,20 @@
 
 #include <stdint.h>
 
-/** What is asked for alike comes often, so it keeps its place among some hundred others. */
+/** Number of slots. A frequent request renews its entry before others overwrite it. */
 #define WB_SERVED_PLACES 1024
-/** A minute: requests that come more rarely are few among those that run at an engine, and one that
- * newly crashes engines, after a change of theirs, is known a minute later. */
+/** Lifetime of an entry. It delays the detection of a request that begins to crash engines. */
 #define WB_SERVED_MS 60000
-/** Longer bodies aren't remembered: they are hardly ever asked for twice, and a digest of 18 KB
- * takes 0.1 ms of a core. */
+/** Requests with larger bodies aren't recorded: they rarely repeat, and the digest costs time. */
 #define WB_SERVED_BODY_BYTES 4096
 
 typedef struct wb_served_set_t wb_served_set_t;
 
 wb_served_set_t *wb_served_set_create(void);
 void wb_served_set_free(wb_served_set_t *set);
-/** An engine has answered a request whole. */
+/** Record that an engine has answered a request completely. */
 void wb_served_set_add(wb_served_set_t *set, const wb_request_digest_t *digest, int64_t now_ms);
-/** @return TRUE when that was less than WB_SERVED_MS ago, as far as is remembered */
+/** @return TRUE when the request was served less than WB_SERVED_MS ago and isn't overwritten */
 gboolean wb_served_set_has(const wb_served_set_t *set, const wb_request_digest_t *digest,
                            int64_t now_ms);
 
--- a/src/quota/quota_book.c
+++ b/src/quota/quota_book.c
@@ -212,7 +212,8 @@
     ledger->sole = sole;
 }
 
-/* Computes what a node may admit of each tenant's limit while disconnected (see quota_gate.c). */
+/* Computes what a node may admit of each tenant's limit while disconnected (see quota_limiter.c).
+ */
 static void assume_usage(const wb_quota_book_t *ledger, wb_quota_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer tenant;
@@ -223,7 +224,7 @@
         wb_quota_entry_t *entry = g_hash_table_lookup(ledger->entries, tenant);
         double per_s = wb_decayed_rate_read(rate, ADMITTED_TIME_S, now_ms);
         if (entry != NULL && entry->sent_share >= 1) {
-            /* The same as in quota_gate.c: a node with little demand may use part of an equal
+            /* The same as in quota_limiter.c: a node with little demand may use part of an equal
              * share. */
             double nodes = MAX(g_hash_table_size(ledger->nodes), 1);
             per_s = MAX(WB_QUOTA_UNREACHED_TIMES * per_s,
--- a/src/quota/quota_book.h
+++ b/src/quota/quota_book.h
@@ -9,7 +9,7 @@
  * **throttled**: gateways then admit the share of its requests that the bucket can sustain. Tenants
  * that aren't throttled cause no messages to gateways.
  *
- * A disconnected node goes on admitting at the rate of its last reports (quota_gate.h), so the
+ * A disconnected node goes on admitting at the rate of its last reports (quota_limiter.h), so the
  * ledger deducts that rate. For nodes that never reported to this ledger, and for all disconnected
  * nodes while another node may keep a ledger too, it deducts an equal share of each limit: two
  * ledgers thus divide each limit by the nodes that report to either.
--- a/src/quota/quota_gate.c
+++ b/src/quota/quota_gate.c
@@ -48,18 +48,18 @@
 }
 
 wb_quota_gate_t *wb_quota_gate_create(void) {
-    wb_quota_gate_t *gate = g_new0(wb_quota_gate_t, 1);
-    gate->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
-    return gate;
+    wb_quota_gate_t *limiter = g_new0(wb_quota_gate_t, 1);
+    limiter->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
+    return limiter;
 }
 
-void wb_quota_gate_free(wb_quota_gate_t *gate) {
-    g_hash_table_unref(gate->entries);
-    g_free(gate);
+void wb_quota_gate_free(wb_quota_gate_t *limiter) {
+    g_hash_table_unref(limiter->entries);
+    g_free(limiter);
 }
 
-static wb_gate_entry_t *entry_get(wb_quota_gate_t *gate, const char *tenant) {
-    wb_gate_entry_t *entry = g_hash_table_lookup(gate->entries, tenant);
+static wb_gate_entry_t *entry_get(wb_quota_gate_t *limiter, const char *tenant) {
+    wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry == NULL) {
         entry = g_new0(wb_gate_entry_t, 1);
         entry->tenant = g_strdup(tenant);
@@ -67,7 +67,7 @@
         entry->share = 1;
         entry->previous_share = 1;
         entry->local_unset = TRUE;
-        g_hash_table_insert(gate->entries, entry->tenant, entry);
+        g_hash_table_insert(limiter->entries, entry->tenant, entry);
     }
     return entry;
 }
@@ -140,15 +140,15 @@
     verdict->retry_ms = retry_ms(-level, entry->local_rate_per_s);
 }
 
-wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *gate, const wb_tenant_t *tenant,
+wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *limiter, const wb_tenant_t *tenant,
                                      wb_quota_kind_t kind, double cost, unsigned nodes,
                                      int64_t now_ms) {
     wb_quota_verdict_t verdict = {
-        .admitted = TRUE, .share = 1, .reached = gate->reached, .told_ms = gate->told_ms};
+        .admitted = TRUE, .share = 1, .reached = limiter->reached, .told_ms = limiter->told_ms};
     if (tenant->rate_per_s <= 0) {
         return verdict;
     }
-    wb_gate_entry_t *entry = entry_get(gate, tenant->name);
+    wb_gate_entry_t *entry = entry_get(limiter, tenant->name);
     double demand_before_per_s = wb_decayed_rate_read(&entry->demand, DEMAND_TIME_S, now_ms);
     wb_decayed_rate_add(&entry->demand, cost, DEMAND_TIME_S, now_ms);
     entry->used_ms = now_ms;
@@ -157,7 +157,7 @@
     traffic->asked += cost;
     traffic->requests += 1;
     verdict.share = entry->share < 1 ? traffic->share : 1;
-    if (!gate->reached) {
+    if (!limiter->reached) {
         if (entry->local_unset) {
             local_start(entry, tenant, nodes, demand_before_per_s, cost, now_ms);
         }
@@ -171,9 +171,9 @@
     return verdict;
 }
 
-void wb_quota_gate_adjust(wb_quota_gate_t *gate, const char *tenant, wb_quota_kind_t kind,
+void wb_quota_gate_adjust(wb_quota_gate_t *limiter, const char *tenant, wb_quota_kind_t kind,
                           double cost) {
-    wb_gate_entry_t *entry = g_hash_table_lookup(gate->entries, tenant);
+    wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry != NULL) {
         class_get(entry, kind)->admitted += cost;
         entry->local_bucket.level -= cost;
@@ -192,14 +192,14 @@
     }
 }
 
-void wb_quota_gate_set_reached(wb_quota_gate_t *gate, gboolean reached) {
-    if (gate->reached == reached) {
+void wb_quota_gate_set_reached(wb_quota_gate_t *limiter, gboolean reached) {
+    if (limiter->reached == reached) {
         return;
     }
-    gate->reached = reached;
+    limiter->reached = reached;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, gate->entries);
+    g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gate_entry_t *entry = value;
         entry->local_unset = TRUE;
@@ -224,19 +224,19 @@
     }
 }
 
-void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *shares, size_t count,
+void wb_quota_gate_tell(wb_quota_gate_t *limiter, const wb_quota_share_t *shares, size_t count,
                         int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
-    gate->told_ms = now_ms;
-    g_hash_table_iter_init(&iter, gate->entries);
+    limiter->told_ms = now_ms;
+    g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_gate_entry_t *entry = value;
         entry->previous_share = entry->share;
         entry->share = 1;
     }
     for (size_t i = 0; i < count; i++) {
-        wb_gate_entry_t *entry = entry_get(gate, shares[i].tenant);
+        wb_gate_entry_t *entry = entry_get(limiter, shares[i].tenant);
         entry->used_ms = now_ms;
         if (shares[i].kind == WB_QUOTA_OTHER_KINDS) {
             share_set(entry, shares[i].share);
@@ -263,11 +263,11 @@
     usage_reset(entry);
 }
 
-GArray *wb_quota_gate_take_uses(wb_quota_gate_t *gate) {
+GArray *wb_quota_gate_take_uses(wb_quota_gate_t *limiter) {
     GArray *usage = g_array_new(FALSE, FALSE, sizeof(wb_quota_use_t));
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, gate->entries);
+    g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         usage_append(usage, value);
     }
@@ -287,10 +287,10 @@
     return FALSE;
 }
 
-void wb_quota_gate_sweep(wb_quota_gate_t *gate, int64_t now_ms) {
+void wb_quota_gate_sweep(wb_quota_gate_t *limiter, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, gate->entries);
+    g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_gate_entry_t *entry = value;
         if (now_ms - entry->used_ms > ENTRY_EXPIRY_MS && !has_usage(entry)) {
--- a/src/quota/quota_gate.h
+++ b/src/quota/quota_gate.h
@@ -36,7 +36,7 @@
 } wb_quota_verdict_t;
 
 wb_quota_gate_t *wb_quota_gate_create(void);
-void wb_quota_gate_free(wb_quota_gate_t *gate);
+void wb_quota_gate_free(wb_quota_gate_t *limiter);
 
 /**
  * Decide whether to admit a request, and count it.
@@ -44,24 +44,24 @@
  * @param cost  by wb_tenant_cost
  * @param nodes number of nodes that share the limit; 0: unknown yet
  */
-wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *gate, const wb_tenant_t *tenant,
+wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *limiter, const wb_tenant_t *tenant,
                                      wb_quota_kind_t kind, double cost, unsigned nodes,
                                      int64_t now_ms);
 /**
  * Correct the cost of an admitted request that ran more than once, or not at all.
  * @param cost units beyond those admitted; negative: units given back
  */
-void wb_quota_gate_adjust(wb_quota_gate_t *gate, const char *tenant, wb_quota_kind_t kind,
+void wb_quota_gate_adjust(wb_quota_gate_t *limiter, const char *tenant, wb_quota_kind_t kind,
                           double cost);
 /** Set whether the ledger is reachable. */
-void wb_quota_gate_set_reached(wb_quota_gate_t *gate, gboolean reached);
+void wb_quota_gate_set_reached(wb_quota_gate_t *limiter, gboolean reached);
 /** Set the shares of all throttled tenants; a tenant that isn't listed isn't throttled. */
-void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *shares, size_t count,
+void wb_quota_gate_tell(wb_quota_gate_t *limiter, const wb_quota_share_t *shares, size_t count,
                         int64_t now_ms);
 /** @return wb_quota_use_t of the usage since the last call; to be freed with g_array_unref, the
- * tenants' names belong to the gate */
-GArray *wb_quota_gate_take_uses(wb_quota_gate_t *gate);
+ * tenants' names belong to the limiter */
+GArray *wb_quota_gate_take_uses(wb_quota_gate_t *limiter);
 /** Drop tenants without recent requests. */
-void wb_quota_gate_sweep(wb_quota_gate_t *gate, int64_t now_ms);
+void wb_quota_gate_sweep(wb_quota_gate_t *limiter, int64_t now_ms);
 
 #endif
