--- a/src/fleet/engine_heard.c
+++ b/src/fleet/engine_heard.c
@@ -1,4 +1,4 @@
-/* Takes what engines tell of themselves at the heads of their answers. */
+/* Engine state from response headers. */
 #include "fleet/engine_heard.h"
 
 #include "dispatch/told_load.h"
@@ -6,13 +6,14 @@
 
 #include "wickbridge/event_log.h"
 
-/* Others may take an end for older than the limit that they know: it is told them again for so long
- * after the limit was last named. */
-#define END_TOLD_FOR_MS 30000
+/* Time after the last report of a limit for which its end is sent again: a node that knows a later
+ * report of the limit ignores the end. */
+#define END_RESEND_MS 30000
 
-static void load_hear(wb_engine_t *engine, const wb_heard_t *heard, wb_edge_metrics_t *metrics) {
+static void update_load(wb_engine_t *engine, const wb_heard_t *response,
+                        wb_edge_metrics_t *metrics) {
     wb_told_load_t load;
-    const char *text = wb_http_head_get(heard->head, heard->dialect->engine_load);
+    const char *text = wb_http_head_get(response->head, response->dialect->engine_load);
     if (text == NULL) {
         return;
     }
@@ -23,62 +24,63 @@
     metrics->figures_refused += load.pace_percent == 0 && wb_told_load_has_pace(text);
     engine->reported_running = load.running;
     engine->reported_waiting = load.waiting;
-    engine->reported_ms = heard->now_ms;
-    wb_engine_pace_told(&engine->pace, load.pace_percent, heard->now_ms);
+    engine->reported_ms = response->now_ms;
+    wb_engine_pace_told(&engine->pace, load.pace_percent, response->now_ms);
     if (load.pace_percent != 0 &&
         (engine->pace_heard == 0 || load.pace_percent < engine->pace_heard)) {
         engine->pace_heard = load.pace_percent;
     }
 }
 
-static void refused_log(const wb_engine_t *engine, const wb_heard_t *heard, unsigned refused,
+static void log_invalid(const wb_engine_t *engine, const wb_heard_t *response, unsigned invalid,
                         wb_edge_metrics_t *metrics) {
-    if (refused == 0) {
+    if (invalid == 0) {
         return;
     }
-    metrics->figures_refused += refused;
+    metrics->figures_refused += invalid;
     wb_event("engine-state-refused", ",\"engine\":\"%s\",\"status\":%u,\"values\":%u",
-             wb_event_text(engine->state->id), heard->head->status, refused);
+             wb_event_text(engine->state->id), response->head->status, invalid);
 }
 
-/* Whether the answer is one that the engine itself has made, and would name its limit in. */
-static gboolean would_name_limit(const wb_heard_t *heard) {
-    const wb_dialect_t *dialect = heard->dialect;
-    return heard->on == WB_HEARD_ON_REQUEST &&
-           (wb_http_head_get(heard->head, dialect->seal) != NULL ||
-            wb_http_head_get(heard->head, dialect->not_run) != NULL);
+/* Whether the engine itself made this response and would have included a limit header. */
+static gboolean must_carry_limit(const wb_heard_t *response) {
+    const wb_dialect_t *dialect = response->dialect;
+    return response->on == WB_HEARD_ON_REQUEST &&
+           (wb_http_head_get(response->head, dialect->seal) != NULL ||
+            wb_http_head_get(response->head, dialect->not_run) != NULL);
 }
 
-/* @return TRUE when other nodes should know */
-static gboolean limit_hear(wb_engine_t *engine, const wb_heard_t *heard,
-                           const wb_told_state_t *told, wb_edge_metrics_t *metrics) {
+/* @return TRUE when other nodes must be notified */
+static gboolean update_limit(wb_engine_t *engine, const wb_heard_t *response,
+                             const wb_told_state_t *state, wb_edge_metrics_t *metrics) {
     wb_engine_limit_t *limit = &engine->limit;
-    gboolean told_lately = heard->now_ms - engine->state_told_ms < WB_STATE_CONFIRM_MS;
-    gboolean names_none = !told->limit_named && would_name_limit(heard);
-    if (told->limit_known) {
-        if (!wb_engine_limit_name(limit, told->limit_per_s, heard->sent_ms, heard->now_ms)) {
-            return limit->named && !told_lately;
+    gboolean recently_sent = response->now_ms - engine->state_told_ms < WB_STATE_CONFIRM_MS;
+    gboolean limit_omitted = !state->limit_named && must_carry_limit(response);
+    if (state->limit_known) {
+        if (!wb_engine_limit_name(limit, state->limit_per_s, response->sent_ms, response->now_ms)) {
+            return limit->named && !recently_sent;
         }
         metrics->engine_limits++;
         wb_event("engine-limited", ",\"engine\":\"%s\",\"per_s\":%g",
-                 wb_event_text(engine->state->id), told->limit_per_s);
+                 wb_event_text(engine->state->id), state->limit_per_s);
         return TRUE;
     }
-    if (!names_none || (!limit->named && limit->ended_ms == 0)) {
+    if (!limit_omitted || (!limit->named && limit->ended_ms == 0)) {
         return FALSE;
     }
-    if (!wb_engine_limit_unname(limit, heard->sent_ms)) {
-        return !limit->named && !told_lately && heard->now_ms - limit->named_ms < END_TOLD_FOR_MS;
+    if (!wb_engine_limit_unname(limit, response->sent_ms)) {
+        return !limit->named && !recently_sent &&
+               response->now_ms - limit->named_ms < END_RESEND_MS;
     }
     wb_event("engine-limit-ended", ",\"engine\":\"%s\"", wb_event_text(engine->state->id));
     return TRUE;
 }
 
-/* @return TRUE when other nodes should know */
-static gboolean leaving_hear(wb_engine_t *engine, const wb_heard_t *heard,
-                             const wb_told_state_t *told, wb_edge_metrics_t *metrics) {
+/* @return TRUE when other nodes must be notified */
+static gboolean update_draining(wb_engine_t *engine, const wb_heard_t *response,
+                                const wb_told_state_t *state, wb_edge_metrics_t *metrics) {
     gboolean announced = engine->leaving_ms != 0;
-    if (!told->leaving || !wb_engine_tell_leaving(engine, heard->drain_ms, heard->now_ms)) {
+    if (!state->leaving || !wb_engine_tell_leaving(engine, response->drain_ms, response->now_ms)) {
         return FALSE;
     }
     metrics->engine_leavings++;
@@ -87,26 +89,27 @@
     return TRUE;
 }
 
-/* Each time that was asked for is kept, so a shorter one that comes later ends nothing. */
-static void rest_hear(wb_engine_t *engine, const wb_heard_t *heard, const wb_told_state_t *told,
-                      wb_edge_metrics_t *metrics) {
-    if (told->rest_ms <= 0) {
+/* The latest end of all backoffs counts: a shorter one received later doesn't end a longer one. */
+static void update_backoff(wb_engine_t *engine, const wb_heard_t *response,
+                           const wb_told_state_t *state, wb_edge_metrics_t *metrics) {
+    if (state->rest_ms <= 0) {
         return;
     }
-    engine->rest_until_ms = MAX(engine->rest_until_ms, heard->now_ms + told->rest_ms);
+    engine->rest_until_ms = MAX(engine->rest_until_ms, response->now_ms + state->rest_ms);
     metrics->engine_rests++;
     wb_event("engine-rests", ",\"engine\":\"%s\",\"for_ms\":%lld", wb_event_text(engine->state->id),
-             (long long)told->rest_ms);
+             (long long)state->rest_ms);
 }
 
-gboolean wb_engine_hear(wb_engine_t *engine, const wb_heard_t *heard, wb_edge_metrics_t *metrics) {
-    if (heard->head->status == heard->dialect->wrong_engine_status) {
-        return FALSE; /* it may be another one that has the address by now */
+gboolean wb_engine_hear(wb_engine_t *engine, const wb_heard_t *response,
+                        wb_edge_metrics_t *metrics) {
+    if (response->head->status == response->dialect->wrong_engine_status) {
+        return FALSE; /* the address may belong to another engine by now */
     }
-    wb_told_state_t told = wb_told_state_read(heard->head, heard->dialect);
-    load_hear(engine, heard, metrics);
-    refused_log(engine, heard, told.refused, metrics);
-    rest_hear(engine, heard, &told, metrics);
-    gboolean leaves = leaving_hear(engine, heard, &told, metrics);
-    return limit_hear(engine, heard, &told, metrics) || leaves;
+    wb_told_state_t state = wb_told_state_read(response->head, response->dialect);
+    update_load(engine, response, metrics);
+    log_invalid(engine, response, state.refused, metrics);
+    update_backoff(engine, response, &state, metrics);
+    gboolean drains = update_draining(engine, response, &state, metrics);
+    return update_limit(engine, response, &state, metrics) || drains;
 }
--- a/src/fleet/engine_heard.h
+++ b/src/fleet/engine_heard.h
@@ -1,6 +1,10 @@
 /**
  * @file engine_heard.h
- * @brief The one place that takes what engines tell of themselves at the heads of their answers.
+ * @brief Applies the state that an engine reports in response headers (load, limit, draining,
+ * backoff) to what this node knows of the engine. All such headers are handled here.
+ *
+ * Times are monotonic and in milliseconds. Invalid values are ignored, counted in the metrics and
+ * logged; there are no other errors. Threads: the loop's thread only.
  */
 #ifndef WICKBRIDGE_ENGINE_HEARD_H
 #define WICKBRIDGE_ENGINE_HEARD_H
@@ -9,28 +13,31 @@
 #include "wickbridge/edge_metrics.h"
 #include "wickbridge/http_reader.h"
 
-/** That a limit still holds, or is over, is told to other nodes so often: well before nodes begin
- * to try whether it has ended. */
+/** Interval at which other nodes are notified again that a limit still holds or has ended. It is
+ * well below the time after which nodes probe whether a limit has ended (engine_limit.c). */
 #define WB_STATE_CONFIRM_MS 2000
 
-/** To what an engine has answered. */
+/** What the engine has responded to. */
 typedef enum wb_heard_on_t {
-    WB_HEARD_ON_REQUEST, /**< a caller's request */
-    WB_HEARD_ON_CALL     /**< a report or an order, where not everything need be told */
+    WB_HEARD_ON_REQUEST, /**< a client's request */
+    WB_HEARD_ON_CALL     /**< a report or an order; such responses may omit state headers */
 } wb_heard_on_t;
 
-/** An answer whose head has come. */
+/** A response whose head has been received. */
 typedef struct wb_heard_t {
     const wb_dialect_t *dialect;
     const wb_http_head_t *head;
     wb_heard_on_t on;
-    int64_t sent_ms; /**< steady time at which what it answers was sent */
-    int64_t now_ms;
-    int64_t drain_ms; /**< for which an engine that leaves serves on */
+    int64_t sent_ms;  /**< when the request or call was sent */
+    int64_t now_ms;   /**< when the head was received */
+    int64_t drain_ms; /**< time for which a draining engine still serves */
 } wb_heard_t;
 
-/** Take what the head tells into what is known of the engine; log what has changed.
- * @return TRUE when other nodes should know what it told */
-gboolean wb_engine_hear(wb_engine_t *engine, const wb_heard_t *heard, wb_edge_metrics_t *metrics);
+/**
+ * Update the engine by the response's headers and log changes.
+ * @return TRUE when the state must be sent to other nodes
+ */
+gboolean wb_engine_hear(wb_engine_t *engine, const wb_heard_t *response,
+                        wb_edge_metrics_t *metrics);
 
 #endif
--- a/src/fleet/engine_state.c
+++ b/src/fleet/engine_state.c
@@ -1,4 +1,4 @@
-/* What an engine announces of itself: which start of it speaks, and what it holds. */
+/* State that an engine announces: its incarnation, and the models and adapters that it holds. */
 #include "wickbridge/fleet.h"
 
 static void model_free(gpointer data) {
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -1,38 +1,40 @@
-/* Engines as a gateway knows them. */
+/* Table of the engines that a gateway knows. */
 #include "wickbridge/fleet.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Share of a drain's time for which an engine that is gone, or has told that it leaves, still gets
- * work if there is no other. */
-#define GONE_USE_SHARE 0.5
-/* The same after the store was away; an engine that lives is back about two seconds later. */
-#define LAPSED_USE_SHARE 0.75
-#define GONE_KEPT_MS 5000
-/* Starts of engines whose told state is kept beyond that. */
-#define TOLD_KEPT_MOST 4096
-
-/* The controller's news of a model or adapter. */
-typedef struct wb_note_t {
+/* Share of the drain time for which an engine whose announcement was removed, or that reported
+ * draining, still gets requests that no other engine can take. */
+#define GRACE_SHARE 0.5
+/* The same after the store was unavailable: running engines announce themselves again about two
+ * seconds later. */
+#define OUTAGE_GRACE_SHARE 0.75
+/* Time for which removed engines are kept. */
+#define REMOVED_RETENTION_MS 5000
+/* Max incarnations whose reported state is kept beyond that. */
+#define REPORTED_STATES_MAX 4096
+
+/* Placement update of the controller for a model or adapter. */
+typedef struct wb_placement_update_t {
     gboolean held;
     int64_t until_ms;
-    int64_t row_from_ms; /* announcements from then on know better */
-} wb_note_t;
+    int64_t superseded_from_ms; /* announcements from then on supersede it */
+} wb_placement_update_t;
 
-/* What a start of an engine told of itself. */
-typedef struct wb_kept_state_t {
+/* State that an incarnation of an engine reported in response headers. */
+typedef struct wb_reported_state_t {
     gboolean leaving;
-    wb_engine_limit_t limit; /* without what was sent */
+    wb_engine_limit_t limit; /* without the recorded send times */
     int64_t rest_until_ms;
-} wb_kept_state_t;
+} wb_reported_state_t;
 
 struct wb_fleet_t {
-    GHashTable *engines;  /* id -> wb_engine_t, announced */
-    GHashTable *services; /* name -> GPtrArray of wb_engine_t, with those just gone */
-    GHashTable *told;     /* incarnation of an engine that was forgotten -> wb_kept_state_t */
-    GQueue told_order;    /* their keys, oldest first; borrowed */
-    GHashTable *closed;   /* zone that is being evacuated -> int64_t *, as closed_from_ms */
+    GHashTable *engines;   /* id -> wb_engine_t, announced */
+    GHashTable *services;  /* name -> GPtrArray of wb_engine_t, recently removed ones included */
+    GHashTable *reported;  /* incarnation of an engine that was dropped -> wb_reported_state_t */
+    GQueue reported_order; /* keys of `reported`, oldest first; borrowed */
+    GHashTable *evacuated; /* zone -> int64_t *, start of its evacuation as in wb_engine_t */
 };
 
 wb_engine_t *wb_engine_ref(wb_engine_t *engine) {
@@ -57,9 +59,9 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)wb_engine_unref);
     fleet->services =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-    fleet->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    g_queue_init(&fleet->told_order);
-    fleet->closed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    fleet->reported = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    g_queue_init(&fleet->reported_order);
+    fleet->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return fleet;
 }
 
@@ -72,41 +74,43 @@
     return engines;
 }
 
-/* Sets from when on an engine gets nothing new by its zone. */
-static void zone_apply(const wb_fleet_t *fleet, wb_engine_t *engine) {
+/* Sets when an engine's zone is evacuated. */
+static void zone_update(const wb_fleet_t *fleet, wb_engine_t *engine) {
     const int64_t *from_ms = engine->state->zone != NULL
-                                 ? g_hash_table_lookup(fleet->closed, engine->state->zone)
+                                 ? g_hash_table_lookup(fleet->evacuated, engine->state->zone)
                                  : NULL;
     engine->closed_from_ms = from_ms != NULL ? *from_ms : 0;
 }
 
-/* What an engine told holds for its start, however often its row goes and comes back. */
-static void told_keep(wb_fleet_t *fleet, const wb_engine_t *engine) {
+/* Saves the reported state of an engine that is dropped. It remains valid for the incarnation, even
+ * if the engine's row is removed and added again. */
+static void reported_state_save(wb_fleet_t *fleet, const wb_engine_t *engine) {
     const char *incarnation = engine->state->incarnation;
-    gboolean told = engine->told_leaving || engine->limit.named || engine->rest_until_ms != 0;
-    wb_kept_state_t *kept = g_hash_table_lookup(fleet->told, incarnation);
-    if (kept == NULL && !told) {
+    gboolean has_state = engine->told_leaving || engine->limit.named || engine->rest_until_ms != 0;
+    wb_reported_state_t *saved = g_hash_table_lookup(fleet->reported, incarnation);
+    if (saved == NULL && !has_state) {
         return;
     }
-    if (kept == NULL) {
-        if (g_hash_table_size(fleet->told) >= TOLD_KEPT_MOST) {
-            g_hash_table_remove(fleet->told, g_queue_pop_head(&fleet->told_order));
+    if (saved == NULL) {
+        if (g_hash_table_size(fleet->reported) >= REPORTED_STATES_MAX) {
+            g_hash_table_remove(fleet->reported, g_queue_pop_head(&fleet->reported_order));
         }
         char *key = g_strdup(incarnation);
-        kept = g_new0(wb_kept_state_t, 1);
-        g_hash_table_insert(fleet->told, key, kept);
-        g_queue_push_tail(&fleet->told_order, key);
+        saved = g_new0(wb_reported_state_t, 1);
+        g_hash_table_insert(fleet->reported, key, saved);
+        g_queue_push_tail(&fleet->reported_order, key);
     }
-    *kept = (wb_kept_state_t){engine->told_leaving, engine->limit, engine->rest_until_ms};
-    kept->limit.gate = (wb_send_gate_t){NULL};
+    *saved = (wb_reported_state_t){engine->told_leaving, engine->limit, engine->rest_until_ms};
+    saved->limit.gate = (wb_send_gate_t){NULL};
 }
 
-static void told_restore(const wb_fleet_t *fleet, wb_engine_t *engine) {
-    const wb_kept_state_t *kept = g_hash_table_lookup(fleet->told, engine->state->incarnation);
-    if (kept != NULL) {
-        engine->told_leaving = kept->leaving;
-        engine->limit = kept->limit;
-        engine->rest_until_ms = kept->rest_until_ms;
+static void reported_state_restore(const wb_fleet_t *fleet, wb_engine_t *engine) {
+    const wb_reported_state_t *saved =
+        g_hash_table_lookup(fleet->reported, engine->state->incarnation);
+    if (saved != NULL) {
+        engine->told_leaving = saved->leaving;
+        engine->limit = saved->limit;
+        engine->rest_until_ms = saved->rest_until_ms;
     }
 }
 
@@ -117,15 +121,15 @@
     engine->overlay = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     engine->prefixes = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     wb_list_init(&engine->idle);
-    told_restore(fleet, engine);
-    zone_apply(fleet, engine);
+    reported_state_restore(fleet, engine);
+    zone_update(fleet, engine);
     g_hash_table_insert(fleet->engines, g_strdup(state->id), engine);
     g_ptr_array_add(service_engines(fleet, state->service), wb_engine_ref(engine));
     return engine;
 }
 
-/* Returns the latest start of an engine that is no longer announced, or NULL. */
-static wb_engine_t *gone_find(const wb_fleet_t *fleet, const wb_engine_state_t *state) {
+/* Returns the latest incarnation of a removed engine that is still kept, or NULL. */
+static wb_engine_t *removed_find(const wb_fleet_t *fleet, const wb_engine_state_t *state) {
     const GPtrArray *engines = wb_fleet_service(fleet, state->service);
     wb_engine_t *latest = NULL;
     for (guint i = 0; engines != NULL && i < engines->len; i++) {
@@ -138,51 +142,51 @@
     return latest;
 }
 
-/* An engine that was removed and announces itself again, and hasn't started anew, is the same. */
-static void engine_return(wb_fleet_t *fleet, wb_engine_t *engine) {
+/* Puts a removed engine back that is announced again by the same incarnation. */
+static void engine_restore(wb_fleet_t *fleet, wb_engine_t *engine) {
     if (engine->gone) {
         g_hash_table_insert(fleet->engines, g_strdup(engine->state->id), wb_engine_ref(engine));
         engine->gone = FALSE;
     }
 }
 
-/* Whether an announcement is of another engine than the one known by its id: a later start of it,
- * or one of another service. */
-static gboolean is_another(const wb_engine_t *engine, const wb_engine_state_t *state) {
+/* Whether an announcement is by another engine than the known one with its id: by a later
+ * incarnation, or for another service. */
+static gboolean is_other_engine(const wb_engine_t *engine, const wb_engine_state_t *state) {
     return wb_engine_state_is_later(engine->state, state) ||
            strcmp(engine->state->service, state->service) != 0;
 }
 
-static void engine_take(wb_engine_t *engine, wb_engine_state_t *state) {
+static void engine_set_state(wb_engine_t *engine, wb_engine_state_t *state) {
     wb_engine_state_free(engine->state);
     engine->state = state;
 }
 
-static gboolean note_is_settled(gpointer key, gpointer value, gpointer context) {
+static gboolean update_is_superseded(gpointer key, gpointer value, gpointer context) {
     (void)key;
-    return ((const wb_note_t *)value)->row_from_ms <= *(const int64_t *)context;
+    return ((const wb_placement_update_t *)value)->superseded_from_ms <= *(const int64_t *)context;
 }
 
 wb_engine_t *wb_fleet_announce(wb_fleet_t *fleet, wb_engine_state_t *state) {
     wb_engine_t *engine = wb_fleet_find(fleet, state->id);
     if (engine == NULL) {
-        engine = gone_find(fleet, state);
+        engine = removed_find(fleet, state);
     }
     if (engine != NULL && wb_engine_state_is_later(state, engine->state)) {
         wb_engine_state_free(state);
         return NULL;
     }
-    if (engine == NULL || is_another(engine, state)) {
+    if (engine == NULL || is_other_engine(engine, state)) {
         wb_fleet_remove(fleet, state->id, 0);
         engine = engine_create(fleet, state);
     } else {
-        engine_return(fleet, engine);
-        engine_take(engine, state);
-        zone_apply(fleet, engine);
+        engine_restore(fleet, engine);
+        engine_set_state(engine, state);
+        zone_update(fleet, engine);
     }
     int64_t now_ms = wb_clock_ms();
     engine->cold_until_ms = state->cold_ms > 0 ? now_ms + state->cold_ms : 0;
-    g_hash_table_foreach_remove(engine->overlay, note_is_settled, &now_ms);
+    g_hash_table_foreach_remove(engine->overlay, update_is_superseded, &now_ms);
     if (!state->leaving && !engine->told_leaving)
         engine->leaving_ms = 0;
     else if (engine->leaving_ms == 0)
@@ -199,16 +203,16 @@
     engine->told_leaving = TRUE;
     if (engine->leaving_ms == 0) {
         engine->leaving_ms = now_ms;
-        engine->use_until_ms = now_ms + (int64_t)(GONE_USE_SHARE * (double)drain_ms);
+        engine->use_until_ms = now_ms + (int64_t)(GRACE_SHARE * (double)drain_ms);
     }
     return TRUE;
 }
 
 int64_t wb_fleet_use_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms) {
     if (now_ms - known_ms >= drain_ms) {
-        return now_ms + (int64_t)(LAPSED_USE_SHARE * (double)drain_ms);
+        return now_ms + (int64_t)(OUTAGE_GRACE_SHARE * (double)drain_ms);
     }
-    return known_ms + (int64_t)(GONE_USE_SHARE * (double)drain_ms);
+    return known_ms + (int64_t)(GRACE_SHARE * (double)drain_ms);
 }
 
 gboolean wb_engine_is_open(const wb_engine_t *engine, int64_t now_ms) {
@@ -246,8 +250,8 @@
     return fleet->engines;
 }
 
-/* Sets what has changed for the engines of a zone. Returns how many there are. */
-static unsigned zone_apply_to_all(const wb_fleet_t *fleet, const char *zone) {
+/* Updates the engines of a zone. Returns the number of them that are announced. */
+static unsigned zone_update_engines(const wb_fleet_t *fleet, const char *zone) {
     unsigned count = 0;
     GHashTableIter iter;
     gpointer value;
@@ -257,7 +261,7 @@
         for (guint i = 0; i < engines->len; i++) {
             wb_engine_t *engine = g_ptr_array_index(engines, i);
             if (g_strcmp0(engine->state->zone, zone) == 0) {
-                zone_apply(fleet, engine);
+                zone_update(fleet, engine);
                 count += !engine->gone;
             }
         }
@@ -266,21 +270,21 @@
 }
 
 unsigned wb_fleet_close_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms) {
-    g_hash_table_replace(fleet->closed, g_strdup(zone), g_memdup2(&from_ms, sizeof(from_ms)));
-    return zone_apply_to_all(fleet, zone);
+    g_hash_table_replace(fleet->evacuated, g_strdup(zone), g_memdup2(&from_ms, sizeof(from_ms)));
+    return zone_update_engines(fleet, zone);
 }
 
 unsigned wb_fleet_open_zone(wb_fleet_t *fleet, const char *zone) {
-    g_hash_table_remove(fleet->closed, zone);
-    return zone_apply_to_all(fleet, zone);
+    g_hash_table_remove(fleet->evacuated, zone);
+    return zone_update_engines(fleet, zone);
 }
 
 gboolean wb_fleet_zone_is_closed(const wb_fleet_t *fleet, const char *zone) {
-    return g_hash_table_contains(fleet->closed, zone);
+    return g_hash_table_contains(fleet->evacuated, zone);
 }
 
 unsigned wb_fleet_closed_zones(const wb_fleet_t *fleet) {
-    return g_hash_table_size(fleet->closed);
+    return g_hash_table_size(fleet->evacuated);
 }
 
 void wb_fleet_sweep(wb_fleet_t *fleet, int64_t now_ms) {
@@ -291,38 +295,38 @@
         GPtrArray *engines = value;
         for (guint i = engines->len; i > 0; i--) {
             const wb_engine_t *engine = g_ptr_array_index(engines, i - 1);
-            if (engine->gone && now_ms - engine->leaving_ms > GONE_KEPT_MS) {
-                told_keep(fleet, engine);
+            if (engine->gone && now_ms - engine->leaving_ms > REMOVED_RETENTION_MS) {
+                reported_state_save(fleet, engine);
                 g_ptr_array_remove_index_fast(engines, i - 1);
             }
         }
     }
 }
 
-static char *note_key(const char *model, const char *adapter) {
+static char *holding_key(const char *model, const char *adapter) {
     return g_strconcat(model, "/", adapter != NULL ? adapter : "", NULL);
 }
 
 void wb_engine_note(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
                     int64_t now_ms, int64_t row_after_ms, int64_t valid_ms) {
-    wb_note_t *note = g_new(wb_note_t, 1);
-    note->row_from_ms = now_ms + row_after_ms;
-    note->held = held;
-    note->until_ms = now_ms + valid_ms;
-    g_hash_table_replace(engine->overlay, note_key(model, adapter), note);
+    wb_placement_update_t *update = g_new(wb_placement_update_t, 1);
+    update->superseded_from_ms = now_ms + row_after_ms;
+    update->held = held;
+    update->until_ms = now_ms + valid_ms;
+    g_hash_table_replace(engine->overlay, holding_key(model, adapter), update);
 }
 
-/* Returns the news that still counts, or NULL. */
-static const wb_note_t *note_find(const wb_engine_t *engine, const char *model, const char *adapter,
-                                  int64_t now_ms) {
+/* Returns the update in force, or NULL. Drops an expired one. */
+static const wb_placement_update_t *update_find(const wb_engine_t *engine, const char *model,
+                                                const char *adapter, int64_t now_ms) {
     if (g_hash_table_size(engine->overlay) == 0)
         return NULL;
-    g_autofree char *key = note_key(model, adapter);
-    const wb_note_t *note = g_hash_table_lookup(engine->overlay, key);
-    if (note == NULL)
+    g_autofree char *key = holding_key(model, adapter);
+    const wb_placement_update_t *update = g_hash_table_lookup(engine->overlay, key);
+    if (update == NULL)
         return NULL;
-    if (now_ms < note->until_ms)
-        return note;
+    if (now_ms < update->until_ms)
+        return update;
     g_hash_table_remove(engine->overlay, key);
     return NULL;
 }
@@ -330,18 +334,18 @@
 gboolean wb_engine_holds(const wb_engine_t *engine, const char *model, const char *adapter,
                          int64_t now_ms) {
     const wb_engine_model_t *held = g_hash_table_lookup(engine->state->models, model);
-    const wb_note_t *note = note_find(engine, model, "", now_ms);
-    if (note != NULL ? !note->held : held == NULL)
+    const wb_placement_update_t *update = update_find(engine, model, "", now_ms);
+    if (update != NULL ? !update->held : held == NULL)
         return FALSE;
     if (adapter == NULL || *adapter == '\0')
         return TRUE;
-    note = note_find(engine, model, adapter, now_ms);
-    if (note != NULL)
-        return note->held;
+    update = update_find(engine, model, adapter, now_ms);
+    if (update != NULL)
+        return update->held;
     return held != NULL && g_hash_table_contains(held->adapters, adapter);
 }
 
-/* A sum over what an engine holds, so that the order doesn't matter. */
+/* A sum over the models on an engine, so that their order doesn't matter. */
 static uint64_t models_digest(const wb_engine_t *engine, uint64_t engine_hash, int64_t now_ms) {
     uint64_t digest = 0;
     GHashTableIter iter;
@@ -355,9 +359,9 @@
     }
     g_hash_table_iter_init(&iter, engine->overlay);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const wb_note_t *note = value;
+        const wb_placement_update_t *update = value;
         const char *slash = strchr(key, '/');
-        if (!note->held || now_ms >= note->until_ms || slash[1] != '\0') {
+        if (!update->held || now_ms >= update->until_ms || slash[1] != '\0') {
             continue;
         }
         g_autofree char *model = g_strndup(key, (gsize)(slash - (const char *)key));
@@ -376,8 +380,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_engine_t *engine = value;
         const char *id = engine->state->id;
-        uint64_t told = (uint64_t)engine->state->leaving + 2 * (uint64_t)engine->state->born_ms;
-        uint64_t engine_hash = XXH64(id, strlen(id), told);
+        uint64_t seed = (uint64_t)engine->state->leaving + 2 * (uint64_t)engine->state->born_ms;
+        uint64_t engine_hash = XXH64(id, strlen(id), seed);
         digest += engine_hash + models_digest(engine, engine_hash, now_ms);
     }
     return digest;
@@ -394,22 +398,22 @@
     g_hash_table_iter_init(&iter, engine->state->models);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_engine_model_t *model = value;
-        g_hash_table_add(held, note_key(model->name, ""));
+        g_hash_table_add(held, holding_key(model->name, ""));
         GHashTableIter adapters;
         gpointer adapter;
         g_hash_table_iter_init(&adapters, model->adapters);
         while (g_hash_table_iter_next(&adapters, &adapter, NULL)) {
-            g_hash_table_add(held, note_key(model->name, adapter));
+            g_hash_table_add(held, holding_key(model->name, adapter));
         }
     }
     gpointer key;
     g_hash_table_iter_init(&iter, engine->overlay);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const wb_note_t *note = value;
-        if (now_ms >= note->until_ms) {
+        const wb_placement_update_t *update = value;
+        if (now_ms >= update->until_ms) {
             continue;
         }
-        if (note->held) {
+        if (update->held) {
             g_hash_table_add(held, g_strdup(key));
         } else {
             g_hash_table_remove(held, key);
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_book.h
@@ -6,7 +6,7 @@
  * requests there. Clients send it again, to any node, so what one node observes must reach all and
  * outlive that node. The registry stores for each request, by its digest, the engines that crashed
  * while running it. Other requests on those engines look the same at first, so a request is refused
- * only after WB_POISON_ENGINES different engines have crashed under it. A complete answer in
+ * only after WB_POISON_ENGINES different engines have crashed under it. A complete response in
  * between clears all recorded crashes.
  *
  * Each node has a registry. Registries merge by union: the crashed engines of a request form a
@@ -17,7 +17,7 @@
  * one that expires first. The crashes of a request expire `kept_ms` after the last one; a refused
  * request is then admitted again until one more crash refuses it again. Long before, one node runs
  * it as a trial: a refused request that is in fact harmless could otherwise never be cleared by a
- * complete answer.
+ * complete response.
  *
  * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors. Crash detection
  * and messages are handled elsewhere.
@@ -41,8 +41,8 @@
 #define WB_POISON_ENGINES_KEPT 8
 /** Max requests in a registry: those of two crashed engines with all slots in use. */
 #define WB_POISON_ENTRIES 128
-/** Default retention of crashes. The crash of an engine each time it ends is the price of finding
- * out whether a request still crashes engines. */
+/** Default retention of crashes. After it the request runs again, which costs an engine if it still
+ * crashes them. */
 #define WB_POISON_KEPT_MS (10 * 60 * 1000)
 /** Default time from the last crash to the first trial of a refused request. Each further trial
  * waits WB_POISON_TRIAL_TIMES times as long. */
@@ -59,16 +59,15 @@
 typedef struct wb_poison_entry_t {
     wb_list_item_t item; /**< private: in the registry's list */
     wb_request_digest_t digest;
-    uint32_t body_bytes; /**< body length: most requests are ruled out by it */
-    uint64_t
-        engines[WB_POISON_ENGINES_KEPT]; /**< that crashed: wb_poison_engine_hash of their ids */
-    guint engine_count;                  /**< of engines */
-    guint forgiven;                      /**< bit i: engines[i] is cleared */
-    int64_t until_ms;                    /**< expiry */
-    uint64_t changed;                    /**< registry version of the last change */
-    int64_t asked_ms;                    /**< private: when a trial was first asked for; 0: never */
-    int64_t tried_ms;                    /**< private: time of the last trial */
-    guint trials;                        /**< private: number of trials, up to a bound */
+    uint32_t body_bytes;                      /**< body length: most requests are ruled out by it */
+    uint64_t engines[WB_POISON_ENGINES_KEPT]; /**< that crashed, by wb_poison_engine_hash */
+    guint engine_count;                       /**< of engines */
+    guint forgiven;                           /**< bit i: engines[i] is cleared */
+    int64_t until_ms;                         /**< expiry */
+    uint64_t changed;                         /**< registry version of the last change */
+    int64_t asked_ms; /**< private: when a trial was first asked for; 0: never */
+    int64_t tried_ms; /**< private: time of the last trial */
+    guint trials;     /**< private: number of trials, up to a bound */
 } wb_poison_entry_t;
 
 /** State of a request by its uncleared crashes. */
--- a/src/poison/served_set.h
+++ b/src/poison/served_set.h
@@ -1,6 +1,6 @@
 /**
  * @file served_set.h
- * @brief Requests to which engines have recently given complete answers at this node.
+ * @brief Requests to which engines have recently given complete responses at this node.
  *
  * A request that many clients send alike (a status query, an empty search) runs on nearly every
  * engine that crashes and would soon be taken for a poison request. But it also succeeds all the
--- a/src/quota/quota_book.c
+++ b/src/quota/quota_book.c
@@ -212,8 +212,7 @@
     ledger->sole = sole;
 }
 
-/* Computes what a node may admit of each tenant's limit while disconnected (see quota_limiter.c).
- */
+/* Computes what a node may admit of each tenant's limit while disconnected: see quota_limiter.c. */
 static void assume_usage(const wb_quota_book_t *ledger, wb_quota_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer tenant;
@@ -360,9 +359,7 @@
     return fabs(share - sent) > RESEND_CHANGE * sent;
 }
 
-/* Appends the shares of a throttled tenant. Returns TRUE when a share has changed enough to be
- * sent.
- */
+/* Appends the shares of a throttled tenant. Returns TRUE when a share must be sent at once. */
 static gboolean append_shares(wb_quota_book_t *ledger, wb_quota_entry_t *entry) {
     gboolean differs = has_changed(entry->share, entry->sent_share);
     if (entry->share >= 1) {
