--- a/src/load/load.c
+++ b/src/load/load.c
@@ -1,32 +1,32 @@
-/* Keeps a number of streams open against nodes or engines and measures them. */
+/* Load generator: keeps a number of streams open against nodes or engines and measures them. */
 #include "wickbridge/load.h"
 
 #include <string.h>
 
-#define GAP_EVERY 8 /* only some of the gaps are kept, to save memory */
+#define GAP_SAMPLE_INTERVAL 8 /* one of this many gaps is recorded, to save memory */
 #define STREAM_TIMEOUT_MS 300000
 
 typedef struct load_run_t load_run_t;
 
-/* One of the streams that are kept open. */
+/* One open stream; restarted when it ends. */
 typedef struct load_stream_t {
     load_run_t *run;
     int number;
     gint64 started_us;
-    gint64 heard_us;
+    gint64 received_us;
     int events;
     int pieces;
-    char tail[16]; /* the last bytes, to see whether the stream is whole */
+    char tail[16]; /* last bytes received, to detect the final event */
 } load_stream_t;
 
 struct load_run_t {
     const wb_load_plan_t *plan;
-    wb_load_result_t *result; /* touched on the client's thread only */
+    wb_load_result_t *result; /* used on the HTTP client's thread only while the run lasts */
     wb_http_client_t *client;
-    gint64 until_us;
+    gint64 deadline_us;
     int address_count;
-    int turn;
-    guint64 names;
+    int next_address;
+    guint64 stream_ids;
     GMutex lock;
     GCond ended;
     int open;
@@ -34,17 +34,17 @@
 
 static void stream_start(load_stream_t *stream);
 
-static void tail_keep(load_stream_t *stream, const char *data, size_t length) {
-    size_t room = sizeof(stream->tail) - 1;
-    if (length >= room) {
-        memcpy(stream->tail, data + length - room, room);
+static void tail_append(load_stream_t *stream, const char *data, size_t length) {
+    size_t capacity = sizeof(stream->tail) - 1;
+    if (length >= capacity) {
+        memcpy(stream->tail, data + length - capacity, capacity);
         return;
     }
-    memmove(stream->tail, stream->tail + length, room - length);
-    memcpy(stream->tail + room - length, data, length);
+    memmove(stream->tail, stream->tail + length, capacity - length);
+    memcpy(stream->tail + capacity - length, data, length);
 }
 
-static int events_count(const char *data, size_t length) {
+static int count_events(const char *data, size_t length) {
     int count = 0;
     for (size_t i = 0; i + 1 < length; i++)
         if (data[i] == '\n' && data[i + 1] == '\n')
@@ -56,30 +56,31 @@
     load_stream_t *stream = context;
     wb_load_result_t *result = stream->run->result;
     gint64 now_us = g_get_monotonic_time();
-    int events = events_count(data, length);
+    int events = count_events(data, length);
     if (stream->events == 0 && events > 0)
         wb_samples_add(&result->first_token, (double)(now_us - stream->started_us) / 1000.0);
-    else if (stream->pieces % GAP_EVERY == 0)
-        wb_samples_add(&result->gaps, (double)(now_us - stream->heard_us) / 1000.0);
+    else if (stream->pieces % GAP_SAMPLE_INTERVAL == 0)
+        wb_samples_add(&result->gaps, (double)(now_us - stream->received_us) / 1000.0);
     stream->pieces++;
-    stream->heard_us = now_us;
+    stream->received_us = now_us;
     stream->events += events;
     result->events += events;
-    tail_keep(stream, data, length);
+    tail_append(stream, data, length);
 }
 
 static void stream_ended(const wb_http_result_t *outcome, void *context) {
     load_stream_t *stream = context;
     load_run_t *run = stream->run;
     gboolean answered = outcome->outcome == WB_HTTP_ANSWERED;
-    gboolean last = memcmp(stream->tail + 1, "data: [DONE]\n\n", 14) == 0;
-    if (answered && outcome->status == 200 && last && stream->events == run->plan->tokens + 2)
+    gboolean has_last_event = memcmp(stream->tail + 1, "data: [DONE]\n\n", 14) == 0;
+    if (answered && outcome->status == 200 && has_last_event &&
+        stream->events == run->plan->tokens + 2)
         run->result->whole++;
     else if (answered && outcome->status == 503 && strstr(outcome->body, "not-run") != NULL)
         run->result->refused++;
     else
         run->result->broken++;
-    if (g_get_monotonic_time() < run->until_us) {
+    if (g_get_monotonic_time() < run->deadline_us) {
         stream_start(stream);
         return;
     }
@@ -93,13 +94,13 @@
     if (!run->plan->direct)
         return g_strdup_printf("http://%s/v1/chat/completions", address);
     return g_strdup_printf("http://%s/engine/v1/streams/load-%" G_GINT64_MODIFIER "x-%d?kind=chat",
-                           address, (guint64)g_get_monotonic_time(), (int)++run->names);
+                           address, (guint64)g_get_monotonic_time(), (int)++run->stream_ids);
 }
 
 static void stream_start(load_stream_t *stream) {
     load_run_t *run = stream->run;
     const wb_load_plan_t *plan = run->plan;
-    const char *address = plan->addresses[run->turn++ % run->address_count];
+    const char *address = plan->addresses[run->next_address++ % run->address_count];
     g_autofree char *url = stream_url(run, address);
     g_autofree char *body = g_strdup_printf(
         "{\"model\":\"%s\",\"stream\":true,\"max_tokens\":%d,\"messages\":[{\"role\":\"user\","
@@ -138,7 +139,7 @@
     if (wb_http_client_start(&run.client, NULL, NULL) != APR_SUCCESS)
         return;
     gint64 started_us = g_get_monotonic_time();
-    run.until_us = started_us + plan->run_ms * 1000;
+    run.deadline_us = started_us + plan->run_ms * 1000;
     g_autofree load_stream_t *streams = g_new0(load_stream_t, (gsize)plan->streams);
     for (int i = 0; i < plan->streams; i++) {
         streams[i].run = &run;
--- a/src/load/main.c
+++ b/src/load/main.c
@@ -1,4 +1,5 @@
-/* wickload: drives nodes with streams and prints what callers see; compares two targets in turn. */
+/* wickload: loads nodes with streams and prints latencies as clients see them; optionally compares
+ * two targets in alternating rounds. */
 #include "wickbridge/load.h"
 #include "wickbridge/log.h"
 #include "wickbridge/settings.h"
--- a/src/load/samples.c
+++ b/src/load/samples.c
@@ -1,4 +1,4 @@
-/* Keeps measurements and gives their quantiles. */
+/* Measurements and their quantiles. */
 #include "wickbridge/load.h"
 
 void wb_samples_init(wb_samples_t *samples) {
@@ -15,7 +15,7 @@
     samples->sorted = FALSE;
 }
 
-static gint value_compare(gconstpointer left, gconstpointer right) {
+static gint compare_values(gconstpointer left, gconstpointer right) {
     double a = *(const double *)left;
     double b = *(const double *)right;
     return a < b ? -1 : a > b;
@@ -25,7 +25,7 @@
     if (samples->values->len == 0)
         return 0.0;
     if (!samples->sorted)
-        g_array_sort(samples->values, value_compare);
+        g_array_sort(samples->values, compare_values);
     samples->sorted = TRUE;
     guint index = (guint)(quantile * (double)(samples->values->len - 1) + 0.5);
     return g_array_index(samples->values, double, index);
--- a/src/pace/pace_book.h
+++ b/src/pace/pace_book.h
@@ -1,18 +1,20 @@
 /**
  * @file pace_book.h
- * @brief What all gateways together know of engines: their own pace, and what is sent there.
+ * @brief Aggregate of what all gateways report about engines: intrinsic pace, prompt load and
+ * prefill backlog.
  *
- * The node that gateways report to keeps the book. It tells them what has changed: an engine's own
- * pace (engine_pace.h), the prompt tokens that all gateways send there, averaged over some seconds,
- * and how far behind it is with reading them. What runs there isn't told: it changes faster than
- * news pass, and gateways that all go by the same old count all choose the same engine (of a quiet
- * day's 3,727 reviews at 60 engines 219 paused too long so, 52 without it). Figures go by how much
- * they have changed, within a number of entries a message, so that what it sends is bounded however
- * many engines there are.
+ * The node to which gateways report keeps the aggregate and sends them what has changed: an
+ * engine's intrinsic pace (engine_pace.h), the prompt tokens that all gateways send there, averaged
+ * over some seconds, and its prefill backlog. The number of running requests isn't sent: it changes
+ * faster than updates arrive, and gateways that use the same outdated count all choose the same
+ * engine. The largest changes are sent first, up to a number of entries a message, so that messages
+ * are bounded however many engines there are.
  *
- * Nothing here outlives the node: another one that gateways report to hears all within two reports.
+ * The aggregate isn't stored. When another node takes over, two reports of each gateway fill its
+ * aggregate.
  *
- * Pure: the time is passed in.
+ * Paces are in percent of the baseline, times monotonic and in milliseconds. Pure: the time is
+ * passed in. No errors; invalid paces must be filtered by wb_engine_pace_read.
  */
 #ifndef WICKBRIDGE_PACE_BOOK_H
 #define WICKBRIDGE_PACE_BOOK_H
@@ -22,54 +24,57 @@
 
 typedef struct wb_pace_book_t wb_pace_book_t;
 
-/** What a gateway knows of an engine, since its last report. */
+/** A gateway's report about an engine, since its last report. */
 typedef struct wb_pace_report_t {
-    const char *engine;
-    unsigned pace_percent; /**< the engine's own, by what it heard; 0: nothing */
-    double tokens;         /**< prompt tokens sent there since the last report */
+    const char *engine;    /**< id */
+    unsigned pace_percent; /**< lowest pace received from the engine; 0: none */
+    double tokens;         /**< prompt tokens sent there */
 } wb_pace_report_t;
 
-/** What gateways are told of an engine. */
+/** What is sent to gateways about an engine. */
 typedef struct wb_engine_load_t {
     uint32_t engine;       /**< wb_pace_engine_key of its id */
-    unsigned pace_percent; /**< 0: not known */
+    unsigned pace_percent; /**< intrinsic pace; 0: unknown */
     unsigned tokens_per_s; /**< prompt tokens that all gateways send there */
-    unsigned backlog_ms;   /**< time that it takes to read those that it can't have read yet */
+    unsigned backlog_ms;   /**< time to prefill the tokens that it can't have prefilled yet */
 } wb_engine_load_t;
 
-/** @return a short key of an engine's id; two engines of 1,400 share one in 0.02 % of fleets */
+/** @return a 32-bit hash of an engine's id; collisions are rare enough to be ignored */
 uint32_t wb_pace_engine_key(const char *id);
 
-/** @param token_ms time in which a usual engine reads a prompt token that was sent, those that it
- * keeps among them */
+/** @param token_ms time that a baseline engine needs for a prompt token sent, averaged over cached
+ * and uncached ones */
 wb_pace_book_t *wb_pace_book_create(double token_ms);
-/** Other figures of engines are in force. */
-void wb_pace_book_set_token_ms(wb_pace_book_t *book, double token_ms);
-void wb_pace_book_free(wb_pace_book_t *book);
-/** A gateway's report of the engines that it heard from or sent to. */
-void wb_pace_book_report(wb_pace_book_t *book, const wb_pace_report_t *reports, size_t count,
+/** Apply a new configuration. @param token_ms as for wb_pace_book_create */
+void wb_pace_book_set_token_ms(wb_pace_book_t *aggregate, double token_ms);
+void wb_pace_book_free(wb_pace_book_t *aggregate);
+/** Add a gateway's reports about the engines that it received from or sent to. */
+void wb_pace_book_report(wb_pace_book_t *aggregate, const wb_pace_report_t *reports, size_t count,
                          int64_t now_ms);
-/** @return an engine's own pace in percent, by what all gateways heard; 0: nothing */
-unsigned wb_pace_book_pace(const wb_pace_book_t *book, const char *engine, int64_t now_ms);
+/** @return an engine's intrinsic pace in percent; 0: unknown */
+unsigned wb_pace_book_pace(const wb_pace_book_t *aggregate, const char *engine, int64_t now_ms);
 /**
- * @param most entries at most
- * @return wb_engine_load_t of engines whose figures have changed since they were told, those that
- * changed most first; to be unreffed. They count as told.
+ * Collect the engines whose values have changed noticeably since they were last sent, the largest
+ * changes first, and mark them as sent.
+ * @param max max number of entries
+ * @return array of wb_engine_load_t; to be freed with g_array_unref
  */
-GArray *wb_pace_book_changes(wb_pace_book_t *book, size_t most, int64_t now_ms);
-/** @param backlog_ms out: how far it is behind
- * @return id of the engine that is furthest behind with reading, or NULL when none is; owned by the
- * book */
-const char *wb_pace_book_furthest_behind(const wb_pace_book_t *book, int64_t now_ms,
+GArray *wb_pace_book_changes(wb_pace_book_t *aggregate, size_t max, int64_t now_ms);
+/**
+ * @param backlog_ms out: its backlog; 0 if there is none
+ * @return id of the engine with the largest prefill backlog, owned by the aggregate; NULL: none has
+ * a backlog
+ */
+const char *wb_pace_book_furthest_behind(const wb_pace_book_t *aggregate, int64_t now_ms,
                                          double *backlog_ms);
-/** @return wb_engine_load_t of all engines as they were told last, for a gateway that has just
- * come; to be unreffed */
-GArray *wb_pace_book_told(const wb_pace_book_t *book);
-/** Nobody was told anything by this node yet: another one kept the book. */
-void wb_pace_book_tell_all(wb_pace_book_t *book);
-/** The engine has started again: what was heard of it and sent there before counts no more. */
-void wb_pace_book_forget(wb_pace_book_t *book, const char *engine);
-/** Forget engines that weren't reported for long. */
-void wb_pace_book_sweep(wb_pace_book_t *book, int64_t now_ms);
+/** @return array of wb_engine_load_t of all engines as last sent, for a gateway that has just
+ * connected; to be freed with g_array_unref */
+GArray *wb_pace_book_told(const wb_pace_book_t *aggregate);
+/** Mark all engines as not sent: another node has kept the aggregate in the meantime. */
+void wb_pace_book_tell_all(wb_pace_book_t *aggregate);
+/** Remove an engine that was restarted: what was reported about its earlier incarnation is void. */
+void wb_pace_book_forget(wb_pace_book_t *aggregate, const char *engine);
+/** Remove engines without recent reports. */
+void wb_pace_book_sweep(wb_pace_book_t *aggregate, int64_t now_ms);
 
 #endif
