--- a/src/dispatch/engine_choice.c
+++ b/src/dispatch/engine_choice.c
@@ -5,7 +5,7 @@
 
 /* Cost of a batch with all slots in use; scaled by the share of slots in use. */
 #define FULL_BATCH_MS 150.0
-/* Cost of a whole batch queued beyond the slots: such requests wait until others end. */
+/* Cost of a full batch queued beyond the slots: such requests wait until running ones end. */
 #define QUEUED_MS 4000.0
 /* Spread of an idle engine. It makes gateways break ties at random, so that those without recent
  * updates don't all choose the same engine. */
--- a/src/dispatch/engine_choice.h
+++ b/src/dispatch/engine_choice.h
@@ -4,7 +4,7 @@
  * chooses the engine with the lowest cost.
  *
  * Engines prefill prompts in chunks between the decoding steps of running streams. An engine with a
- * prefill backlog therefore answers late and widens the gaps between the events of its streams: an
+ * prefill backlog therefore responds late and widens the gaps between events of its streams: an
  * event of five tokens spans five steps, and each step may include a chunk. The cost of an engine
  * is the time that the request takes there, the time that other requests lose by it, and a penalty
  * for the probability that a latency target is missed.
@@ -13,7 +13,7 @@
  * - with engines of two speeds, streams go to the fast ones unless these have a prefill backlog;
  * - long prompts go to engines with few streams, or to engines that prefill fast;
  * - an engine that is temporarily slowed is avoided while its measurement is recent;
- * - each request beyond an engine's slots costs as long as one ahead of it is expected to run.
+ * - requests beyond an engine's slots are charged the expected wait for a free slot.
  *
  * Times are in milliseconds unless a name says otherwise, and prompt sizes in tokens. Pure
  * functions without errors. The caller selects the eligible engines.
@@ -33,7 +33,7 @@
     double step_ms;       /**< duration of a decoding step, in which each stream gets a token */
     double piece_tokens;  /**< max prompt tokens that one step prefills */
     double event_tokens;  /**< tokens of one event of a stream */
-    gboolean by_pace;     /**< consider engine paces and streams; FALSE: engines count as alike */
+    gboolean by_pace;     /**< consider engine paces and streams; FALSE: all engines count alike */
 } wb_choice_setup_t;
 
 /** A request to be sent. */
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_gate.c
@@ -10,8 +10,8 @@
         return G_MAXINT64;
     }
     int64_t sent = limiter->sent_ms != NULL ? limiter->sent_ms->len : 0;
-    /* A request may be sent one window after the one `share` places before it. Applied repeatedly,
-     * this leads to a request already sent, at index `earlier`; a negative index means none. */
+    /* A request may be sent one window after the one `share` positions before it. Applied
+     * repeatedly, this leads to a request already sent, at index `earlier`; negative: none. */
     int64_t earlier = sent + ahead % share - share;
     int64_t next_ms = now_ms;
     if (earlier >= 0) {
--- a/src/poison/poison_book.c
+++ b/src/poison/poison_book.c
@@ -16,7 +16,8 @@
 
 wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options) {
     wb_poison_book_t *registry = g_new0(wb_poison_book_t, 1);
-    registry->options.kept_ms = options->kept_ms > 0 ? options->kept_ms : WB_POISON_KEPT_MS;
+    registry->options.retention_ms =
+        options->retention_ms > 0 ? options->retention_ms : WB_POISON_KEPT_MS;
     registry->options.trial_ms = options->trial_ms > 0 ? options->trial_ms : WB_POISON_TRIAL_MS;
     wb_list_init(&registry->entries);
     registry->version = 1;
@@ -149,7 +150,7 @@
     if (!engine_add(entry, engine, FALSE)) {
         return FALSE;
     }
-    entry->until_ms = now_ms + registry->options.kept_ms;
+    entry->until_ms = now_ms + registry->options.retention_ms;
     entry_mark_changed(registry, entry);
     return TRUE;
 }
@@ -250,7 +251,7 @@
         gboolean overlaps = delay_ms > WB_POISON_TIED_TRIAL_MS && entry_overlaps(registry, entry);
         /* Neither time lies before the last crash. Late reports of other nodes make the crash look
          * more recent than it was, so the earlier of the two is used. */
-        int64_t crashed_ms = entry->until_ms - registry->options.kept_ms;
+        int64_t crashed_ms = entry->until_ms - registry->options.retention_ms;
         return MIN(crashed_ms, entry->asked_ms) + (overlaps ? WB_POISON_TIED_TRIAL_MS : delay_ms);
     }
     for (guint i = 0; i < entry->trials; i++) {
@@ -279,7 +280,7 @@
 
 /* Clears engines until one more crash would refuse the request again. It doesn't matter which, but
  * every node must choose the same ones: those with the highest hashes. */
-static void entry_demote(wb_poison_entry_t *entry, int64_t kept_ms) {
+static void entry_demote(wb_poison_entry_t *entry, int64_t retention_ms) {
     while (wb_poison_entry_engines(entry) >= WB_POISON_ENGINES) {
         guint highest = entry->engine_count;
         for (guint i = 0; i < entry->engine_count; i++) {
@@ -291,7 +292,7 @@
         }
         entry->forgiven |= 1U << highest;
     }
-    entry->until_ms += kept_ms;
+    entry->until_ms += retention_ms;
 }
 
 void wb_poison_book_sweep(wb_poison_book_t *registry, int64_t now_ms) {
@@ -301,7 +302,7 @@
             continue;
         }
         if (wb_poison_entry_engines(entry) >= WB_POISON_ENGINES) {
-            entry_demote(entry, registry->options.kept_ms);
+            entry_demote(entry, registry->options.retention_ms);
             entry_mark_changed(registry, entry);
         } else {
             entry_remove(registry, entry);
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_book.h
@@ -14,10 +14,10 @@
  * updates are sent.
  *
  * Bounds: WB_POISON_ENTRIES requests; the ones with the fewest engines are evicted, of those the
- * one that expires first. The crashes of a request expire `kept_ms` after the last one; a refused
- * request is then admitted again until one more crash refuses it again. Long before, one node runs
- * it as a trial: a refused request that is in fact harmless could otherwise never be cleared by a
- * complete response.
+ * one that expires first. The crashes of a request expire `retention_ms` after the last one; a
+ * refused request is then admitted again until one more crash. Long before, one node runs it as a
+ * trial: a refused request that is in fact harmless could otherwise never be cleared by a complete
+ * response.
  *
  * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors. Crash detection
  * and messages are handled elsewhere.
@@ -80,8 +80,8 @@
 typedef struct wb_poison_book_t wb_poison_book_t;
 
 typedef struct wb_poison_options_t {
-    int64_t kept_ms;  /**< 0: WB_POISON_KEPT_MS */
-    int64_t trial_ms; /**< 0: WB_POISON_TRIAL_MS */
+    int64_t retention_ms; /**< 0: WB_POISON_KEPT_MS */
+    int64_t trial_ms;     /**< 0: WB_POISON_TRIAL_MS */
 } wb_poison_options_t;
 
 wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options);
