--- a/src/dispatch/admission.h
+++ b/src/dispatch/admission.h
@@ -5,7 +5,8 @@
  *
  * When all engines of a model are overloaded, admitting every request makes every response late,
  * and engines spend time on prompts whose clients time out before the first event. A request that
- * can't be answered near its target is therefore refused at once, with a Retry-After.
+ * can't be answered near its target is therefore refused at once, with a Retry-After. This doesn't
+ * lower the throughput, as an overloaded engine prefills as much with a shorter queue.
  *
  * A gateway's view of an engine's backlog is up to half a second old. The probability of a refusal
  * therefore rises gradually: with a hard threshold all gateways would refuse and admit in step, and
