--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -116,7 +116,7 @@
     gpointer of_host;
     if (node->edge.catalog == NULL) {
         json_decref(routes);
-        error_respond(connection, 503, "no configuration has been read yet");
+        error_respond(connection, 503, "no configuration is known yet");
         return;
     }
     g_hash_table_iter_init(&iter, node->edge.catalog->hosts);
@@ -152,7 +152,7 @@
     gpointer service;
     if (node->edge.catalog == NULL) {
         json_decref(models);
-        error_respond(connection, 503, "no configuration has been read yet");
+        error_respond(connection, 503, "no configuration is known yet");
         return;
     }
     g_hash_table_iter_init(&services, node->edge.catalog->services);
@@ -196,7 +196,7 @@
     const wb_catalog_t *catalog = node->edge.catalog;
     if (catalog == NULL || catalog->tenants == NULL) {
         json_decref(tenants);
-        error_respond(connection, 404, "the configuration in force has no tenants");
+        error_respond(connection, 404, "the configuration that is in force has no tenants");
         return;
     }
     GHashTableIter iter;
@@ -235,11 +235,11 @@
     wb_request_digest_t digest;
     if (!g_str_has_prefix(query, member) ||
         !wb_request_digest_read(query + strlen(member), &digest)) {
-        error_respond(connection, 400, "expected ?digest= with 32 hexadecimal digits");
+        error_respond(connection, 400, "say ?digest= and 32 hexadecimal digits");
         return;
     }
     if (!wb_poison_book_forgive(node->edge.poison, &digest)) {
-        error_respond(connection, 404, "this node has no entry for this request");
+        error_respond(connection, 404, "nothing is held against this request here");
         return;
     }
     wb_event("request-forgiven", ",\"id\":\"\",\"digest\":\"%s\",\"engine\":\"\"",
@@ -303,7 +303,7 @@
     const wb_edge_t *edge = &node->edge;
     const wb_service_t *service = service_of_model(edge, model);
     if (service == NULL) {
-        error_respond(connection, 404, "no service in the configuration has this model");
+        error_respond(connection, 404, "no service of the configuration has this model");
         return;
     }
     const wb_lease_row_t *lease = wb_lease_known(node->lease);
@@ -340,7 +340,7 @@
                                *ended->engine != '\0' ? ended->engine : "none", "why", why));
         return;
     }
-    error_respond(connection, 404, "this node no longer has this request in memory; see its log");
+    error_respond(connection, 404, "this node doesn't remember such a request; see its log");
 }
 
 static void explanation_show(wb_edge_node_t *node, wb_http_connection_t *connection,
@@ -353,7 +353,7 @@
     else if (name != NULL && strcmp(words[0], "request") == 0)
         request_explain(node, connection, name);
     else
-        error_respond(connection, 400, "expected ?model=NAME or ?request=ID");
+        error_respond(connection, 400, "say ?model=NAME or ?request=ID");
 }
 
 static void drain_begin(wb_edge_node_t *node, wb_http_connection_t *connection, const char *query) {
@@ -393,7 +393,7 @@
     if (call != NULL)
         call->run(node, connection, query);
     else
-        error_respond(connection, 404, "no such operator call");
+        error_respond(connection, 404, "there is no such call");
     wb_http_head_free(head);
     g_byte_array_unref(body);
 }
