--- a/include/wickbridge/cold_share.h
+++ b/include/wickbridge/cold_share.h
@@ -1,36 +1,34 @@
 /**
  * @file cold_share.h
- * @brief How many requests a second this node may send to an engine that is cold.
+ * @brief This node's share of the requests that a cold engine sustains.
  *
- * The load that it answers: an engine has just started, or a whole zone of them comes back, with
- * models that stand nowhere else, and bears some requests a second at first (6.5, say) where all
- * gateways together would send it more: who waited for the model comes in one moment. It falls over
- * then. All gateways share what it bears, in touch or not, new or paused, so the share of each must
- * hold without a word between them.
+ * An engine that has just started (cold engine) sustains only a few requests per second and crashes
+ * under more. Requests that waited for a model would otherwise reach it from all gateways at once.
+ * The limit must hold even if gateways can't reach each other, so each computes its share locally.
  *
- * Each engine's requests a second are dealt out among the nodes by rendezvous hashing: every node
- * finds the same order of nodes for an engine, and as many as it bears requests have one each (or
- * several, where there are fewer nodes than that). The others wait until it is warm, which takes
- * seconds, or use another engine. Shares by chance would let more callers through on average, but
- * 87 nodes with a request each at one moment would break the bound of 14 one time in some. Nodes
- * that are gone keep their share until their rows go: then less is sent than may be.
+ * The engine's requests per second are divided among the nodes in whole requests, by rendezvous
+ * hashing: all nodes compute the same order of nodes for an engine, and as many nodes as it
+ * sustains requests get one each, or several if there are fewer nodes. The others wait until the
+ * engine is warm, which takes seconds, or use another engine. Random shares would exceed the limit
+ * now and then. A node that has stopped keeps its share until its row is removed from the store;
+ * until then less is sent than the engine sustains.
  *
- * Pure: the time is passed in.
+ * Pure. The functions can't fail.
  */
 #ifndef WICKBRIDGE_COLD_SHARE_H
 #define WICKBRIDGE_COLD_SHARE_H
 
 #include "wickbridge/send_gate.h"
 
-/** In which requests are counted: a second as the engine counts it, and a tenth for what takes
- * longer on its way than what comes after it. */
+/** Window in which requests are counted: the engine's second, and 0.1 s for differences in network
+ * delay. */
 #define WB_COLD_WINDOW_MS 1100
 
 /**
- * @param per_s requests a second that the engine bears from all nodes together
- * @param nodes all nodes that share it, with this one; 0: this one has no part now
- * @param rank  nodes that come before this one, by wb_dealt_rank
- * @return requests a second for this node
+ * @param per_s requests per second that the engine sustains from all nodes together
+ * @param nodes number of nodes that share it, this one included; 0: this node has no share now
+ * @param rank  number of nodes that precede this one, by wb_dealt_rank
+ * @return requests in any WB_COLD_WINDOW_MS for this node
  */
 unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank);
 
--- a/include/wickbridge/edge.h
+++ b/include/wickbridge/edge.h
@@ -1,10 +1,11 @@
 /**
  * @file edge.h
- * @brief An edge node: takes callers' requests, sends them to engines, and carries the placement
- * controller.
+ * @brief An edge node: accepts clients' requests, forwards them to engines, and runs the placement
+ * controller while it holds the lease.
  *
- * One process, one loop, one thread. What must last lives in the store behind wb_table_t; words and
- * forms of the estate come from a wb_dialect_t.
+ * One process, one loop, one thread; all functions must be called on the loop's thread. Persistent
+ * state is kept in the store behind wb_table_t; names and formats of the platform come from a
+ * wb_dialect_t. Units are in the names of the settings.
  */
 #ifndef WICKBRIDGE_EDGE_H
 #define WICKBRIDGE_EDGE_H
@@ -17,7 +18,8 @@
 typedef struct wb_edge_t wb_edge_t;
 typedef struct wb_edge_node_t wb_edge_node_t;
 
-/** Settings of an edge node; src/edge/edge_settings.c has the table. */
+/** Settings of an edge node. Names, defaults, bounds and descriptions are in
+ * src/edge/edge_settings.c. */
 typedef struct wb_edge_settings_t {
     const char *id;
     const char *zone;
@@ -72,23 +74,27 @@
 extern const wb_settings_table_t wb_edge_settings_table;
 
 /**
- * Create a node and begin to follow the store; nothing is served before wb_edge_node_run.
+ * Create a node, open its listeners and start to read the store; nothing happens before the loop
+ * runs. A node lives as long as the process.
+ * @param settings copied; its strings must outlive the node
  * @param table   the store; must outlive the node
- * @param dialect the estate's words; must outlive the node
+ * @param dialect the platform's names and formats; must outlive the node
+ * @return APR_SUCCESS, or the status of a listener that can't be opened, with a message in `error`
  */
 apr_status_t wb_edge_node_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
                                  wb_table_t *table, const wb_dialect_t *dialect,
                                  wb_edge_node_t **node, wb_error_t *error);
 
 /**
- * Take up settings that may change while the node runs: the stop's grace, the drain time, the retry
- * slack, time-outs, the reading rate. @return how many of the others differ, which only a start
- * takes up
+ * Apply the settings that may change at run time, such as drain time, retry slack, timeouts and the
+ * prefill rate.
+ * @return number of changed settings that take effect only after a restart
  */
 unsigned wb_edge_node_reload(wb_edge_node_t *node, const wb_edge_settings_t *settings);
 
-/** Begin a planned stop: not ready any more, answers end their connections, the lease is given up.
- */
+/** Begin a planned stop: the node reports not ready, closes each client connection after its
+ * response, and releases the lease. The loop ends when open requests are done or the grace period
+ * (stop_grace_s) is over. */
 void wb_edge_node_drain(wb_edge_node_t *node);
 
 #endif
--- a/include/wickbridge/edge_metrics.h
+++ b/include/wickbridge/edge_metrics.h
@@ -1,6 +1,9 @@
 /**
  * @file edge_metrics.h
- * @brief Counters and latency histograms of an edge node, in the Prometheus text format.
+ * @brief Counters, gauges and latency histograms of an edge node, in the Prometheus text format.
+ *
+ * Members are incremented directly; the metric names are in edge_metrics.c. Latencies are recorded
+ * in milliseconds and written in seconds. Loop thread only; the functions can't fail.
  */
 #ifndef WICKBRIDGE_EDGE_METRICS_H
 #define WICKBRIDGE_EDGE_METRICS_H
@@ -13,75 +16,79 @@
 #define WB_ENDINGS_MAX 24
 #define WB_LATENCY_BUCKETS 12
 
-/** A latency histogram; bounds are in edge_metrics.c. */
+/** A latency histogram; the bucket bounds are in edge_metrics.c. */
 typedef struct wb_histogram_t {
-    uint64_t buckets[WB_LATENCY_BUCKETS + 1];
+    uint64_t buckets[WB_LATENCY_BUCKETS + 1]; /**< not cumulative; the last one has no bound */
     uint64_t count;
     uint64_t sum_ms;
 } wb_histogram_t;
 
+/** Counters and histograms since the start of the process. */
 typedef struct wb_edge_metrics_t {
-    uint64_t requests;
-    uint64_t endings[WB_ENDINGS_MAX];
-    uint64_t sends;
-    uint64_t resends;
-    uint64_t resends_refused; /* beyond what the retry budget allows */
-    uint64_t rejections;
-    uint64_t broken_sends;
-    uint64_t sends_withdrawn; /**< before a byte left, as the engine had told not to send */
-    uint64_t engine_checks;
-    uint64_t engine_crashes;
-    uint64_t engine_restarts;     /**< starts of engines that were known by their id */
-    uint64_t engine_rows_refused; /**< rows that name no engine to use */
-    uint64_t cold_sends;          /**< sendings to engines that were cold */
-    uint64_t evacuations;         /**< of zones */
-    uint64_t directory_wants;     /**< questions to a relay for engines */
-    uint64_t directory_answers;   /**< answers as a relay */
-    uint64_t waits;
-    uint64_t connections_opened;
-    uint64_t connections_reused;
+    uint64_t requests;                /**< client requests */
+    uint64_t endings[WB_ENDINGS_MAX]; /**< requests by outcome (wb_ending_t) */
+    uint64_t sends;                   /**< attempts: requests sent to engines */
+    uint64_t resends;                 /**< attempts after the first one of a request */
+    uint64_t resends_refused;         /**< retries that the retry budget didn't allow */
+    uint64_t rejections;              /**< attempts that engines rejected without running them */
+    uint64_t broken_sends;            /**< attempts without a complete response */
+    uint64_t sends_withdrawn; /**< attempts cancelled before the first byte was sent, as the engine
+                                 had meanwhile reported a limit, draining or a backoff */
+    uint64_t engine_checks;   /**< connections made to find out whether an engine has crashed */
+    uint64_t engine_crashes;  /**< engines found to have crashed while running requests */
+    uint64_t engine_restarts; /**< new incarnations of known engine ids */
+    uint64_t engine_rows_refused; /**< invalid rows of the engines table */
+    uint64_t cold_sends;          /**< attempts at cold engines */
+    uint64_t evacuations;         /**< zone evacuations that this node learned of */
+    uint64_t directory_wants;     /**< queries for engines sent to a relay */
+    uint64_t directory_answers;   /**< such queries answered as a relay */
+    uint64_t waits;               /**< requests that waited for an engine or a model */
+    uint64_t connections_opened;  /**< to engines */
+    uint64_t connections_reused;  /**< to engines */
     wb_store_calls_t store_calls;
-    uint64_t lease_takeovers;
-    uint64_t news_of_other_starts; /**< news of models at a start of an engine that isn't known */
-    uint64_t orders;
-    uint64_t orders_unknown;
-    uint64_t store_loads;
-    uint64_t local_loads;
-    uint64_t unloads;
-    uint64_t figures_refused;           /**< what engines tell of themselves and can't be */
-    uint64_t engine_limits;             /**< limits that engines have named or changed */
-    uint64_t engine_leavings;           /**< engines whose answers have told that they leave */
-    uint64_t engine_rests;              /**< times that engines asked this node to stay away */
-    uint64_t late_answers;              /**< first events later than their target */
-    uint64_t long_pauses;               /**< streams that paused longer than their target */
-    uint64_t load_news;                 /**< messages told or heard about what engines have */
-    wb_histogram_t prediction_error_ms; /**< a first event's time beside what was predicted */
-    wb_histogram_t answer_ms;           /**< arrival to the first bytes of the answer */
-    wb_histogram_t whole_ms;            /**< arrival to the end of the answer */
-    wb_histogram_t wait_ms;             /**< time spent waiting for a model */
+    uint64_t lease_takeovers;      /**< times that this node took the lease over */
+    uint64_t news_of_other_starts; /**< placement updates for another incarnation of an engine than
+                                      the known one */
+    uint64_t orders;               /**< orders sent to engines */
+    uint64_t orders_unknown;       /**< orders without a response */
+    uint64_t store_loads;          /**< loads ordered from the weight store */
+    uint64_t local_loads;          /**< loads ordered from an engine's memory or disk */
+    uint64_t unloads;              /**< unloads ordered */
+    uint64_t figures_refused;      /**< malformed or out-of-range values in engines' headers */
+    uint64_t engine_limits;        /**< limits that engines reported or changed */
+    uint64_t engine_leavings;      /**< engines that reported draining in a response */
+    uint64_t engine_rests;         /**< times that engines asked this node for a backoff */
+    uint64_t late_answers;         /**< first events later than the route's target */
+    uint64_t long_pauses;          /**< streams with a longer gap than the route's target */
+    uint64_t load_news;            /**< messages about engine load sent or received */
+    wb_histogram_t prediction_error_ms; /**< absolute error of the predicted time to first event */
+    wb_histogram_t answer_ms;           /**< arrival to the first bytes of the response */
+    wb_histogram_t whole_ms;            /**< arrival to the end of the response */
+    wb_histogram_t wait_ms;             /**< time spent waiting for an engine or a model */
 } wb_edge_metrics_t;
 
+/** Add a value; negative values count as 0 in the sum. */
 void wb_histogram_add(wb_histogram_t *histogram, int64_t value_ms);
-/** Values that are read when the figures are told. */
+/** Values that are read when the metrics are written. */
 typedef struct wb_edge_gauges_t {
-    int64_t catalog_version;
-    int64_t catalog_age_ms;
-    int64_t engines_age_ms;
-    unsigned engines;
+    int64_t catalog_version; /**< version of the configuration in force */
+    int64_t catalog_age_ms;  /**< since the configuration was last confirmed by the store */
+    int64_t engines_age_ms;  /**< since the engines were last confirmed by the store */
+    unsigned engines;        /**< announced engines */
     unsigned open_requests;
-    unsigned waiting_requests;
+    unsigned waiting_requests; /**< requests waiting for an engine or a model */
     unsigned nodes;
-    unsigned share_nodes; /**< among how many the retry slack is divided; 0: no share now */
+    unsigned share_nodes; /**< nodes that share the retry slack; 0: this node has no share now */
     unsigned evacuated_zones;
-    unsigned nodes_of_other_forms;
-    unsigned suspected_requests; /**< different ones, by what they ask for */
-    unsigned poison_requests;    /**< the same */
+    unsigned nodes_of_other_forms; /**< nodes with another version of the message format */
+    unsigned suspected_requests;   /**< distinct requests suspected of crashing engines */
+    unsigned poison_requests;      /**< distinct requests refused for crashing engines */
     gboolean holds_lease;
-    uint64_t lease_token;
+    uint64_t lease_token; /**< token of this node's last lease */
     uint64_t log_lines_dropped;
 } wb_edge_gauges_t;
 
-/** Append all figures as text. */
+/** Append all metrics as text. */
 void wb_edge_metrics_write(const wb_edge_metrics_t *metrics, const wb_edge_gauges_t *gauges,
                            GString *text);
 
--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -1,64 +1,66 @@
 /**
  * @file engine_limit.h
- * @brief How many requests this node may send to an engine that has named a limit for all nodes
- * together.
+ * @brief This node's share of a request rate limit that an engine reports for all nodes together.
  *
- * What the engine takes in four seconds is dealt out among the nodes in whole requests, by
- * rendezvous hashing: where there are more nodes than requests, most have none, and other nodes for
- * each engine. Each sends its part in any four and a half seconds, so that requests which are half
- * a second longer on their way still arrive in no more than that.
+ * The requests that the limit allows in four seconds are divided among the nodes in whole requests,
+ * by rendezvous hashing. If there are more nodes than requests, most nodes have no share, and these
+ * are different nodes for each engine. A node may send its share in any window of 4.5 s; the extra
+ * 0.5 s allows for differences in network delay.
  *
- * A limit holds as long as the engine names it. Answers overtake one another: only one to a request
- * that was sent after the limit was last named shows that it has ended. A node without a part hears
- * no answers. It learns the end from others; where nobody has heard the engine for some time, such
- * nodes may try in turn, one in five seconds.
+ * A limit is in force while the engine's responses report it. As responses may arrive out of order,
+ * only a response to a request sent after the limit was last reported can end it. A node without a
+ * share gets no responses and learns the end from other nodes. If no node has had a response for
+ * some time, the nodes without a share may send one probe each, in turn, one every five seconds.
  *
- * Over all nodes that is at most what is named, or one request, and two more in four seconds.
+ * In any four seconds all nodes together send at most what the reported rate allows (but at least
+ * one request) plus two requests.
  *
- * Pure: the time is passed in.
+ * Pure: the time is passed in. Times are monotonic (wb_clock_ms) in milliseconds; rates are in
+ * requests per second. The functions can't fail. Not thread-safe.
  */
 #ifndef WICKBRIDGE_ENGINE_LIMIT_H
 #define WICKBRIDGE_ENGINE_LIMIT_H
 
 #include "wickbridge/send_gate.h"
 
-/** In which a node's requests are counted, for a limit of one request in four seconds or more. */
+/** Window in which a node's requests are counted, for limits of at least one request in 4 s. */
 #define WB_LIMIT_WINDOW_MS 4500
 
-/** An engine's limit; all zeros: it has none. */
+/** An engine's limit; zeroed: it has none. */
 typedef struct wb_engine_limit_t {
-    gboolean named;
-    double per_s;        /**< requests a second */
-    int64_t named_ms;    /**< steady time at which an answer to any node last named it */
-    int64_t ended_ms;    /**< when the request was sent whose answer showed its end; 0: never */
-    wb_send_gate_t gate; /**< what this node has sent since */
+    gboolean named;      /**< it is in force */
+    double per_s;        /**< requests per second */
+    int64_t named_ms;    /**< when a response to any node last reported it */
+    int64_t ended_ms;    /**< when the request was sent whose response showed its end; 0: never */
+    wb_send_gate_t gate; /**< requests that this node has sent since */
 } wb_engine_limit_t;
 
-/** This node among those that share what an engine takes. */
+/** Position of this node among those that share an engine's limit. */
 typedef struct wb_limit_place_t {
-    unsigned nodes; /**< 0: it has no part now */
-    unsigned rank;  /**< nodes before it, by wb_dealt_rank */
+    unsigned nodes; /**< number of nodes that share it; 0: this node has no share now */
+    unsigned rank;  /**< number of nodes that precede this one, by wb_dealt_rank */
 } wb_limit_place_t;
 
 /**
- * An answer has named a limit.
+ * A response reported the limit.
  * @param sent_ms  when its request was sent
- * @param named_ms when the answer came
- * @return TRUE when the limit is new or another one
+ * @param named_ms when it arrived
+ * @return TRUE if the limit is new or its rate has changed
  */
 gboolean wb_engine_limit_name(wb_engine_limit_t *limit, double per_s, int64_t sent_ms,
                               int64_t named_ms);
-/** An answer has named none. @param sent_ms as above @return TRUE when the limit has ended by that
- */
+/** A response reported no limit. @param sent_ms as above @return TRUE if that ended the limit */
 gboolean wb_engine_limit_unname(wb_engine_limit_t *limit, int64_t sent_ms);
 /**
- * @param ahead requests of this node that wait for the engine and come first
- * @return steady time from which this node may send; now_ms: now; G_MAXINT64: none is known
+ * Compute the next send time of this node.
+ * @param ahead number of this node's requests that wait for the engine and will be sent first
+ * @return time from which this node may send; now_ms: at once; G_MAXINT64: unknown
  */
 int64_t wb_engine_limit_opens_ms(const wb_engine_limit_t *limit, const wb_limit_place_t *place,
                                  unsigned ahead, int64_t now_ms);
-/** A request is sent there. */
+/** Record that this node sends a request to the engine. */
 void wb_engine_limit_note(wb_engine_limit_t *limit, int64_t now_ms);
+/** Free the record of sent requests. */
 void wb_engine_limit_clear(wb_engine_limit_t *limit);
 
 #endif
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -1,18 +1,19 @@
 /**
  * @file engine_pace.h
- * @brief How long work takes at an engine, beside what it takes at a usual one.
+ * @brief Pace of an engine: the time that work takes there, in percent of the baseline (100).
+ * Higher is slower.
  *
- * Engines that share their machines with others tell on each answer how long work takes there at
- * this moment, in percent of what is usual. The figure has two parts: what the engine is (engines
- * of one service differ by more than two times), which lasts, and what its neighbours do, which
- * only slows it and is over within a second. The least figure of some seconds is taken for the
- * first part; a figure of some hundred ms ago tells of the second.
+ * Engines on shared machines report their current pace in each response. It has two parts: the
+ * engine's own pace, which is constant (engines of one service differ by more than a factor of
+ * two), and interference by co-located workloads, which only slows the engine down and lasts less
+ * than a second. The lowest value of some seconds is taken as the engine's own pace; a value of the
+ * last few hundred ms indicates current interference.
  *
- * A gateway hears from an engine rarely: 89 gateways before 140 engines with 300 requests a second
- * between them hear from each once in 40 s. So what all of them hear is put together
- * (pace_book.h), and `wb_engine_pace_share` takes what others heard.
+ * A single gateway receives too few responses from each engine, so the values of all gateways are
+ * aggregated (pace_book.h), and the aggregate is set with wb_engine_pace_share.
  *
- * Pure: the time is passed in. What it doesn't do: choose an engine (engine_choice.h).
+ * Pure: the time is passed in, monotonic (wb_clock_ms) in milliseconds. Invalid values are ignored;
+ * the functions report no other errors. Not thread-safe. Engines are chosen in engine_choice.h.
  */
 #ifndef WICKBRIDGE_ENGINE_PACE_H
 #define WICKBRIDGE_ENGINE_PACE_H
@@ -20,36 +21,38 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Figures beyond these are no measure of an engine, in percent: a tenth to ten times the usual. */
+/** Bounds of a valid pace in percent. */
 #define WB_PACE_LEAST_PERCENT 10
 #define WB_PACE_MOST_PERCENT 1000
-/** The least figure of so long, and of so long before, is the engine's own. Neighbours' work lasts
- * 0.6 s, and each engine of 140 is heard from twice a second by all gateways together. */
+/** Length of a window. The lowest value of the current and the previous window is the engine's own
+ * pace; interference lasts much shorter. */
 #define WB_PACE_WINDOW_MS 6000
 
-/** An engine's pace as one node knows it; zeroed: nothing is known, and it counts as usual. */
+/** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
 typedef struct wb_engine_pace_t {
-    unsigned told_percent; /* the last figure heard here; 0: none */
+    unsigned told_percent; /* last value received here; 0: none */
     int64_t told_ms;
-    unsigned least_percent;        /* of the window that runs; 0: none */
-    unsigned least_before_percent; /* of the window before; 0: none */
+    unsigned least_percent;        /* lowest of the current window; 0: none */
+    unsigned least_before_percent; /* lowest of the previous window; 0: none */
     int64_t window_began_ms;
-    unsigned shared_percent; /* the engine's own, by what all nodes heard; 0: not told */
+    unsigned shared_percent; /* own pace by the values of all nodes; 0: unknown */
 } wb_engine_pace_t;
 
-/** Read a told figure. @return percent, or 0 when the text is no figure of a possible pace */
+/** Parse a reported pace. @return percent, or 0 if it is malformed or out of bounds */
 unsigned wb_engine_pace_read(const char *text);
-/** The engine has told a figure here. @param percent as wb_engine_pace_read gives it; 0: ignored */
+/** Add a value that this node received. @param percent as wb_engine_pace_read returns it; 0 is
+ * ignored */
 void wb_engine_pace_told(wb_engine_pace_t *pace, unsigned percent, int64_t now_ms);
-/** All nodes together have heard this least figure. */
+/** Set the lowest value that all nodes together received. @param percent 0: unknown */
 void wb_engine_pace_share(wb_engine_pace_t *pace, unsigned percent);
-/** @return the least figure that was heard here lately; 0: none */
+/** @return the lowest value received here in the current and the previous window, in percent; 0:
+ * none */
 unsigned wb_engine_pace_heard(const wb_engine_pace_t *pace, int64_t now_ms);
-/** @return the engine's own figure in percent, neighbours aside; 0: nothing is known */
+/** @return the engine's own pace in percent, without interference; 0: unknown */
 unsigned wb_engine_pace_own(const wb_engine_pace_t *pace, int64_t now_ms);
-/** @return how many times as long as usual work takes there by itself: 1 when nothing is known */
+/** @return the engine's own pace as a factor of the baseline; 1 if unknown */
 double wb_engine_pace_usual(const wb_engine_pace_t *pace, int64_t now_ms);
-/** @return how many times as long as usual work is expected to take there now */
+/** @return the pace expected now, with interference, as a factor of the baseline */
 double wb_engine_pace_now(const wb_engine_pace_t *pace, int64_t now_ms);
 
 #endif
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -1,9 +1,14 @@
 /**
  * @file fleet.h
- * @brief Engines as a gateway knows them: what they announce, what the controller says, what
- * answers showed.
+ * @brief The engines known to a gateway: what each announces in the store, what the controller
+ * reports about it, and what this node has observed in its responses.
  *
- * Threads: everything here belongs on the loop's thread.
+ * An engine is identified by its id and start time (its incarnation); a restarted engine is a new
+ * wb_engine_t. Engines are reference counted and stay in the fleet for some seconds after their
+ * announcement was removed.
+ *
+ * Times are monotonic (wb_clock_ms) in milliseconds unless stated otherwise. Functions report
+ * failure by their return value only. All functions must be called on the loop's thread.
  */
 #ifndef WICKBRIDGE_FLEET_H
 #define WICKBRIDGE_FLEET_H
@@ -17,173 +22,185 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** A model on an engine. */
+/** A model loaded on an engine. */
 typedef struct wb_engine_model_t {
     char *name;
     int64_t version;
     GHashTable *adapters; /**< set of names */
 } wb_engine_model_t;
 
-/** What an engine announces of itself. */
+/** State that an engine publishes: its announcement in the store, or its answer to a report call.
+ */
 typedef struct wb_engine_state_t {
     char *id;
-    int64_t born_ms; /**< when the engine started, in Unix ms by its own clock, which may be wrong:
-                        compared only with that of the same id. 0: not told */
-    char *incarnation; /**< names one start of one engine: ID@BORN, or ID where no start is told */
+    int64_t born_ms; /**< start time in Unix ms by the engine's own clock, which may be wrong: only
+                        compare it with that of the same id. 0: unknown */
+    char *incarnation; /**< identifies one run of the engine process: ID@BORN, or ID if the start
+                          time is unknown */
     char *service;
     char *address;
     char *zone;
     int slots;
-    gboolean leaving;
-    int64_t remaining_ms;  /**< time until it is gone; -1: not told */
-    int64_t cold_ms;       /**< time for which it bears few requests yet; 0: it is warm */
+    gboolean leaving;      /**< it is draining */
+    int64_t remaining_ms;  /**< time until a draining engine exits; -1: unknown */
+    int64_t cold_ms;       /**< remaining warm-up time, with reduced capacity; 0: it is warm */
     GHashTable *models;    /**< name -> wb_engine_model_t */
-    GHashTable *in_memory; /**< set of models with copies of their weights in memory */
-    GHashTable *on_disk;   /**< set of models with copies of their weights on disk */
-    GHashTable *arriving;  /**< set of MODEL/ADAPTER that were ordered and not yet reported */
-    /* Told only when the engine is asked for a report: */
+    GHashTable *in_memory; /**< set of models whose weights are cached in host memory */
+    GHashTable *on_disk;   /**< set of models whose weights are cached on disk */
+    GHashTable *arriving;  /**< set of MODEL/ADAPTER that were ordered and not reported yet */
+    /* Set in answers to report calls only: */
     gboolean reported;
-    gboolean busy;    /**< an order is under way */
-    int64_t sequence; /**< orders taken */
-    unsigned coming;  /**< adapters on their way */
+    gboolean busy;    /**< an order is being executed */
+    int64_t sequence; /**< number of orders accepted so far */
+    unsigned coming;  /**< number of adapters being loaded */
 } wb_engine_state_t;
 
 wb_engine_state_t *wb_engine_state_create(const char *id);
-/** Set when the engine started. @param born_ms as in wb_engine_state_t */
+/** Set the start time and the incarnation. @param born_ms as in wb_engine_state_t */
 void wb_engine_state_set_born(wb_engine_state_t *state, int64_t born_ms);
 void wb_engine_state_free(wb_engine_state_t *state);
+/** @return the model, with no adapters; owned by `state` */
 wb_engine_model_t *wb_engine_state_add_model(wb_engine_state_t *state, const char *name,
                                              int64_t version);
 
-/** An engine, kept while it is announced or requests run on it. */
+/** One incarnation of an engine, kept while it is announced or referenced by requests. */
 typedef struct wb_engine_t {
     int references;
-    wb_engine_state_t *state;
-    gboolean gone;            /**< no longer announced */
-    int64_t leaving_ms;       /**< steady time since which it is leaving or gone; 0: it isn't */
-    gboolean told_leaving;    /**< it told so in an answer, which no row of the same start undoes */
-    int64_t use_until_ms;     /**< steady time until which it may still get work if it is gone, or
-                                 leaves by an answer alone */
-    int64_t closed_from_ms;   /**< steady time from which it gets nothing new, as its zone is being
-                                 evacuated; 0: it isn't */
-    int64_t cold_until_ms;    /**< steady time until which it bears few requests; 0: it is warm */
-    wb_send_gate_t cold_gate; /**< what this node sent there while it was cold */
-    unsigned cold_share;      /**< requests a second that this node may send there meanwhile */
-    int64_t cold_shared_ms;   /**< when that was worked out; 0: never */
-    GHashTable *overlay;      /**< MODEL/ADAPTER -> private; the controller's news */
-    /* What this node sees of it: */
-    unsigned running;           /**< this node's requests on it */
-    int64_t prefill_tokens;     /**< prompt tokens sent by this node and not yet answered */
-    unsigned reported_running;  /**< running, by its last answer */
-    unsigned reported_waiting;  /**< waiting, by its last answer */
-    int64_t reported_ms;        /**< when; 0: never */
-    wb_engine_pace_t pace;      /**< how long work takes there */
-    unsigned pace_heard;        /**< least percent told since the last report; 0: none */
-    double tokens_sent;         /**< prompt tokens sent there since the last report */
-    double shared_tokens_per_s; /**< prompt tokens that all nodes send there */
-    double shared_backlog_ms;   /**< time in which it has read them, as of shared_ms */
+    wb_engine_state_t *state; /**< the latest announcement; owned */
+    gboolean gone;            /**< its announcement was removed */
+    int64_t leaving_ms;       /**< since when it has been draining or removed; 0: neither */
+    gboolean told_leaving;  /**< a response reported draining; announcements of the same incarnation
+                               don't reset it */
+    int64_t use_until_ms;   /**< it was removed, or reported draining in a response only: end of the
+                               grace period in which it gets requests that no other engine can
+                               serve */
+    int64_t closed_from_ms; /**< time from which it gets no new requests because its zone is being
+                               evacuated; 0: the zone is in service */
+    int64_t cold_until_ms;  /**< end of its warm-up, with reduced capacity; 0: it is warm */
+    wb_send_gate_t cold_gate; /**< requests that this node sent to it during the warm-up */
+    unsigned cold_share;      /**< requests per second that this node may send during the warm-up */
+    int64_t cold_shared_ms;   /**< when cold_share was computed; 0: never */
+    GHashTable *overlay;      /**< MODEL/ADAPTER -> private; placement updates of the controller */
+    /* Observed by this node: */
+    unsigned running;       /**< this node's requests running on it */
+    int64_t prefill_tokens; /**< prompt tokens of requests sent by this node and not yet answered */
+    unsigned reported_running; /**< running requests, as reported in its last response */
+    unsigned reported_waiting; /**< waiting requests, as reported in its last response */
+    int64_t reported_ms;       /**< when that response arrived; 0: never */
+    wb_engine_pace_t pace;     /**< its speed relative to the baseline */
+    unsigned pace_heard;       /**< lowest pace in percent received since this node's last report to
+                                  the controller; 0: none */
+    double tokens_sent;        /**< prompt tokens sent to it since this node's last report */
+    double shared_tokens_per_s; /**< prompt tokens per second sent to it by all nodes */
+    double shared_backlog_ms;   /**< time it needs to prefill those, as of shared_ms */
     int64_t shared_ms;
-    unsigned failures;         /**< in a row */
-    int64_t avoid_until_ms;    /**< it failed: used only when there is no other */
-    int64_t unheard_since_ms;  /**< when the first request was sent after its last byte; 0: it owes
-                                  nothing */
-    int64_t rejected_until_ms; /**< it turned a request away: full for the moment */
-    wb_engine_limit_t limit;   /**< what it takes from all nodes together */
-    wb_limit_place_t place;    /**< this node among them */
-    int64_t placed_ms;         /**< when that was worked out; 0: never */
-    wb_list_item_t state_news; /**< on a list while others should be told what it told */
-    int64_t state_told_ms;     /**< when they were told last; 0: never */
-    int64_t rest_until_ms;     /**< steady time until which it wants no request of this node */
-    wb_list_t idle;            /**< kept connections; see attempt.c */
-    GHashTable *prefixes;      /**< parts of prompts it has read for this node -> time */
+    unsigned failures;         /**< consecutive */
+    int64_t avoid_until_ms;    /**< it failed: until then used only if no other engine can be */
+    int64_t unheard_since_ms;  /**< when the first request after its last received byte was sent;
+                                  0: no response is pending */
+    int64_t rejected_until_ms; /**< it rejected a request as it was full; assumed full until then */
+    wb_engine_limit_t limit;   /**< request rate that it accepts from all nodes together */
+    wb_limit_place_t place;    /**< this node's position among the nodes that share the limit */
+    int64_t placed_ms;         /**< when place was computed; 0: never */
+    wb_list_item_t state_news; /**< linked while its reported state is to be sent to other nodes */
+    int64_t state_told_ms;     /**< when that was last sent; 0: never */
+    int64_t rest_until_ms;     /**< end of the backoff that it asked this node for (Retry-After) */
+    wb_list_t idle;            /**< idle kept-alive connections; see attempt.c */
+    GHashTable *prefixes;      /**< hash of a prompt prefix -> when it was last prefilled there */
 } wb_engine_t;
 
 typedef struct wb_fleet_t wb_fleet_t;
 
+/** Create an empty fleet; it lives as long as the process. */
 wb_fleet_t *wb_fleet_create(void);
 /**
- * Take an engine's announcement; the state is owned by the fleet from now on.
+ * Apply an announcement of an engine; takes ownership of `state`.
  *
- * An engine that has started again under its id is another one: what was known of the earlier start
- * stays with that, which counts as gone, and nothing of it is believed of the new one.
- * @return the engine; NULL when a later start of it is known already: then nothing changes
+ * If the announcement is of a later incarnation than the one known by that id, the known one is
+ * removed and none of its state is carried over to the new one.
+ * @return the engine; NULL if a later incarnation is known already: `state` is freed and nothing
+ * changes
  */
 wb_engine_t *wb_fleet_announce(wb_fleet_t *fleet, wb_engine_state_t *state);
-/** @return TRUE when an announcement is of a later start of an engine than `known` */
+/** @return TRUE if `state` is of a later incarnation than `known` */
 gboolean wb_engine_state_is_later(const wb_engine_state_t *known, const wb_engine_state_t *state);
 /**
- * The engine is no longer announced.
- * @param use_until_ms steady time until which it may still get work, if no other can; it counts
- * only for an engine that hadn't said that it leaves
+ * Remove an engine whose announcement was removed; a no-op for an unknown id.
+ * @param use_until_ms end of the grace period in which it gets requests that no other engine can
+ * serve; ignored if the engine was already draining
  */
 void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t use_until_ms);
 
 /**
- * Tell until when an engine whose announcement has gone may still get work. It went at some time
- * since the table was known to have it, and that is when its drain began. After a gap longer than a
- * drain the store was away: then announcements lapse of engines that live, and come back.
- * @param known_ms steady time as of which the table was known before
+ * Compute the grace period of an engine whose announcement has been removed. Its drain began at
+ * some time since the table was last known to have the row. If that is longer ago than a drain
+ * lasts, the store was unavailable meanwhile, and announcements of running engines expired as well:
+ * these come back, so the grace period then starts now.
+ * @param known_ms time as of which the table was known before
+ * @param drain_ms time for which a draining engine still serves requests
+ * @return the time at which the grace period ends
  */
 int64_t wb_fleet_use_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms);
 
 /**
- * An answer of the engine, to this node or another, has told that it leaves: that holds for its
- * start. It may get work for half of the drain's time, if no other engine can.
- * @return FALSE when that was known
+ * Mark an engine as draining because a response of it, to this node or another, reported so. This
+ * holds for the rest of its incarnation. For half of `drain_ms` it still gets requests that no
+ * other engine can serve.
+ * @return FALSE if that was known already
  */
 gboolean wb_engine_tell_leaving(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
-/** @return TRUE when it may get work: it stays, or is gone and its time isn't over */
+/** @return TRUE if it may get requests: it is available, or within its grace period */
 gboolean wb_engine_is_open(const wb_engine_t *engine, int64_t now_ms);
-/** @return TRUE when it can be counted on: it doesn't leave, nor does its zone */
+/** @return TRUE if it is available: announced, not draining, and its zone isn't being evacuated */
 gboolean wb_engine_stays(const wb_engine_t *engine);
-/** @return an engine that is announced, or NULL */
+/** @return the announced engine with this id, or NULL */
 wb_engine_t *wb_fleet_find(const wb_fleet_t *fleet, const char *id);
-/** @return engines of a service, those that are gone for a short while too; owned by the fleet, or
- * NULL */
+/** @return the wb_engine_t of a service, including recently removed ones; owned by the fleet. NULL
+ * for an unknown service */
 const GPtrArray *wb_fleet_service(const wb_fleet_t *fleet, const char *service);
-/** @return all engines that are announced: id -> wb_engine_t; owned by the fleet */
+/** @return all announced engines: id -> wb_engine_t; owned by the fleet */
 GHashTable *wb_fleet_all(const wb_fleet_t *fleet);
-/** @return a hash of which engines are announced, which of them announce that they leave, and which
- * models each holds; two nodes with the same hash know the same */
+/** @return a hash over the announced engines' ids, start times, draining flags and models; nodes
+ * with equal hashes know the same fleet */
 uint64_t wb_fleet_digest(const wb_fleet_t *fleet, int64_t now_ms);
-/** @return TRUE when some engine of the service that stays holds the model, and the adapter if one
- * is named ("": none) */
+/** @return TRUE if an available engine of the service holds the model, and the adapter unless it
+ * is "" */
 gboolean wb_fleet_holds(const wb_fleet_t *fleet, const char *service, const char *model,
                         const char *adapter, int64_t now_ms);
 /**
- * A zone is being evacuated.
- * @param from_ms steady time from which its engines get nothing new, those that come later too;
- * until then they get what no other engine can take
- * @return engines of that zone
+ * Start the evacuation of a zone. It applies to engines announced later as well.
+ * @param from_ms time from which the zone's engines get no new requests; until then they are used
+ * only for requests that no other engine can serve
+ * @return number of announced engines in the zone
  */
 unsigned wb_fleet_close_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms);
-/** That is taken back. @return engines of that zone */
+/** End the evacuation of a zone. @return number of announced engines in the zone */
 unsigned wb_fleet_open_zone(wb_fleet_t *fleet, const char *zone);
 gboolean wb_fleet_zone_is_closed(const wb_fleet_t *fleet, const char *zone);
-/** @return zones that are being evacuated */
+/** @return number of zones being evacuated */
 unsigned wb_fleet_closed_zones(const wb_fleet_t *fleet);
-/** Forget engines that have been gone for some time. */
+/** Drop engines that were removed some seconds ago. State that they reported is kept by
+ * incarnation, in case they are announced again. */
 void wb_fleet_sweep(wb_fleet_t *fleet, int64_t now_ms);
 
 wb_engine_t *wb_engine_ref(wb_engine_t *engine);
 void wb_engine_unref(wb_engine_t *engine);
 
 /**
- * The controller's news, which go before announcements for `valid_ms`, or until an announcement is
- * taken `row_after_ms` later: that one was made after what the news tell of.
+ * Apply a placement update of the controller. It overrides announcements for `valid_ms`, or until
+ * an announcement arrives `row_after_ms` or more from now, which reflects the change already.
  * @param adapter "" for the model itself
  */
 void wb_engine_note(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
                     int64_t now_ms, int64_t row_after_ms, int64_t valid_ms);
-/** @return a set of MODEL/ADAPTER (MODEL/ for a model itself) that the engine holds, by its
- * announcement and by the controller's news; to be freed with g_hash_table_unref */
+/** @return a set of MODEL/ADAPTER (MODEL/ for a model itself) that the engine holds according to
+ * its announcement and the placement updates; free it with g_hash_table_unref */
 GHashTable *wb_engine_holdings(const wb_engine_t *engine, int64_t now_ms);
-/** @return TRUE when news of the engine still go before its announcement */
+/** @return TRUE if placement updates are kept for the engine, expired ones included */
 gboolean wb_engine_has_news(const wb_engine_t *engine);
-/** @return TRUE when two announcements tell of the same models and adapters */
+/** @return TRUE if both states list the same models and adapters */
 gboolean wb_engine_state_holds_same(const wb_engine_state_t *left, const wb_engine_state_t *right);
-/** @return TRUE when the engine holds the model, and the adapter if one is named ("" or NULL: none)
- */
+/** @return TRUE if the engine holds the model, and the adapter unless it is "" or NULL */
 gboolean wb_engine_holds(const wb_engine_t *engine, const char *model, const char *adapter,
                          int64_t now_ms);
 
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -1,15 +1,18 @@
 /**
  * @file lease.h
- * @brief The placement controller's lease: one row of the store, renewed by its holder.
+ * @brief State machine of the placement controller's lease: one row of the store, renewed by its
+ * holder.
  *
- * Engines don't check tokens, so time is the guard. The holder may act until `duration` after it
- * *sent* its last renewal that counted. Another node takes the lease over when it has known the row
- * unchanged for `duration` + a margin, all by the steady clock, or at once when the row says that
- * it was released. It orders engines that the last row names only `quiet` later (lease_grants.h):
- * so at least `quiet` lies between two holders' orders to one engine. The token rises with each
- * take-over. A restarted process of the holder's own machine takes it over at once.
+ * Engines don't check fencing tokens, so the lease relies on time alone. The holder may send orders
+ * until duration_ms after it *sent* its last successful renewal. Another node takes the lease over
+ * once it has seen the row unchanged for duration_ms + margin_ms, or at once if the row is marked
+ * as released. It may order engines that the last row names only quiet_ms later (lease_grants.h),
+ * so at least quiet_ms passes between the orders of two holders to one engine. The token increases
+ * with each takeover. A restarted process on the holder's machine takes the lease over at once.
  *
- * Pure: it is told the time, the rows and the outcomes of its writes, and says what to write.
+ * Pure: the caller passes in the time, the rows read and the outcomes of writes, and performs the
+ * writes. Times are monotonic (wb_clock_ms) in milliseconds. Not thread-safe. A failed write is an
+ * input and is retried after a pause; the functions themselves report no errors.
  */
 #ifndef WICKBRIDGE_LEASE_H
 #define WICKBRIDGE_LEASE_H
@@ -17,45 +20,47 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** The lease's row. */
+/** The lease row. */
 typedef struct wb_lease_row_t {
-    char *holder;   /**< the machine */
-    char *address;  /**< where other nodes reach it */
-    uint64_t token; /**< rises with each take-over */
-    uint64_t beat;  /**< counts renewals, so that a lost answer can be told from a lost write */
+    char *holder;   /**< id of the holder's machine */
+    char *address;  /**< IP:PORT at which other nodes reach it */
+    uint64_t token; /**< increases with each takeover */
+    uint64_t beat;  /**< heartbeat counter, increased by each write; shows after a lost response
+                       whether the write took effect */
     gboolean released;
-    unsigned recent_loads; /**< loads from the weight store lately begun, told to a successor */
-    /* Engines that may have been ordered lately: */
-    gboolean grants_known; /**< FALSE: this copy of the row doesn't tell */
-    gboolean any_granted;  /**< any engine may have been; the lists are empty */
-    char **granted;        /**< by this holder */
-    guint granted_count;   /**< of granted */
-    char **inherited;      /**< by a holder before it */
-    guint inherited_count; /**< of inherited */
+    unsigned recent_loads; /**< recently started loads from the weight store, for a successor */
+    /* Engines that may have been ordered recently: */
+    gboolean grants_known; /**< FALSE: this copy of the row doesn't contain the lists */
+    gboolean any_granted;  /**< any engine may have been ordered; the lists are empty */
+    char **granted;        /**< engines ordered by this holder */
+    guint granted_count;
+    char **inherited; /**< engines ordered by earlier holders */
+    guint inherited_count;
 } wb_lease_row_t;
 
-/** What is known of the holder before this one. */
+/** The last known state of the previous holder. */
 typedef struct wb_lease_predecessor_t {
-    int64_t seen_ms;       /**< steady time at which its last row was seen; 0: there was none */
-    unsigned loads;        /**< loads from the weight store lately begun, as that row told */
-    unsigned engines_most; /**< engines that it may have ordered after that row; G_MAXUINT: any */
+    int64_t seen_ms;       /**< when its last row was seen; 0: there was none */
+    unsigned loads;        /**< recent_loads of that row */
+    unsigned engines_most; /**< max number of engines that it may have ordered after that row;
+                              G_MAXUINT: no limit */
 } wb_lease_predecessor_t;
 
-/** Free what a row holds; it is empty then. */
+/** Free the contents of a row and zero it. */
 void wb_lease_row_clear(wb_lease_row_t *row);
-/** Make a row a copy of another, with texts of its own; what it held is freed. */
+/** Make `target` a deep copy of `source`; its old contents are freed. */
 void wb_lease_row_copy(wb_lease_row_t *target, const wb_lease_row_t *source);
 
 typedef struct wb_lease_settings_t {
     const char *machine;      /**< this node's machine; must outlive the lease */
-    const char *address;      /**< where other nodes reach this one; must outlive the lease */
-    int64_t duration_ms;      /**< how long a renewal lets its holder act, from its sending */
-    int64_t renew_ms;         /**< time between renewals */
-    int64_t quiet_ms;         /**< time that must lie between the acts of two holders */
-    int64_t margin_ms;        /**< added when waiting, taken off when acting */
-    int64_t write_timeout_ms; /**< a write without an answer is sent again after this time */
-    int64_t spread_ms; /**< each node waits up to so long more before it takes another's lease over,
-                          by chance, so that not all try at once */
+    const char *address;      /**< IP:PORT of this node; must outlive the lease */
+    int64_t duration_ms;      /**< validity of a renewal, from when it was sent */
+    int64_t renew_ms;         /**< interval between renewals */
+    int64_t quiet_ms;         /**< handover interval: min time between the orders of two holders */
+    int64_t margin_ms;        /**< safety margin: added to waits, subtracted from the validity */
+    int64_t write_timeout_ms; /**< timeout of a write, after which it is retried */
+    int64_t spread_ms;        /**< max random delay before this node takes another's lease over, so
+                                 that not all nodes try at the same time */
 } wb_lease_settings_t;
 
 typedef struct wb_lease_t wb_lease_t;
@@ -63,63 +68,66 @@
 wb_lease_t *wb_lease_create(const wb_lease_settings_t *settings);
 void wb_lease_free(wb_lease_t *lease);
 
-/** The row as read: `row` is NULL when it isn't there. Older versions than known are passed over.
- */
+/** The row was read, here or by another node. `row` is copied; NULL: it doesn't exist. Versions
+ * older than the known one are ignored. */
 void wb_lease_on_row(wb_lease_t *lease, const wb_lease_row_t *row, int64_t version, int64_t now_ms);
 
 /**
- * Ask what to write now.
- * @param row              out, texts are owned by the lease; valid when TRUE is returned
- * @param expected_version out: the condition of the write
- * @return TRUE when the row must be written; the outcome is then owed
+ * Get the write that is due, if any. Its outcome must be reported with one of the three functions
+ * below before the next write becomes due.
+ * @param row              out: the row; its strings are owned by the lease
+ * @param expected_version out: the version on which the write is conditional; 0: no row exists
+ * @return TRUE if the row must be written now; FALSE leaves the outputs unset
  */
 gboolean wb_lease_next_write(wb_lease_t *lease, int64_t now_ms, wb_lease_row_t *row,
                              int64_t *expected_version);
 
-/** The write counted; the row now has this version. */
+/** The write took effect and gave the row this version. */
 void wb_lease_on_written(wb_lease_t *lease, int64_t version, int64_t now_ms);
-/** The write was surely not done, or lost its race. */
+/** The write had no effect: it failed, or its condition wasn't met. */
 void wb_lease_on_not_written(wb_lease_t *lease, int64_t now_ms);
-/** Nobody knows whether the write was done. */
+/** It is unknown whether the write took effect. */
 void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms);
 
 /**
- * An order to an engine is due. Ask again right before its bytes leave.
- * @return 0: it may be given; above: not before so many ms; -1: not before the next write counts,
- * which is due now
+ * Ask for permission to order an engine. Check again immediately before the order is sent.
+ * @return 0: it may be sent; > 0: ms until it may be; -1: only after the next write of the row,
+ * which is due now, took effect
  */
 int64_t wb_lease_ask_order(wb_lease_t *lease, const char *engine, int64_t now_ms);
-/** @return ms for which an engine must be left alone, as another holder may have ordered it */
+/** @return ms until the engine may be ordered, as another holder may have ordered it recently */
 int64_t wb_lease_blocked_ms(const wb_lease_t *lease, const char *engine, int64_t now_ms);
-/** @return TRUE while this node may act. Ask right before each act. */
+/** @return TRUE while this node holds the lease. Check immediately before each order. */
 gboolean wb_lease_is_held(const wb_lease_t *lease, int64_t now_ms);
-/** @return TRUE when the row that is known is this process's, though its time may be over */
+/** @return TRUE if the known row was written by this process and not released; it may have expired
+ */
 gboolean wb_lease_is_own(const wb_lease_t *lease);
-/** @return the token of this node's holding, valid while it is held */
+/** @return the token of this node's lease; meaningful only while it is held */
 uint64_t wb_lease_token(const wb_lease_t *lease);
-/** @return steady time from which the lease may be taken over, if the row stays as it is; 0: the
- * row was never read */
+/** @return time from which the lease may be taken over if the row doesn't change; 0: the row was
+ * never read */
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease);
-/** @return steady time at which this node learned of the row's last change; 0: never */
+/** @return when this node learned of the row's last change; 0: never */
 int64_t wb_lease_changed_ms(const wb_lease_t *lease);
-/** @return the version of the row that is known; 0: none */
+/** @return the known version of the row; 0: none */
 int64_t wb_lease_version(const wb_lease_t *lease);
-/** @return who holds it as far as known; NULL when nobody does. Owned by the lease */
+/** @return the known row, also an expired or released one; NULL if there is none. Owned by the
+ * lease */
 const wb_lease_row_t *wb_lease_known(const wb_lease_t *lease);
-/** @return what the holder before this one had begun; owned by the lease */
+/** @return the previous holder's state; owned by the lease */
 const wb_lease_predecessor_t *wb_lease_predecessor(const wb_lease_t *lease);
 /**
- * Change when this node tries to take the lease over, once it may.
- * @param first_ms  so much later at the earliest: others are better for it
- * @param spread_ms and by chance up to so much later than that
+ * Change the delay of this node's takeover after the lease has expired.
+ * @param first_ms  fixed delay, which gives precedence to nodes with a shorter one
+ * @param spread_ms max random delay in addition
  */
 void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms);
-/** The store was away for this node, and answers again: whoever held the lease may renew it first.
+/** The store is available again to this node: delay a takeover so that the holder can renew first.
  */
 void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms);
-/** Give the lease up at the next write, and don't take it again. */
+/** Release the lease at the next write, and never take it over again. */
 void wb_lease_release(wb_lease_t *lease);
-/** @return TRUE while a lease that is to be given up isn't yet, as far as known */
+/** @return TRUE while a requested release has not taken effect, as far as known */
 gboolean wb_lease_is_owed(const wb_lease_t *lease);
 
 #endif
--- a/include/wickbridge/send_gate.h
+++ b/include/wickbridge/send_gate.h
@@ -1,9 +1,10 @@
 /**
  * @file send_gate.h
- * @brief How many requests this node may send to an engine in any window of time, and the part of a
- * node of what an engine takes from all of them.
+ * @brief Sliding-window limit on the requests that this node sends to one engine, and division of
+ * an engine's capacity among nodes by rendezvous hashing.
  *
- * Pure: the time is passed in.
+ * Pure: the time is passed in. Times are monotonic (wb_clock_ms) in milliseconds. The functions
+ * can't fail. Not thread-safe.
  */
 #ifndef WICKBRIDGE_SEND_GATE_H
 #define WICKBRIDGE_SEND_GATE_H
@@ -11,36 +12,38 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** What this node sent lately; all zeros: nothing. */
+/** Send times within the last window; zeroed: none. */
 typedef struct wb_send_gate_t {
-    GArray *sent_ms; /**< steady times, oldest first; NULL: none */
+    GArray *sent_ms; /**< int64_t times, oldest first; NULL: none */
 } wb_send_gate_t;
 
 /**
- * @param share     requests for this node in each window
- * @param window_ms as long as all calls for this gate have it
- * @param ahead     requests that will be sent before the one that is asked for
- * @return steady time from which it may be sent; now_ms: now; G_MAXINT64: never
+ * Compute the next send time.
+ * @param share     max number of requests in any window
+ * @param window_ms length of the window; at most that of the calls of wb_send_gate_note
+ * @param ahead     number of requests that will be sent before this one
+ * @return time from which the request may be sent; now_ms: at once; G_MAXINT64: never (no share)
  */
 int64_t wb_send_gate_opens_ms(const wb_send_gate_t *gate, unsigned share, int64_t window_ms,
                               unsigned ahead, int64_t now_ms);
-/** It has sent one. */
+/** Record that a request is sent now. Times older than `window_ms` are dropped. */
 void wb_send_gate_note(wb_send_gate_t *gate, int64_t window_ms, int64_t now_ms);
+/** Free the recorded times. */
 void wb_send_gate_clear(wb_send_gate_t *gate);
 
 /**
- * Deal units out among nodes, in whole ones.
- * @param nodes all that share them, with this one; 0: this one has no part now
- * @param rank  nodes that come before this one
+ * Divide whole units evenly among nodes; nodes of lower rank get the remainder.
+ * @param nodes number of nodes that share them, this one included; 0: this node has no share now
+ * @param rank  number of nodes that precede this one
  * @return units for this node
  */
 unsigned wb_dealt_share(unsigned units, unsigned nodes, unsigned rank);
 /**
- * The order of nodes by rendezvous hashing: each node finds the same one.
- * @param subject whose units are dealt out, an engine's incarnation, say
+ * Rank this node by rendezvous hashing; all nodes compute the same order.
+ * @param subject what is shared, for example an engine's incarnation
  * @param own     this node's id
- * @param nodes   set of nodes' ids, with or without this one's
- * @return nodes that come before this one for that subject
+ * @param nodes   set of node ids, with or without this node's
+ * @return number of nodes that precede this one for that subject
  */
 unsigned wb_dealt_rank(const char *subject, const char *own, GHashTable *nodes);
 
--- a/include/wickbridge/store_calls.h
+++ b/include/wickbridge/store_calls.h
@@ -1,9 +1,10 @@
 /**
  * @file store_calls.h
- * @brief Counts a node's calls to the store by what was asked for and why.
+ * @brief Counts a node's calls to the store by table and cause.
  *
- * The store's calls are dear and limited, so who makes them and for which reason is told: in the
- * metrics as one labelled counter, and in the log as one line for some seconds' calls.
+ * Calls to the store are expensive and rate limited. The counts are exported as a labelled
+ * Prometheus counter, and logged as a "store-calls" event at intervals. Times are monotonic
+ * (wb_clock_ms) in milliseconds. Loop thread only; the functions can't fail.
  */
 #ifndef WICKBRIDGE_STORE_CALLS_H
 #define WICKBRIDGE_STORE_CALLS_H
@@ -12,14 +13,14 @@
 
 /** Why a call is made. */
 typedef enum wb_store_cause_t {
-    WB_STORE_CAUSE_READ,   /**< a whole read: at the start, or the history is gone */
-    WB_STORE_CAUSE_PACE,   /**< nobody has told of the table yet: it is followed */
-    WB_STORE_CAUSE_LAPSED, /**< what others told of the table is no longer fresh */
-    WB_STORE_CAUSE_SAFETY, /**< others' readings are fresh, but an own one is due */
-    WB_STORE_CAUSE_LOOK,   /**< something has changed that isn't known here */
-    WB_STORE_CAUSE_HURRY,  /**< someone waits */
-    WB_STORE_CAUSE_RETRY,  /**< the call before failed */
-    WB_STORE_CAUSE_WRITE,  /**< the node's own row or the lease */
+    WB_STORE_CAUSE_READ,   /**< full read: at the start, or because the change history expired */
+    WB_STORE_CAUSE_PACE,   /**< regular poll; no other node has reported a read of the table yet */
+    WB_STORE_CAUSE_LAPSED, /**< other nodes' reads of the table are no longer fresh */
+    WB_STORE_CAUSE_SAFETY, /**< other nodes' reads are fresh, but the max interval is over */
+    WB_STORE_CAUSE_LOOK,   /**< a change was announced that this node doesn't know */
+    WB_STORE_CAUSE_HURRY,  /**< expedited, as requests are waiting */
+    WB_STORE_CAUSE_RETRY,  /**< the previous call failed */
+    WB_STORE_CAUSE_WRITE,  /**< write of this node's row or of the lease row */
     WB_STORE_CAUSE_COUNT
 } wb_store_cause_t;
 
@@ -28,18 +29,19 @@
 typedef struct wb_store_calls_t {
     uint64_t made[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT];
     uint64_t failed;
-    uint64_t told[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT]; /**< as of the last log line */
-    uint64_t failed_told;
-    int64_t told_ms; /**< steady time of the last log line */
+    uint64_t told[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT]; /**< `made` as of the last log line */
+    uint64_t failed_told;                                 /**< `failed` as of the last log line */
+    int64_t told_ms;                                      /**< when logging was last due */
 } wb_store_calls_t;
 
+/** Count a call. */
 void wb_store_calls_note(wb_store_calls_t *calls, wb_table_name_t table, wb_store_cause_t cause);
-/** A call had no good answer. */
+/** Count a call that failed. */
 void wb_store_calls_note_failure(wb_store_calls_t *calls);
-/** @return all calls made */
+/** @return total number of calls */
 uint64_t wb_store_calls_sum(const wb_store_calls_t *calls);
-/** Log what was made since the last line, if anything was and the line is due.
- * @param interval_ms least time between two lines */
+/** Log the calls made since the last line, if there were any.
+ * @param interval_ms min interval between two lines */
 void wb_store_calls_log(wb_store_calls_t *calls, int64_t interval_ms, int64_t now_ms);
 /** Append the counter in the Prometheus text format. */
 void wb_store_calls_write(const wb_store_calls_t *calls, GString *text);
--- a/include/wickbridge/table.h
+++ b/include/wickbridge/table.h
@@ -1,10 +1,10 @@
 /**
  * @file table.h
- * @brief What the product asks of a store of rows: versions, conditional writes, and news of
- * changes.
+ * @brief Interface to a versioned row store: paged reads, a feed of changes, conditional writes.
  *
- * An adapter has an object for each real store that begins with a wb_table_t. All calls answer
- * once, later, on the loop's thread.
+ * A platform adapter implements it as an object whose first member is a wb_table_t. Every call is
+ * asynchronous: its callback runs exactly once, later, on the loop's thread. Failures are reported
+ * as a wb_table_outcome_t. Times are in milliseconds.
  */
 #ifndef WICKBRIDGE_TABLE_H
 #define WICKBRIDGE_TABLE_H
@@ -12,54 +12,55 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** The tables that the product knows. */
+/** The tables that wickbridge uses. */
 typedef enum wb_table_name_t {
     WB_TABLE_CATALOG, /**< the operators' configuration; read only */
-    WB_TABLE_ENGINES, /**< engines that announce themselves; read only */
-    WB_TABLE_NODES    /**< the product's own: nodes and leases */
+    WB_TABLE_ENGINES, /**< announcements of engines; read only */
+    WB_TABLE_NODES    /**< wickbridge's own table: nodes and the lease */
 } wb_table_name_t;
 
 typedef enum wb_table_outcome_t {
-    WB_TABLE_DONE,         /**< read, or written */
-    WB_TABLE_CONFLICT,     /**< the row had another version; `rows` has it as it is */
-    WB_TABLE_NOT_DONE,     /**< refused or not sent; may be tried again */
-    WB_TABLE_HISTORY_GONE, /**< changes after that version are no longer known */
-    WB_TABLE_UNKNOWN       /**< no answer: a write may have been done, or may be done later */
+    WB_TABLE_DONE,         /**< the read or write succeeded */
+    WB_TABLE_CONFLICT,     /**< the row had another version; `rows` holds the current row */
+    WB_TABLE_NOT_DONE,     /**< refused or not sent, without effect; may be retried */
+    WB_TABLE_HISTORY_GONE, /**< the store no longer keeps the changes after that version */
+    WB_TABLE_UNKNOWN       /**< no response: a write may have taken effect, or may do so later */
 } wb_table_outcome_t;
 
-/** A row as of some version. */
+/** A row at one version. */
 typedef struct wb_table_row_t {
     char *key;
-    guchar *value; /**< NULL when the row was removed */
+    guchar *value; /**< owned; NULL: the row was removed */
     gsize length;
-    int64_t version; /**< of the transaction that wrote it; 0: it never was there */
+    int64_t version; /**< version of the transaction that wrote it; 0: it never existed */
 } wb_table_row_t;
 
 typedef struct wb_table_answer_t {
     wb_table_outcome_t outcome;
     GPtrArray *rows; /**< of wb_table_row_t; never NULL; freed after the callback */
-    gboolean more;   /**< a page ended before the table, or the changes, did */
-    int64_t version; /**< the newest that the store knew; of a write, the row's new one */
+    gboolean more;   /**< there are further rows or changes after this page */
+    int64_t version; /**< the store's newest version; for a write, the row's new version */
 } wb_table_answer_t;
 
 typedef struct wb_table_t wb_table_t;
 
 typedef void (*wb_table_answer_fn)(const wb_table_answer_t *answer, void *context);
 
-/** A store's calls; the first member of the object that makes them. */
+/** Operations of a store; the first member of an adapter's object. */
 struct wb_table_t {
-    /** Read a page of rows with keys from `from_key` on. */
+    /** Read a page of rows in key order, beginning at the first key >= `from_key`. */
     void (*read)(wb_table_t *table, wb_table_name_t name, const char *from_key,
                  wb_table_answer_fn on_answer, void *context);
-    /** Read the changes after a version; held up to `wait_ms` until there are some. */
+    /** Read the changes after a version; the store waits up to `wait_ms` until there are any. */
     void (*changes)(wb_table_t *table, wb_table_name_t name, int64_t after, int64_t wait_ms,
                     wb_table_answer_fn on_answer, void *context);
-    /** Write a row of WB_TABLE_NODES, or remove it (no value), if it has `expected_version` (0: if
-     * it isn't there). */
+    /** Write a row of WB_TABLE_NODES, or remove it if `value` is NULL, on the condition that it has
+     * `expected_version`; 0: that it doesn't exist. */
     void (*write)(wb_table_t *table, const char *key, int64_t expected_version, const guchar *value,
                   gsize length, wb_table_answer_fn on_answer, void *context);
 };
 
+/** Create a row. @param key copied @param value taken over, to be freed with g_free */
 wb_table_row_t *wb_table_row_create(const char *key, guchar *value, gsize length, int64_t version);
 void wb_table_row_free(wb_table_row_t *row);
 
--- a/include/wickbridge/table_watch.h
+++ b/include/wickbridge/table_watch.h
@@ -1,7 +1,13 @@
 /**
  * @file table_watch.h
- * @brief Follows one table: a whole read, then its changes; never goes back to an older version of
- * a row.
+ * @brief Keeps a node's view of one store table current: a full read, then polls for its changes.
+ *
+ * To save calls to the store, rows that another node (the lease holder) has read are applied as
+ * well, and while that node's read is fresh this node polls only rarely. A row never reverts to an
+ * older version. Failed calls are retried with backoff and reported to on_call only.
+ *
+ * Times are monotonic (wb_clock_ms) or durations, in milliseconds. All functions and callbacks run
+ * on the loop's thread. A watch lives as long as the process.
  */
 #ifndef WICKBRIDGE_TABLE_WATCH_H
 #define WICKBRIDGE_TABLE_WATCH_H
@@ -13,68 +19,78 @@
 typedef struct wb_table_watch_t wb_table_watch_t;
 
 typedef struct wb_table_watch_events_t {
-    /** A row is new or changed, or was removed (no value). */
+    /** A row was added, changed, or removed (its value is NULL). */
     void (*on_row)(const wb_table_row_t *row, void *context);
-    /** A batch of rows is through. `whole` is TRUE after each whole read. */
+    /** All rows of a response or update were passed to on_row. `whole` is TRUE after a full read.
+     */
     void (*on_batch)(gboolean whole, void *context);
-    /** A call was answered (well or not) or given up; for logs and counters. May be NULL. */
+    /** A call ended, successfully (`good`) or not; for logs and counters. `age_ms` as in
+     * wb_table_watch_age_ms. May be NULL. */
     void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean good, int64_t age_ms,
                     void *context);
     void *context;
-    /** The table has more rows than the limit, at a read or by its changes: nothing is asked until
-     * wb_table_watch_go_on or wb_table_watch_follow_part is called. With context. */
+    /** The table has more rows than wb_table_watch_limit allows. The watch makes no calls until
+     * wb_table_watch_go_on or wb_table_watch_follow_part is called. */
     void (*on_large)(void *context);
 } wb_table_watch_events_t;
 
-/** How often a table is asked for. */
+/** Polling intervals of a table. */
 typedef struct wb_table_pace_t {
-    int64_t wait_ms;       /**< how long a call for changes may be held */
-    int64_t pause_ms;      /**< shortest time between the starts of two calls for changes */
-    int64_t trust_ms;      /**< what another node has read stands for an own call for so long */
-    int64_t look_ms;       /**< shortest time between two calls that others' news ask for */
-    int64_t safety_ms;     /**< longest time between two own calls, whatever others have read */
-    int64_t retry_ms;      /**< longest pause after a call that failed; 0: 1.2 s */
-    int64_t read_trust_ms; /**< changes are asked for so long after a whole read began, at least */
+    int64_t wait_ms;       /**< how long the store may hold a call for changes (long poll) */
+    int64_t pause_ms;      /**< min interval between the starts of two calls for changes */
+    int64_t trust_ms;      /**< how long another node's read replaces a call of this node */
+    int64_t look_ms;       /**< min interval between calls made because a peer knows newer rows */
+    int64_t safety_ms;     /**< max interval between this node's calls, even if peers' reads are
+                              fresh; up to a quarter less, at random for each watch */
+    int64_t retry_ms;      /**< max backoff after failed calls; 0: 1.2 s */
+    int64_t read_trust_ms; /**< min time from the start of a full read to the first call for
+                              changes; not applied to an empty table */
 } wb_table_pace_t;
 
+/** Create a watch and start the full read. @param table must outlive the watch */
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
                                         const wb_table_pace_t *pace,
                                         const wb_table_watch_events_t *events);
-/** Stop reading a table that has more rows than this; 0: never. */
+/** Set the row limit above which on_large is called; 0: none. */
 void wb_table_watch_limit(wb_table_watch_t *watch, unsigned rows);
-/** Read a large table whole, whatever its size; rows that are known are told again. */
+/** After on_large or wb_table_watch_follow_part: remove the row limit and read the full table.
+ * on_row is called for unchanged rows too. */
 void wb_table_watch_go_on(wb_table_watch_t *watch);
-/** Don't read the table: what others tell of its rows from now on is all that will be known. It
- * counts as read. */
+/** After on_large: forget all rows and don't read the table; rows come from
+ * wb_table_watch_take only. The watch counts as synced. */
 void wb_table_watch_follow_part(wb_table_watch_t *watch);
 void wb_table_watch_set_pace(wb_table_watch_t *watch, const wb_table_pace_t *pace);
-/** Take a row that another node has read; an older one than is known changes nothing. */
+/** Apply a row that another node has read. Ignored if a newer version is known, or before the first
+ * full read is complete. */
 void wb_table_watch_take(wb_table_watch_t *watch, const wb_table_row_t *row);
 /**
- * Another node has read the table: while its reading is fresh and shows nothing that is not known
- * here, this node does not ask.
- * @param newest_row the highest version of a row that it knows there
- * @param known_ms   steady time as of which it knows the table
+ * Record that another node has read the table. While that read is fresh (trust_ms) and has no row
+ * that is missing here, this node polls only at safety_ms.
+ * @param newest_row the highest row version that the other node knows
+ * @param known_ms   monotonic time as of which it knows the table
  */
 void wb_table_watch_vouch(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms);
-/** @return the highest version of a row that was taken */
+/** @return the highest row version that was applied */
 int64_t wb_table_watch_newest_row(const wb_table_watch_t *watch);
-/** @return steady time as of which this node itself has read the table; 0: never */
+/** @return monotonic time as of which this node itself has read the table; 0: never */
 int64_t wb_table_watch_known_ms(const wb_table_watch_t *watch);
-/** @return steady time as of which this node or one that vouches has read the table; 0: never */
+/** @return monotonic time as of which this node or another (wb_table_watch_vouch) has read the
+ * table; 0: never */
 int64_t wb_table_watch_fresh_ms(const wb_table_watch_t *watch);
-/** Something has changed that is not known here: ask, whatever others have read. */
+/** Poll once look_ms has passed since the last call, whatever other nodes have read: a change that
+ * is missing here was announced. */
 void wb_table_watch_look(wb_table_watch_t *watch);
-/** The store is known to answer again: ask at once if the last call had failed. */
+/** End the backoff and poll at once, as the store is known to be available again. A no-op unless
+ * the last call failed. */
 void wb_table_watch_wake(wb_table_watch_t *watch);
-/** Ask sooner than the pause says, once. */
+/** Shorten the pause before the next poll, once. */
 void wb_table_watch_hurry(wb_table_watch_t *watch);
-/** @return TRUE while the table is being read whole, also when it was before */
+/** @return TRUE during a full read, also a repeated one */
 gboolean wb_table_watch_is_reading(const wb_table_watch_t *watch);
-/** @return TRUE once the table was read whole */
+/** @return TRUE once the first full read is complete */
 gboolean wb_table_watch_is_synced(const wb_table_watch_t *watch);
-/** @return ms since the store last answered this node or one that vouches, for logs and metrics;
- * G_MAXINT64 when it never did */
+/** @return ms since the store last answered a call of this node, or since the time of another
+ * node's read if that is later; for logs and metrics. G_MAXINT64 if there was neither */
 int64_t wb_table_watch_age_ms(const wb_table_watch_t *watch);
 
 #endif
