--- a/include/wickbridge/catalog.h
+++ b/include/wickbridge/catalog.h
@@ -1,9 +1,11 @@
 /**
  * @file catalog.h
- * @brief The operators' configuration as a gateway uses it: routes, services, models.
+ * @brief The operators' configuration in memory: routes, services, models, tenants, limits.
  *
- * A catalog never changes once it is in force; a request holds a reference to the one that it began
- * under.
+ * A catalog is built by the platform adapter, completed with wb_catalog_seal, and not changed
+ * afterwards, except for the state of wb_route_pick_service. It is reference counted: a request
+ * keeps the catalog that it started with. Lookups return NULL if nothing matches; there are no
+ * other errors. Not thread-safe: one thread at a time may use a catalog.
  */
 #ifndef WICKBRIDGE_CATALOG_H
 #define WICKBRIDGE_CATALOG_H
@@ -14,14 +16,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What may be done again with a request that may have run. */
+/** Whether a request that may have run may be sent again. */
 typedef enum wb_route_kind_t {
-    WB_ROUTE_REPEATABLE, /**< it may run more than once */
-    WB_ROUTE_ONCE,       /**< it runs at most once */
-    WB_ROUTE_STREAM      /**< its answer is a stream of events; once, unless it may be resumed */
+    WB_ROUTE_REPEATABLE, /**< may run more than once */
+    WB_ROUTE_ONCE,       /**< runs at most once */
+    WB_ROUTE_STREAM      /**< the response is an event stream; runs at most once unless resumable */
 } wb_route_kind_t;
 
-/** A part of a weighted split. */
+/** A target of a weighted split. */
 typedef struct wb_route_part_t {
     char *service;
     double weight;
@@ -29,50 +31,50 @@
 
 typedef struct wb_route_t {
     char *name;
-    char *host;
+    char *host; /**< in lower case */
     char *path_prefix;
     wb_route_kind_t kind;
-    gboolean resumable;
-    int64_t timeout_ms;        /**< longest time that a request is held; 0: none */
-    int64_t target_latency_ms; /**< 0: none */
-    int64_t target_gap_ms;     /**< 0: none */
-    int rank;                  /**< 0 is the most urgent */
-    int max_attempts;          /**< most engines that may run one request */
-    char **homes;              /**< regions in which its requests may be served; NULL: all */
-    gboolean is_public;        /**< a request needs no key */
-    GArray *parts;             /**< of wb_route_part_t */
-    double split_point;        /**< private: state of wb_route_pick_service */
+    gboolean resumable;        /**< an interrupted stream may be resumed at another engine */
+    int64_t timeout_ms;        /**< max time from arrival to the end of a request; 0: none */
+    int64_t target_latency_ms; /**< target for the time to the first event; 0: none */
+    int64_t target_gap_ms;     /**< target for the gap between two events of a stream; 0: none */
+    int rank;                  /**< priority; 0 is the most urgent */
+    int max_attempts;          /**< max number of engines that may run one request */
+    char **homes;       /**< allowed regions, in which its requests may be served; NULL: all */
+    gboolean is_public; /**< requests need no API key */
+    GArray *parts;      /**< of wb_route_part_t: the split targets */
+    double split_point; /**< private: state of wb_route_pick_service */
 } wb_route_t;
 
-/** A model that engines of a service may hold. */
+/** A model that engines of a service may load. */
 typedef struct wb_model_spec_t {
     char *name;
     double weights_mb;
-    double adapter_mb;
-    int adapters;
-    int64_t store_load_ms;
-    int64_t disk_load_ms;
-    int64_t memory_load_ms;
+    double adapter_mb;      /**< size of one adapter */
+    int adapters;           /**< number of adapters */
+    int64_t store_load_ms;  /**< load time from the weight store */
+    int64_t disk_load_ms;   /**< load time from the engine's disk */
+    int64_t memory_load_ms; /**< load time from the engine's host memory */
 } wb_model_spec_t;
 
 typedef struct wb_service_t {
     char *name;
-    int max_connections; /**< an engine takes so many, from all nodes together; 0: unknown */
-    GHashTable *models;  /**< name -> wb_model_spec_t; empty for services without models */
-    double weights_mb;   /**< an engine's room for weights and adapters */
-    int adapter_slots;
-    double cold_per_s; /**< requests a second that a cold engine bears; 0: as many as a warm one */
+    int max_connections;   /**< that an engine accepts from all nodes together; 0: unknown */
+    GHashTable *models;    /**< name -> wb_model_spec_t; empty for services without models */
+    double weights_mb;     /**< an engine's capacity for weights and adapters */
+    int adapter_slots;     /**< adapters that an engine can hold */
+    double cold_per_s;     /**< requests per second that a cold engine sustains; 0: as a warm one */
     int64_t cold_start_ms; /**< time for which an engine is cold after its start */
-    double loads_per_s;    /**< loads from the weight store, all engines together; 0: no limit */
-    int64_t store_load_ms; /**< mean time of its models' loads from there, set by wb_catalog_seal */
+    double loads_per_s;    /**< max loads from the weight store by all engines; 0: no limit */
+    int64_t store_load_ms; /**< mean store_load_ms of its models; set by wb_catalog_seal */
 } wb_service_t;
 
-/** Bounds on callers. */
+/** Limits on clients' requests. */
 typedef struct wb_caller_limits_t {
     size_t head_bytes;
     size_t body_bytes;
-    int64_t head_timeout_ms;
-    int64_t idle_timeout_ms;
+    int64_t head_timeout_ms; /**< max time to receive a request head */
+    int64_t idle_timeout_ms; /**< max idle time between requests and within a body */
 } wb_caller_limits_t;
 
 typedef struct wb_catalog_t {
@@ -80,7 +82,7 @@
     int64_t version;
     GHashTable *hosts;     /**< host -> GPtrArray of wb_route_t, longest prefix first */
     GHashTable *services;  /**< name -> wb_service_t */
-    wb_tenants_t *tenants; /**< NULL: callers have no keys */
+    wb_tenants_t *tenants; /**< NULL: clients need no API keys */
     wb_caller_limits_t limits;
     unsigned route_count;
 } wb_catalog_t;
@@ -89,28 +91,37 @@
 wb_catalog_t *wb_catalog_ref(wb_catalog_t *catalog);
 void wb_catalog_unref(wb_catalog_t *catalog);
 
-/** @return a route to fill in; the catalog owns it */
+/** Add a route, with no split targets and one attempt. @return the route, to be filled in; owned by
+ * the catalog */
 wb_route_t *wb_catalog_add_route(wb_catalog_t *catalog, const char *name, const char *host,
                                  const char *path_prefix);
+/** Add a split target. A target of weight 0 gets no requests. */
 void wb_route_add_part(wb_route_t *route, const char *service, double weight);
-/** @return a service to fill in; the catalog owns it */
+/** Add a service; it replaces one of the same name. @return the service, to be filled in; owned by
+ * the catalog */
 wb_service_t *wb_catalog_add_service(wb_catalog_t *catalog, const char *name);
+/** Add a model; it replaces one of the same name. @return the model, to be filled in; owned by the
+ * service */
 wb_model_spec_t *wb_service_add_model(wb_service_t *service, const char *name);
-/** Call once when all routes are added. */
+/** Complete a catalog: sorts the routes and computes derived members. Call once, before the first
+ * lookup. */
 void wb_catalog_seal(wb_catalog_t *catalog);
 
 /**
- * Find the route with the longest prefix of a host.
- * @param host a Host header's value; a port in it is passed over
- * @param path a request's target; its query is not looked at
+ * Find the route of a host whose prefix is the longest that matches a path.
+ * @param host value of a Host header, in any case; a port is ignored
+ * @param path request target; its query and fragment are ignored
+ * @return the route, owned by the catalog, or NULL
  */
 wb_route_t *wb_catalog_route(const wb_catalog_t *catalog, const char *host, const char *path);
+/** @return the service, owned by the catalog, or NULL */
 const wb_service_t *wb_catalog_service(const wb_catalog_t *catalog, const char *name);
 
 /**
- * Pick the service of the next request by the parts' weights.
- * Points are spread by the golden ratio, so shares are met closely over short times too.
- * @return the service's name, or NULL when the route has no part with a weight
+ * Pick the service of the next request by the weights of the route's split targets. Uses a golden
+ * ratio (additive recurrence) sequence instead of random numbers, so the shares are close to the
+ * weights over few requests as well.
+ * @return the service's name, or NULL if no split target has a weight above 0
  */
 const char *wb_route_pick_service(wb_route_t *route);
 
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -4,13 +4,13 @@
  * Higher is slower.
  *
  * Engines on shared machines report their current pace in each response. It has two parts: the
- * engine's own pace, which is constant (engines of one service differ by more than a factor of
- * two), and interference by co-located workloads, which only slows the engine down and lasts less
- * than a second. The lowest value of some seconds is taken as the engine's own pace; a value of the
- * last few hundred ms indicates current interference.
+ * engine's intrinsic pace, which is constant (engines of one service differ by more than a factor
+ * of two), and interference by co-located workloads, which only slows the engine down and lasts
+ * less than a second. The lowest value of some seconds is taken as the intrinsic pace; a value of
+ * the last few hundred ms indicates current interference.
  *
  * A single gateway receives too few responses from each engine, so the values of all gateways are
- * aggregated (pace_book.h), and the aggregate is set with wb_engine_pace_share.
+ * aggregated (pace_aggregate.h), and the aggregate is set with wb_engine_pace_share.
  *
  * Pure: the time is passed in, monotonic (wb_clock_ms) in milliseconds. Invalid values are ignored;
  * the functions report no other errors. Not thread-safe. Engines are chosen in engine_choice.h.
@@ -24,8 +24,8 @@
 /** Bounds of a valid pace in percent. */
 #define WB_PACE_LEAST_PERCENT 10
 #define WB_PACE_MOST_PERCENT 1000
-/** Length of a window. The lowest value of the current and the previous window is the engine's own
- * pace; interference lasts much shorter. */
+/** Length of a window. The lowest value of the current and the previous window is the engine's
+ * intrinsic pace; interference lasts much shorter. */
 #define WB_PACE_WINDOW_MS 6000
 
 /** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
@@ -35,7 +35,7 @@
     unsigned least_percent;        /* lowest of the current window; 0: none */
     unsigned least_before_percent; /* lowest of the previous window; 0: none */
     int64_t window_began_ms;
-    unsigned shared_percent; /* own pace by the values of all nodes; 0: unknown */
+    unsigned shared_percent; /* intrinsic pace by the values of all nodes; 0: unknown */
 } wb_engine_pace_t;
 
 /** Parse a reported pace. @return percent, or 0 if it is malformed or out of bounds */
@@ -48,9 +48,9 @@
 /** @return the lowest value received here in the current and the previous window, in percent; 0:
  * none */
 unsigned wb_engine_pace_heard(const wb_engine_pace_t *pace, int64_t now_ms);
-/** @return the engine's own pace in percent, without interference; 0: unknown */
+/** @return the engine's intrinsic pace in percent, without interference; 0: unknown */
 unsigned wb_engine_pace_own(const wb_engine_pace_t *pace, int64_t now_ms);
-/** @return the engine's own pace as a factor of the baseline; 1 if unknown */
+/** @return the engine's intrinsic pace as a factor of the baseline; 1 if unknown */
 double wb_engine_pace_usual(const wb_engine_pace_t *pace, int64_t now_ms);
 /** @return the pace expected now, with interference, as a factor of the baseline */
 double wb_engine_pace_now(const wb_engine_pace_t *pace, int64_t now_ms);
--- a/include/wickbridge/homes.h
+++ b/include/wickbridge/homes.h
@@ -1,9 +1,9 @@
 /**
  * @file homes.h
- * @brief Regions in which requests of a route or a tenant may be served.
+ * @brief Allowed regions (data residency) of routes and tenants, and the region of each zone.
  *
- * A zone lies in one region. Where both a route and a tenant name regions, a request may be served
- * only in those that both name.
+ * A zone belongs to one region. If both the route and the tenant of a request restrict its regions,
+ * both restrictions apply. The functions keep no state and report no errors.
  */
 #ifndef WICKBRIDGE_HOMES_H
 #define WICKBRIDGE_HOMES_H
@@ -11,16 +11,16 @@
 #include <glib.h>
 
 /**
- * Read which region each zone lies in.
- * @param text ZONE=REGION with commas between; what isn't of that form is passed over
- * @return zone -> region; to be freed with g_hash_table_unref
+ * Parse the regions of zones.
+ * @param text ZONE=REGION,...; malformed entries are skipped
+ * @return zone -> region; free it with g_hash_table_unref
  */
 GHashTable *wb_regions_read(const char *text);
 
 /**
- * @param homes  names of regions, ended by NULL; NULL: all are allowed
- * @param region where an engine stands; NULL: it isn't known, which only allows what may be served
- * everywhere
+ * Check whether a request may be served in a region.
+ * @param homes  allowed regions, ended by NULL; NULL: all
+ * @param region the engine's region; NULL: unknown, which is allowed only if all regions are
  */
 gboolean wb_homes_allow(const char *const *homes, const char *region);
 
--- a/src/catalog/catalog.c
+++ b/src/catalog/catalog.c
@@ -1,4 +1,4 @@
-/* The operators' configuration as a gateway uses it. */
+/* The operators' configuration: building it and looking up routes and services. */
 #include "wickbridge/catalog.h"
 
 #include <math.h>
@@ -98,7 +98,8 @@
     return model;
 }
 
-static gint longer_first(gconstpointer left, gconstpointer right) {
+/* Sorts routes by descending length of their prefixes. */
+static gint compare_prefix_length(gconstpointer left, gconstpointer right) {
     const wb_route_t *a = *(wb_route_t *const *)left;
     const wb_route_t *b = *(wb_route_t *const *)right;
     size_t a_length = strlen(a->path_prefix);
@@ -106,7 +107,7 @@
     return a_length > b_length ? -1 : a_length < b_length;
 }
 
-static void service_seal(wb_service_t *service) {
+static void service_compute_mean_load(wb_service_t *service) {
     GHashTableIter iter;
     gpointer model;
     int64_t sum_ms = 0;
@@ -122,11 +123,11 @@
     gpointer routes;
     g_hash_table_iter_init(&iter, catalog->hosts);
     while (g_hash_table_iter_next(&iter, NULL, &routes))
-        g_ptr_array_sort(routes, longer_first);
+        g_ptr_array_sort(routes, compare_prefix_length);
     gpointer service;
     g_hash_table_iter_init(&iter, catalog->services);
     while (g_hash_table_iter_next(&iter, NULL, &service))
-        service_seal(service);
+        service_compute_mean_load(service);
 }
 
 wb_route_t *wb_catalog_route(const wb_catalog_t *catalog, const char *host, const char *path) {
@@ -160,12 +161,12 @@
     if (route->parts->len == 1)
         return g_array_index(route->parts, wb_route_part_t, 0).service;
     route->split_point = fmod(route->split_point + GOLDEN_RATIO, 1.0);
-    double left = route->split_point * total;
+    double remaining = route->split_point * total;
     for (guint i = 0; i < route->parts->len; i++) {
         const wb_route_part_t *part = &g_array_index(route->parts, wb_route_part_t, i);
-        if (left < part->weight)
+        if (remaining < part->weight)
             return part->service;
-        left -= part->weight;
+        remaining -= part->weight;
     }
     return g_array_index(route->parts, wb_route_part_t, route->parts->len - 1).service;
 }
--- a/src/catalog/homes.c
+++ b/src/catalog/homes.c
@@ -1,4 +1,4 @@
-/* Regions in which requests of a route or a tenant may be served. */
+/* Allowed regions of routes and tenants. */
 #include "wickbridge/homes.h"
 
 GHashTable *wb_regions_read(const char *text) {
--- a/src/catalog/tenant.c
+++ b/src/catalog/tenant.c
@@ -1,4 +1,4 @@
-/* Tenants of the configuration, and their keys' digests. */
+/* Tenants of the operators' configuration, and lookup by the digest of an API key. */
 #include "wickbridge/tenant.h"
 
 #include <string.h>
@@ -22,7 +22,7 @@
     return hash;
 }
 
-/* Takes the same time wherever two digests differ. */
+/* Compares in constant time, so that timing reveals nothing about a key. */
 static gboolean digest_equal(gconstpointer left, gconstpointer right) {
     const wb_key_digest_t *a = left;
     const wb_key_digest_t *b = right;
@@ -78,16 +78,17 @@
     return tenants->by_name;
 }
 
-/* The secret that digests are made under, drawn once. Configurations are read by a thread, too. */
+/* Returns the HMAC key of this process. Thread-safe, as configurations are parsed on a worker
+ * thread as well. */
 static const guchar *process_secret(void) {
     static guchar secret[WB_KEY_DIGEST_BYTES];
-    static gsize drawn;
-    if (g_once_init_enter(&drawn)) {
-        /* Without a secret, digests would be the same in all processes. */
+    static gsize initialized;
+    if (g_once_init_enter(&initialized)) {
+        /* Without a random secret, digests would be the same in all processes. */
         if (getrandom(secret, sizeof(secret), 0) != (ssize_t)sizeof(secret)) {
-            g_error("the system has no random bytes for the secret that keys are digested under");
+            g_error("getrandom failed; no secret for API key digests");
         }
-        g_once_init_leave(&drawn, 1);
+        g_once_init_leave(&initialized, 1);
     }
     return secret;
 }
