--- a/include/wickbridge/http_client.h
+++ b/include/wickbridge/http_client.h
@@ -2,8 +2,9 @@
  * @file http_client.h
  * @brief HTTP client on libcurl's multi interface, with one thread for all calls.
  *
- * Threads: calls are started and cancelled from any thread; callbacks run on the client's thread,
- * or on the loop's thread for calls started through wb_http_client_fetch with a loop.
+ * Times are in milliseconds. Failures of a call are reported in its wb_http_result_t. Calls are
+ * started and cancelled from any thread; callbacks run on the client's thread, or on the loop's
+ * thread for calls started with wb_http_client_fetch.
  */
 #ifndef WICKBRIDGE_HTTP_CLIENT_H
 #define WICKBRIDGE_HTTP_CLIENT_H
@@ -16,37 +17,37 @@
 typedef struct wb_http_client_t wb_http_client_t;
 typedef struct wb_http_call_t wb_http_call_t;
 
-/** TLS files of a client; all NULL for plain HTTP. */
+/** TLS files of a client (PEM); all NULL for plain HTTP. */
 typedef struct wb_http_client_tls_t {
-    const char *trust_file;       /**< certificate authorities, PEM */
-    const char *certificate_file; /**< own certificate, PEM */
-    const char *key_file;         /**< own key, PEM */
+    const char *trust_file;       /**< certificate authorities */
+    const char *certificate_file; /**< client certificate */
+    const char *key_file;         /**< client key */
 } wb_http_client_tls_t;
 
 /** How far a call got. */
 typedef enum wb_http_outcome_t {
     WB_HTTP_NOT_SENT, /**< no byte of the request can have arrived */
-    WB_HTTP_BROKEN,   /**< sent, and no whole answer came back */
-    WB_HTTP_ANSWERED  /**< a whole answer came back, whatever its status */
+    WB_HTTP_BROKEN,   /**< sent, but no complete response arrived */
+    WB_HTTP_ANSWERED  /**< a complete response arrived, with any status */
 } wb_http_outcome_t;
 
-/** The end of a call. Valid only inside the callback. */
+/** Result of a call. Valid only inside the callback. */
 typedef struct wb_http_result_t {
     wb_http_outcome_t outcome;
     unsigned status;  /**< HTTP status, 0 if none arrived */
-    const char *body; /**< what arrived and was not taken by on_data; ends with a zero byte */
+    const char *body; /**< the part of the body not passed to on_data; zero-terminated */
     size_t body_length;
-    int64_t retry_after_ms; /**< from Retry-After, -1 when absent */
-    const char *reason;     /**< one line on what broke */
-    const char *seed;       /**< from Engine-Seed, NULL when absent */
+    int64_t retry_after_ms; /**< from Retry-After, -1 if absent */
+    const char *reason;     /**< one line on why the call failed */
+    const char *seed;       /**< from Engine-Seed, NULL if absent */
 } wb_http_result_t;
 
 typedef void (*wb_http_done_fn)(const wb_http_result_t *result, void *context);
 
-/** Called for each piece of a 200 answer's body. */
+/** Called for each chunk of the body of a 200 response. */
 typedef void (*wb_http_data_fn)(const char *data, size_t length, void *context);
 
-/** One call to make; texts are copied. */
+/** A call to make; strings are copied. */
 typedef struct wb_http_request_t {
     const char *method;
     const char *url;
@@ -54,35 +55,37 @@
     const char *body;           /**< NULL for none */
     size_t body_length;
     int64_t timeout_ms;      /**< for the whole call; 0 for none */
-    int64_t idle_timeout_ms; /**< broken when nothing arrives this long; 0 for none */
-    gboolean send_once;      /**< never sent again on a second connection by the library */
-    gboolean keep_handle;    /**< the returned handle is a reference that the caller drops */
+    int64_t idle_timeout_ms; /**< max time without received data; 0 for no limit */
+    gboolean send_once;      /**< the library must not resend it on a second connection */
+    gboolean keep_handle;    /**< the returned handle is a reference, to be dropped with
+                                wb_http_call_unref */
     wb_http_data_fn on_data; /**< NULL: the body is collected */
-    wb_http_done_fn on_done; /**< exactly once, also after a cancel */
+    wb_http_done_fn on_done; /**< called exactly once, also after a cancel */
     void *context;
 } wb_http_request_t;
 
-/** Start a client's thread. */
+/** Create a client and start its thread. @return APR_SUCCESS, or the reason in `error` */
 apr_status_t wb_http_client_start(wb_http_client_t **client, const wb_http_client_tls_t *tls,
                                   wb_error_t *error);
 
-/** Break all calls (their on_done runs), join the thread and free the client. */
+/** Cancel all calls (their on_done runs), join the thread and free the client. */
 void wb_http_client_stop(wb_http_client_t *client);
 
-/** @return bytes of bodies and headers sent and received so far, for metrics; any thread */
+/** @return total bytes of headers and bodies sent and received, for metrics; any thread */
 int64_t wb_http_client_bytes(const wb_http_client_t *client);
 
 /** Start a call. @return a handle for cancel, valid until on_done has run */
 wb_http_call_t *wb_http_client_call(wb_http_client_t *client, const wb_http_request_t *request);
 
-/** Break a call from any thread; harmless once it has ended, if the handle is still referenced. */
+/** Cancel a call from any thread; a no-op if it has ended, provided the handle is still referenced.
+ */
 void wb_http_call_cancel(wb_http_call_t *call);
 
 /** Keep a handle beyond on_done, so that cancel stays safe. */
 wb_http_call_t *wb_http_call_ref(wb_http_call_t *call);
 void wb_http_call_unref(wb_http_call_t *call);
 
-/** As wb_http_client_call with a collected body, but on_done runs on the loop's thread. */
+/** Like wb_http_client_call with a collected body, but on_done runs on the loop's thread. */
 void wb_http_client_fetch(wb_http_client_t *client, wb_loop_t *loop,
                           const wb_http_request_t *request);
 
--- a/include/wickbridge/http_listener.h
+++ b/include/wickbridge/http_listener.h
@@ -1,10 +1,11 @@
 /**
  * @file http_listener.h
- * @brief HTTP/1.1 server on a loop: requests come whole, answers go out whole or as a stream.
+ * @brief HTTP/1.1 server on a loop: receives complete requests, sends complete or streamed
+ * responses.
  *
- * One request at a time runs on a connection; further ones wait in their bytes. A caller that
- * closes while its request runs is seen at once. Threads: everything here belongs on the loop's
- * thread.
+ * A connection runs one request at a time; pipelined requests stay buffered until then. A client
+ * that disconnects while its request runs is detected at once. Malformed, oversized and slow
+ * requests are answered with an error status here. Times are in milliseconds. Loop thread only.
  */
 #ifndef WICKBRIDGE_HTTP_LISTENER_H
 #define WICKBRIDGE_HTTP_LISTENER_H
@@ -15,67 +16,72 @@
 typedef struct wb_http_listener_t wb_http_listener_t;
 typedef struct wb_http_connection_t wb_http_connection_t;
 
-/** Bounds on what a caller may send. */
+/** Limits on requests. */
 typedef struct wb_http_limits_t {
     size_t head_bytes;
     size_t body_bytes;
     int64_t head_timeout_ms; /**< from a request's first byte to the end of its head */
-    int64_t idle_timeout_ms; /**< rest between requests, and silence inside a body */
+    int64_t idle_timeout_ms; /**< max idle time between requests and within a body */
 } wb_http_limits_t;
 
 typedef struct wb_http_handler_t {
-    /** A whole request; the callee owns head and body and answers now or later. */
+    /** A complete request arrived. The callee takes ownership of head and body, and responds now
+     * or later. */
     void (*on_request)(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
                        void *context);
-    /** The caller left while its request ran; the connection is gone after this call. May be NULL.
-     */
+    /** The client disconnected while its request ran; the connection is freed after this call. May
+     * be NULL. */
     void (*on_gone)(wb_http_connection_t *connection, void *request, void *context);
-    /** Output that had piled up was sent. May be NULL. */
+    /** All buffered output was handed to the system. May be NULL. */
     void (*on_drained)(wb_http_connection_t *connection, void *request, void *context);
     void *context;
 } wb_http_handler_t;
 
+/** Listen on an address. @param address IP:PORT; port 0 picks one @param handler copied
+ * @param limits copied @return APR_SUCCESS, or the reason in `error` */
 apr_status_t wb_http_listener_open(wb_loop_t *loop, const char *address,
                                    const wb_http_handler_t *handler, const wb_http_limits_t *limits,
                                    wb_http_listener_t **listener, wb_error_t *error);
+/** @return the port listened on */
 unsigned wb_http_listener_port(const wb_http_listener_t *listener);
+/** Change the limits; the head size limit applies to new connections only. */
 void wb_http_listener_set_limits(wb_http_listener_t *listener, const wb_http_limits_t *limits);
-/** From now on each answer ends its connection. */
+/** From now on close each connection after its response. */
 void wb_http_listener_drain(wb_http_listener_t *listener);
-/** Take no more connections: who connects is refused by the system. Open ones go on. */
+/** Stop listening: the system refuses new connections. Open connections are kept. */
 void wb_http_listener_stop(wb_http_listener_t *listener);
-/** Close the connections on which no request runs or is partly read. */
+/** Close idle connections: those without a running or partly received request. */
 void wb_http_listener_close_resting(wb_http_listener_t *listener);
-/** @return connections that have a request running or partly read */
+/** @return number of connections with a running or partly received request, or unsent output */
 unsigned wb_http_listener_busy(const wb_http_listener_t *listener);
-/** Close everything, running requests too, and free. */
+/** Close all connections, also those with running requests (on_gone is called), and free. */
 void wb_http_listener_close(wb_http_listener_t *listener);
 
-/** Keep a request's state with its connection; told to on_gone and on_drained. */
+/** Attach a request's state to its connection; passed to on_gone and on_drained. */
 void wb_http_connection_set_request(wb_http_connection_t *connection, void *request);
 
 /**
- * Answer the running request whole.
- * @param headers whole lines, each ended by CR LF, without lengths; may be empty
+ * Send the complete response to the running request.
+ * @param headers header lines, each ended by CR LF, without Content-Length; may be empty
  */
 void wb_http_connection_answer(wb_http_connection_t *connection, unsigned status,
                                const char *reason, const char *headers, const void *body,
                                size_t length);
-/** Begin an answer whose length isn't known; it goes out in chunks. */
+/** Begin a response of unknown length; it is sent in chunks. */
 void wb_http_connection_stream_begin(wb_http_connection_t *connection, unsigned status,
                                      const char *reason, const char *headers);
 void wb_http_connection_stream_write(wb_http_connection_t *connection, const void *data,
                                      size_t length);
-/** The streamed answer is whole. */
+/** Complete a streamed response. */
 void wb_http_connection_stream_end(wb_http_connection_t *connection);
-/** Break the connection, so that an answer that has begun doesn't look whole. */
+/** Reset the connection, so that the client sees that its response is incomplete. */
 void wb_http_connection_abort(wb_http_connection_t *connection);
 /** @return output bytes not yet handed to the system */
 size_t wb_http_connection_unsent(const wb_http_connection_t *connection);
-/** @return steady time in ms at which the request's first byte came */
+/** @return monotonic time (wb_clock_ms) at which the request's first byte arrived */
 int64_t wb_http_connection_request_began_ms(const wb_http_connection_t *connection);
 
-/** @return the usual reason phrase of a status */
+/** @return the standard reason phrase of a status */
 const char *wb_http_reason(unsigned status);
 
 #endif
--- a/include/wickbridge/http_peer.h
+++ b/include/wickbridge/http_peer.h
@@ -1,9 +1,9 @@
 /**
  * @file http_peer.h
- * @brief Short HTTP calls to one address, over a few kept connections, on a loop.
+ * @brief HTTP client for short calls to one address, over a small pool of keep-alive connections.
  *
- * For calls whose answers are small and read whole. Each connection carries one call at a time.
- * Threads: everything here belongs on the loop's thread.
+ * Responses are collected in memory. Each connection carries one call at a time. Times are in
+ * milliseconds. Failures are reported as a wb_http_outcome_t. Loop thread only.
  */
 #ifndef WICKBRIDGE_HTTP_PEER_H
 #define WICKBRIDGE_HTTP_PEER_H
@@ -14,12 +14,11 @@
 typedef struct wb_http_peer_t wb_http_peer_t;
 typedef struct wb_http_call_t wb_http_call_t;
 
-/** What became of a call. */
+/** Outcome of a call. */
 typedef enum wb_http_outcome_t {
-    WB_HTTP_ANSWERED, /**< a whole answer is at hand */
-    WB_HTTP_NOT_SENT, /**< no byte of it left */
-    WB_HTTP_UNKNOWN   /**< it was sent and not answered: it may have been done, or may be done later
-                       */
+    WB_HTTP_ANSWERED, /**< a complete response arrived */
+    WB_HTTP_NOT_SENT, /**< no byte of the request was sent */
+    WB_HTTP_UNKNOWN /**< sent without a complete response: it may have taken effect, or may later */
 } wb_http_outcome_t;
 
 typedef struct wb_http_result_t {
@@ -27,38 +26,43 @@
     unsigned status; /**< 0 unless answered */
     const char *body;
     size_t length;
-    gboolean refused; /**< not sent, as nobody listens at the address */
+    gboolean refused; /**< not sent, as the connection was refused */
 } wb_http_result_t;
 
 typedef void (*wb_http_result_fn)(const wb_http_result_t *result, void *context);
 
-/** One call. Texts need to live only during wb_http_peer_call. */
+/** A call. Strings need to live only during wb_http_peer_call. */
 typedef struct wb_http_request_t {
     const char *method;
     const char *target;
-    const char *headers; /**< whole lines ended by CR LF, or NULL */
+    const char *headers; /**< header lines, each ended by CR LF, or NULL */
     const char *body;    /**< JSON, or NULL */
-    int64_t timeout_ms;  /**< for the whole call, if progress_ms is 0 */
-    /** For answers that may be large: once some of it has come, the call ends only when no more
-     * comes for so long. 0: timeout_ms holds for the whole call. */
+    int64_t timeout_ms;  /**< timeout of the complete call; if progress_ms isn't 0, until the first
+                            bytes of the response */
+    /** Max time without further bytes once the response has begun, for large responses. 0:
+     * timeout_ms applies to the complete call. */
     int64_t progress_ms;
-    gboolean fresh; /**< don't use a kept connection */
-    /** Asked right before the first byte is sent; FALSE ends the call as not sent. May be NULL. */
+    gboolean fresh; /**< use a new connection, not a pooled one */
+    /** Called right before the first byte is sent; FALSE ends the call as WB_HTTP_NOT_SENT. May be
+     * NULL. */
     gboolean (*may_send)(void *context);
-    /** Told the head of the answer, before its result. May be NULL. */
+    /** Called with the response's head, before on_result. May be NULL. */
     void (*on_head)(const wb_http_head_t *head, void *context);
     wb_http_result_fn on_result; /**< called once, never from inside wb_http_peer_call */
     void *context;
 } wb_http_request_t;
 
 /**
- * @param connect_timeout_ms longest time to connect
- * @param silence_limit_ms   unacknowledged bytes break a connection after this time
+ * Create a client. It connects on demand.
+ * @param address            IP:PORT
+ * @param connect_timeout_ms timeout of a connection attempt
+ * @param silence_limit_ms   max time for which sent bytes may stay unacknowledged
  */
 wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms);
-/** Free; running calls end without a result. */
+/** Close all connections and free. Calls under way end without on_result. */
 void wb_http_peer_free(wb_http_peer_t *peer);
+/** Start a call. on_result reports its outcome. */
 void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request);
 
 #endif
--- a/include/wickbridge/http_reader.h
+++ b/include/wickbridge/http_reader.h
@@ -1,9 +1,10 @@
 /**
  * @file http_reader.h
- * @brief Reads HTTP/1.1 messages from bytes as they come, and keeps their heads as they were sent.
+ * @brief Incremental HTTP/1.1 message parser (on http-parser) that keeps heads as they were sent.
  *
- * Parsing is by http-parser. Targets, names and values are not decoded. A message with two lengths,
- * or with a length and chunks, is an error.
+ * Targets, names and values are not decoded. A message with two lengths, or with both a length and
+ * chunked encoding, is an error (request smuggling). After an error the reader accepts no more
+ * bytes; see wb_http_reader_failure. Sizes are in bytes. One thread at a time.
  */
 #ifndef WICKBRIDGE_HTTP_READER_H
 #define WICKBRIDGE_HTTP_READER_H
@@ -21,23 +22,23 @@
 typedef struct wb_http_head_t {
     char *method;    /**< requests only */
     char *target;    /**< requests only, as it was sent */
-    unsigned status; /**< answers only */
-    char *reason;    /**< answers only */
+    unsigned status; /**< responses only */
+    char *reason;    /**< responses only */
     unsigned minor_version;
-    GArray *headers; /**< of wb_http_header_t, in order */
-    gboolean keep_alive;
-    gboolean has_length; /**< a Content-Length was given */
+    GArray *headers;     /**< of wb_http_header_t, in order */
+    gboolean keep_alive; /**< the connection may be reused after this message */
+    gboolean has_length; /**< there is a Content-Length */
     uint64_t content_length;
-    gboolean ends_with_connection; /**< an answer with neither length nor chunks */
+    gboolean ends_with_connection; /**< a response that ends when the connection is closed */
 } wb_http_head_t;
 
 wb_http_head_t *wb_http_head_create(void);
 void wb_http_head_free(wb_http_head_t *head);
-/** @return the first value of a header, by name without regard to case, or NULL */
+/** @return the first value of a header, or NULL. @param name case-insensitive */
 const char *wb_http_head_get(const wb_http_head_t *head, const char *name);
-/** @return the value as a number of at least `minimum`, or `fallback` */
+/** @return the number that a header's value begins with, or `fallback` if it begins with none */
 int64_t wb_http_head_number(const wb_http_head_t *head, const char *name, int64_t fallback);
-/** @return TRUE for headers that concern one connection only, which are never passed on */
+/** @return TRUE for hop-by-hop headers, which must not be forwarded */
 gboolean wb_http_header_is_hop(const wb_http_head_t *head, const char *name);
 
 typedef struct wb_http_reader_t wb_http_reader_t;
@@ -52,24 +53,25 @@
     /** The head is owned by the reader until wb_http_reader_take_head. */
     void (*on_head)(wb_http_reader_t *reader, const wb_http_head_t *head, void *context);
     void (*on_body)(wb_http_reader_t *reader, const char *data, size_t length, void *context);
-    /** The message is whole. Reading pauses until wb_http_reader_next. */
+    /** The message is complete. The reader accepts no more bytes until wb_http_reader_next. */
     void (*on_complete)(wb_http_reader_t *reader, void *context);
 } wb_http_reader_events_t;
 
+/** Create a parser of requests, or of responses. @param events must outlive the reader */
 wb_http_reader_t *wb_http_reader_create(gboolean is_request, size_t head_limit_bytes,
                                         const wb_http_reader_events_t *events, void *context);
 void wb_http_reader_free(wb_http_reader_t *reader);
 
-/** Read some bytes. @return bytes used; fewer than `length` after a whole message or a failure */
+/** Parse bytes. @return bytes consumed; fewer than `length` after a complete message or an error */
 size_t wb_http_reader_feed(wb_http_reader_t *reader, const char *data, size_t length);
-/** The connection was closed in order: ends an answer without a length. */
+/** The peer closed the connection normally: completes a response that ends with it. */
 void wb_http_reader_end(wb_http_reader_t *reader);
-/** Answers to HEAD have no body, whatever their head says. */
+/** Set whether the next response has no body despite its head, as responses to HEAD. */
 void wb_http_reader_expect_no_body(wb_http_reader_t *reader, gboolean without_body);
-/** Be ready for the next message. */
+/** Prepare for the next message. */
 void wb_http_reader_next(wb_http_reader_t *reader);
 wb_http_failure_t wb_http_reader_failure(const wb_http_reader_t *reader);
-/** Take over the present head. */
+/** Take ownership of the current head; free it with wb_http_head_free. */
 wb_http_head_t *wb_http_reader_take_head(wb_http_reader_t *reader);
 
 #endif
--- a/include/wickbridge/tcp_stream.h
+++ b/include/wickbridge/tcp_stream.h
@@ -1,9 +1,10 @@
 /**
  * @file tcp_stream.h
- * @brief One TCP connection on a loop: non-blocking, with buffered output and a close that is
- * always seen.
+ * @brief A non-blocking TCP connection on a loop, with buffered output and detection of a dead
+ * peer.
  *
- * Threads: everything here belongs on the loop's thread.
+ * Times are in milliseconds. A connection's failure is reported by on_end; wb_tcp_stream_connect
+ * and wb_tcp_listen also return an APR status with a message. Loop thread only.
  */
 #ifndef WICKBRIDGE_TCP_STREAM_H
 #define WICKBRIDGE_TCP_STREAM_H
@@ -17,19 +18,19 @@
 
 /** How a connection ended. */
 typedef enum wb_tcp_end_t {
-    WB_TCP_END_UNREACHED, /**< it was never connected, so nothing was sent: there was no answer */
-    WB_TCP_END_REFUSED,   /**< the same, and the machine said that nobody listens there */
-    WB_TCP_END_CLOSED,    /**< the peer closed it in order */
-    WB_TCP_END_RESET      /**< it broke, or the peer stopped acknowledging */
+    WB_TCP_END_UNREACHED, /**< never connected, nothing was sent: timeout or unreachable */
+    WB_TCP_END_REFUSED,   /**< never connected, nothing was sent: connection refused */
+    WB_TCP_END_CLOSED,    /**< closed normally by the peer */
+    WB_TCP_END_RESET      /**< reset, or the peer stopped acknowledging */
 } wb_tcp_end_t;
 
 typedef struct wb_tcp_events_t {
     /** Connected; not called for accepted connections. May be NULL. */
     void (*on_open)(wb_tcp_stream_t *stream, void *context);
     void (*on_data)(wb_tcp_stream_t *stream, const char *data, size_t length, void *context);
-    /** The stream has ended; the callee must still call wb_tcp_stream_close. */
+    /** The connection has ended; the callee must still call wb_tcp_stream_close. */
     void (*on_end)(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context);
-    /** All output was handed to the system. May be NULL. */
+    /** All buffered output was handed to the system. May be NULL. */
     void (*on_drained)(wb_tcp_stream_t *stream, void *context);
 } wb_tcp_events_t;
 
@@ -37,20 +38,22 @@
 typedef void (*wb_tcp_accept_fn)(wb_tcp_stream_t *stream, void *context);
 
 /**
- * Begin to connect. on_open or on_end follows, never from inside this call.
+ * Start to connect. on_open or on_end follows, never from inside this call.
  * @param address            IP:PORT
- * @param connect_timeout_ms time after which on_end says WB_TCP_END_UNREACHED
- * @param silence_limit_ms   unacknowledged bytes end the connection after this time
+ * @param connect_timeout_ms timeout, after which on_end reports WB_TCP_END_UNREACHED
+ * @param silence_limit_ms   max time for which sent bytes may stay unacknowledged
+ * @param events             must outlive the stream
+ * @return APR_SUCCESS, or the reason in `error`; no callback follows then
  */
 apr_status_t wb_tcp_stream_connect(wb_loop_t *loop, const char *address, int64_t connect_timeout_ms,
                                    int64_t silence_limit_ms, const wb_tcp_events_t *events,
                                    void *context, wb_tcp_stream_t **stream, wb_error_t *error);
 
-/** Set who hears of a stream from now on. `events` must outlive the stream. */
+/** Replace the callbacks of a stream. `events` must outlive it. */
 void wb_tcp_stream_set_events(wb_tcp_stream_t *stream, const wb_tcp_events_t *events,
                               void *context);
 
-/** Queue bytes; they are sent as the socket takes them. */
+/** Queue bytes (copied) to be sent as the socket accepts them. */
 void wb_tcp_stream_write(wb_tcp_stream_t *stream, const void *data, size_t length);
 
 /** @return bytes queued and not yet handed to the system */
@@ -59,28 +62,33 @@
 /** @return TRUE while it is connected and neither ended nor closed */
 gboolean wb_tcp_stream_is_open(const wb_tcp_stream_t *stream);
 
-/** Stop or go on calling on_data; a close of the peer behind unread bytes is then seen late. */
+/** Pause or resume reading. While paused, a close by the peer is detected only after the unread
+ * bytes. */
 void wb_tcp_stream_set_reading(wb_tcp_stream_t *stream, gboolean reading);
 
 /** Close at once and free. Safe from every callback of the stream. */
 void wb_tcp_stream_close(wb_tcp_stream_t *stream);
 
-/** Close at once so that the peer sees a broken connection, not an ended one. */
+/** Close at once with a TCP reset, so that the peer sees an aborted connection. Frees the stream as
+ * wb_tcp_stream_close does. */
 void wb_tcp_stream_reset(wb_tcp_stream_t *stream);
 
-/** Close once all output is sent and the peer has closed or a short time has passed. No callbacks
- * follow. */
+/** Send all buffered output, then close, after the peer has closed or one second has passed. No
+ * callbacks follow. */
 void wb_tcp_stream_finish(wb_tcp_stream_t *stream);
 
 /**
  * Listen for connections.
+ * @param address          IP:PORT; port 0 picks one
  * @param silence_limit_ms as in wb_tcp_stream_connect, for accepted connections
+ * @return APR_SUCCESS, or the reason in `error`
  */
 apr_status_t wb_tcp_listen(wb_loop_t *loop, const char *address, int64_t silence_limit_ms,
                            wb_tcp_accept_fn on_accept, void *context, wb_tcp_listener_t **listener,
                            wb_error_t *error);
 /** @return the port listened on */
 unsigned wb_tcp_listener_port(const wb_tcp_listener_t *listener);
+/** Stop listening and free; accepted connections stay open. */
 void wb_tcp_listener_close(wb_tcp_listener_t *listener);
 
 #endif
