--- a/include/wickbridge/event_log.h
+++ b/include/wickbridge/event_log.h
@@ -1,10 +1,12 @@
 /**
  * @file event_log.h
- * @brief Structured log lines on standard output: one JSON object a line, bounded, never blocking.
+ * @brief Structured event log on standard output: one JSON object per line, rate limited, never
+ * blocking.
  *
- * Each kind of event has a budget of lines a second; lines beyond it, and lines that a full pipe
- * doesn't take, are counted and told in a later line. Lines are gathered and written by
- * wb_event_log_flush. docs/OPERATIONS.md has the schema. One thread.
+ * Each kind of event has a budget of lines per second. Lines beyond it are dropped and reported by
+ * a "log-dropped" line; lines are also dropped while the buffer is full because standard output
+ * doesn't accept more. Lines are buffered until wb_event_log_flush. docs/OPERATIONS.md has the
+ * schema. The functions report no errors. Single-threaded.
  */
 #ifndef WICKBRIDGE_EVENT_LOG_H
 #define WICKBRIDGE_EVENT_LOG_H
@@ -12,25 +14,25 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Set up once. @param node name put on each line; copied. @param lines_per_s budget of each kind
- */
+/** Set up the log; call once. @param node node name written on each line; copied
+ * @param lines_per_s budget of each kind of event */
 void wb_event_log_setup(const char *node, unsigned lines_per_s);
 
 /**
- * Write one line.
- * @param kind   the event, for example "request-ended"; a constant text
- * @param format printf-like text of further members, each begun with a comma:
- * ,"id":"%s","status":%u Texts from outside must be passed through wb_event_text.
+ * Log an event.
+ * @param kind   the kind of event, for example "request-ended"; a string constant
+ * @param format printf format of further JSON members, each preceded by a comma:
+ * ,"id":"%s","status":%u. Strings from outside must be passed through wb_event_text.
  */
 void wb_event(const char *kind, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/** @return the text with all that JSON can't hold as it is replaced; in a ring of buffers,
- * short-lived */
+/** Sanitize a string for a JSON literal: quotes, backslashes and control characters become '?', and
+ * it is truncated to 199 bytes. @return a static buffer, reused after eight calls; "" for NULL */
 const char *wb_event_text(const char *text);
 
-/** Hand gathered lines to the system, as far as it takes them without waiting. */
+/** Write buffered lines, as far as possible without blocking. */
 void wb_event_log_flush(void);
-/** @return lines that were dropped so far */
+/** @return number of lines dropped so far */
 uint64_t wb_event_log_dropped(void);
 
 #endif
--- a/include/wickbridge/json.h
+++ b/include/wickbridge/json.h
@@ -1,6 +1,6 @@
 /**
  * @file json.h
- * @brief Small helpers over jansson that every program here needs.
+ * @brief Accessors with fallback values for jansson objects.
  */
 #ifndef WICKBRIDGE_JSON_H
 #define WICKBRIDGE_JSON_H
@@ -8,16 +8,16 @@
 #include <jansson.h>
 #include <stdint.h>
 
-/** @return the member's text, or `fallback` when it is absent or no text; owned by `object` */
+/** @return the member's string, or `fallback` if it is absent or not a string; owned by `object` */
 const char *wb_json_text(const json_t *object, const char *key, const char *fallback);
 
-/** @return the member's whole number, or `fallback` when it is absent or no number */
+/** @return the member's integer, or `fallback` if it is absent or not an integer */
 int64_t wb_json_integer(const json_t *object, const char *key, int64_t fallback);
 
-/** @return the member's truth, or `fallback` when it is absent or no boolean */
+/** @return the member's boolean (0 or 1), or `fallback` if it is absent or not a boolean */
 int wb_json_boolean(const json_t *object, const char *key, int fallback);
 
-/** @return compact text with sorted keys, to be freed with free(); never NULL */
+/** @return the value as compact JSON with sorted keys, to be freed with free(); never NULL */
 char *wb_json_dump(const json_t *value);
 
 #endif
--- a/include/wickbridge/list.h
+++ b/include/wickbridge/list.h
@@ -1,9 +1,10 @@
 /**
  * @file list.h
- * @brief Intrusive doubly linked lists: an object is linked by a member of its own.
+ * @brief Intrusive doubly linked lists: an object is linked through a member of its own.
  *
- * An object is on at most one list by each such member. Nothing is allocated, and taking an object
- * out needs no search. A zeroed item is not on a list; a list must be initialized.
+ * An object is on at most one list per such member. Nothing is allocated, and removal takes
+ * constant time. A zeroed item is not on a list; a list must be initialized. Misuse is caught by
+ * assertions. Not thread-safe.
  *
  *     typedef struct job_t { wb_list_item_t queued; int number; } job_t;
  *     wb_list_t jobs;
@@ -25,18 +26,18 @@
 } wb_list_item_t;
 
 typedef struct wb_list_t {
-    wb_list_item_t ring; /**< stands before the first and behind the last item */
+    wb_list_item_t ring; /**< sentinel before the first and after the last item */
     unsigned len;
 } wb_list_t;
 
-/** The object that an item is a member of. */
+/** The object that contains an item. */
 #define WB_LIST_OF(item, type, member) ((type *)(void *)((char *)(item)-offsetof(type, member)))
 
-/** Visit all items, first to last. The visited one must not be taken out: see WB_LIST_EACH_SAFE. */
+/** Iterate over all items. The current item must not be removed: see WB_LIST_EACH_SAFE. */
 #define WB_LIST_EACH(item, list)                                                                   \
     for (wb_list_item_t *item = (list)->ring.next; item != &(list)->ring; item = item->next)
 
-/** The same, where the visited item may be taken out. */
+/** Iterate over all items; the current item may be removed. */
 #define WB_LIST_EACH_SAFE(item, list)                                                              \
     for (wb_list_item_t *item = (list)->ring.next, *item##_next = item->next;                      \
          item != &(list)->ring; item = item##_next, item##_next = item->next)
@@ -51,7 +52,7 @@
     return item->next != NULL;
 }
 
-/** Put an item before another one; before the ring it is the last. */
+/** Insert an item before another one, or at the end if `place` is the list's ring. */
 static inline void wb_list_add_before(wb_list_t *list, wb_list_item_t *place,
                                       wb_list_item_t *item) {
     g_assert(!wb_list_is_linked(item));
@@ -79,12 +80,12 @@
     list->len--;
 }
 
-/** @return the first item, which stays; NULL when there is none */
+/** @return the first item, without removing it; NULL if the list is empty */
 static inline wb_list_item_t *wb_list_first(const wb_list_t *list) {
     return list->len > 0 ? list->ring.next : NULL;
 }
 
-/** Take the first item out. @return NULL when there is none */
+/** Remove the first item. @return the item; NULL if the list is empty */
 static inline wb_list_item_t *wb_list_pop(wb_list_t *list) {
     wb_list_item_t *first = wb_list_first(list);
     if (first != NULL) {
--- a/include/wickbridge/log.h
+++ b/include/wickbridge/log.h
@@ -1,13 +1,15 @@
 /**
  * @file log.h
- * @brief Short log sentences with a fixed prefix for each part, through GLib's structured logging.
+ * @brief Log messages with a component prefix, through GLib's structured logging.
+ *
+ * wb_log may be called from any thread. The functions report no errors.
  */
 #ifndef WICKBRIDGE_LOG_H
 #define WICKBRIDGE_LOG_H
 
 #include <glib.h>
 
-/** The parts that log; each has a fixed prefix. */
+/** Components that log; each has a fixed prefix. */
 typedef enum wb_part_t {
     WB_PART_NODE,
     WB_PART_GATEWAY,
@@ -22,17 +24,17 @@
 } wb_part_t;
 
 /**
- * Choose the output form for the whole process. Call once, before other threads start.
- * @param json  TRUE for one JSON object a line, FALSE for text
+ * Set the output format of the process. Call once, before other threads start.
+ * @param json  TRUE for one JSON object per line, FALSE for text
  * @param level the least severe level that is written (G_LOG_LEVEL_DEBUG writes all)
- * @param node  the name put on each line; copied
+ * @param node  node name written on each line; copied
  */
 void wb_log_setup(gboolean json, GLogLevelFlags level, const char *node);
 
-/** Read a level's name: error, warning, message, info, debug. @return 0 when unknown */
+/** Parse a level's name: error, warning, message, info, debug. @return 0 if unknown */
 GLogLevelFlags wb_log_level_parse(const char *name);
 
-/** Write one sentence for a part. Any thread may call it. */
+/** Write a message of a component. Any thread. */
 void wb_log(wb_part_t part, GLogLevelFlags level, const char *format, ...) G_GNUC_PRINTF(3, 4);
 
 #define wb_log_warning(part, ...) wb_log((part), G_LOG_LEVEL_WARNING, __VA_ARGS__)
--- a/include/wickbridge/message.h
+++ b/include/wickbridge/message.h
@@ -1,6 +1,10 @@
 /**
  * @file message.h
- * @brief Messages between nodes as bytes: XDR made by rpcgen, checked against its bounds.
+ * @brief Encoding and decoding of messages between nodes: XDR (src/protocol/messages.x, rpcgen).
+ *
+ * A message may be followed by extensions (wb_wire_parts), which readers of format version 1 don't
+ * know. Lengths are checked against the bounds in messages.x; violations return APR_EINVAL with a
+ * message. Sizes are in bytes. The functions keep no state.
  */
 #ifndef WICKBRIDGE_MESSAGE_H
 #define WICKBRIDGE_MESSAGE_H
@@ -11,36 +15,37 @@
 
 #include <glib.h>
 
-/** Largest message in bytes; a longer one ends its link. */
+/** Max size of an encoded message; a longer one closes its link. */
 #define WB_MESSAGE_MAX_BYTES (32 * 1024 * 1024)
 
 /** Append a frame (length, then XDR) to `out`. */
 apr_status_t wb_message_encode(const wb_wire_message *message, GByteArray *out, wb_error_t *error);
 
-/** Read one message's XDR. @return APR_EINVAL for bytes that are no message */
+/** Decode the XDR of one message; free it with wb_message_clear. @return APR_EINVAL if malformed */
 apr_status_t wb_message_decode(const void *data, size_t length, wb_wire_message *message,
                                wb_error_t *error);
 
-/** As wb_message_encode, with parts behind the message, for readers of form 2 or later.
+/** Like wb_message_encode, followed by extensions, for readers of format version 2 or later.
  * @param parts may be NULL: none */
 apr_status_t wb_message_encode_parts(const wb_wire_message *message, const wb_wire_parts *parts,
                                      GByteArray *out, wb_error_t *error);
-/** As wb_message_decode; what follows the message is read as parts. @param parts to be cleared with
- * wb_parts_clear */
+/** Like wb_message_decode; the bytes after the message are decoded as extensions. @param parts free
+ * it with wb_parts_clear */
 apr_status_t wb_message_decode_parts(const void *data, size_t length, wb_wire_message *message,
                                      wb_wire_parts *parts, wb_error_t *error);
-/** @return TRUE when bytes begin as a message of a kind that this build doesn't know: a later one
- * sends it, and it is to be passed over */
+/** @return TRUE if the bytes begin with a message kind that this build doesn't know. A newer build
+ * sent it, and it must be ignored. */
 gboolean wb_message_is_unknown(const void *data, size_t length);
 
+/** Free decoded or added extensions. */
 void wb_parts_clear(wb_wire_parts *parts);
-/** @return the part of a kind, or NULL; owned by `parts` */
+/** @return the extension of a kind, or NULL; owned by `parts` */
 const wb_wire_part *wb_parts_find(const wb_wire_parts *parts, wb_wire_part_kind kind);
-/** Append a part. @param encode XDR routine of what it holds @return FALSE when that breaks its
+/** Append an extension. @param encode XDR routine of `value` @return FALSE if `value` exceeds its
  * bounds */
 gboolean wb_parts_add(wb_wire_parts *parts, wb_wire_part_kind kind, xdrproc_t encode, void *value);
-/** Read what a part holds. @param value zeroed; to be freed with xdr_free @return FALSE when there
- * is no such part or it is malformed */
+/** Decode an extension. @param value must be zeroed; free it with xdr_free @return FALSE if there
+ * is no such extension or it is malformed */
 gboolean wb_parts_read(const wb_wire_parts *parts, wb_wire_part_kind kind, xdrproc_t decode,
                        void *value);
 
--- a/include/wickbridge/settings.h
+++ b/include/wickbridge/settings.h
@@ -1,6 +1,10 @@
 /**
  * @file settings.h
- * @brief Checked settings of a program, all from one table: flags, file, help and pages.
+ * @brief Settings of a program, defined in one table: command line flags, settings file, help and
+ * documentation.
+ *
+ * Values are checked against their row; errors are APR_EINVAL with a message that names the
+ * setting. Units are given in each row. Not thread-safe.
  */
 #ifndef WICKBRIDGE_SETTINGS_H
 #define WICKBRIDGE_SETTINGS_H
@@ -13,26 +17,26 @@
 
 /** The type of one setting. */
 typedef enum wb_setting_type_t {
-    WB_SETTING_TEXT,    /**< any text, `const char *` in the target struct */
-    WB_SETTING_ADDRESS, /**< IP:PORT, `const char *` in the target struct */
-    WB_SETTING_INTEGER, /**< whole number in [minimum, maximum], `int64_t` */
-    WB_SETTING_REAL,    /**< number in [minimum, maximum], `double` */
-    WB_SETTING_BOOLEAN  /**< true or false, `int64_t` 0 or 1 */
+    WB_SETTING_TEXT,    /**< any string; `const char *` in the target struct */
+    WB_SETTING_ADDRESS, /**< IP:PORT; `const char *` in the target struct */
+    WB_SETTING_INTEGER, /**< integer in [minimum, maximum]; `int64_t` */
+    WB_SETTING_REAL,    /**< number in [minimum, maximum]; `double` */
+    WB_SETTING_BOOLEAN  /**< true or false; `int64_t` 1 or 0 */
 } wb_setting_type_t;
 
-/** One row of a program's table of settings. */
+/** Definition of a setting. */
 typedef struct wb_setting_t {
     const char *name; /**< flag name without dashes, and key in the settings file */
     wb_setting_type_t type;
     const char *unit;          /**< "ms", "bytes", "" ... */
     int64_t minimum;           /**< numbers only */
     int64_t maximum;           /**< numbers only */
-    const char *default_value; /**< as text; NULL: must be given */
-    size_t offset;             /**< where the value goes in the target struct */
+    const char *default_value; /**< as text; NULL: the setting is required */
+    size_t offset;             /**< of the value in the target struct */
     const char *text;          /**< one sentence for --help and docs/SETTINGS.md */
 } wb_setting_t;
 
-/** A program's table with its name and purpose. */
+/** All settings of a program. */
 typedef struct wb_settings_table_t {
     const char *program; /**< also the group in the settings file */
     const char *purpose; /**< one sentence for --help */
@@ -41,27 +45,27 @@
 } wb_settings_table_t;
 
 /**
- * Fill in `target` from defaults, then from the file named by --settings, then from flags.
- * Texts live as long as the process.
- * @return APR_SUCCESS, or APR_EINVAL with one clear line in `error`
+ * Fill in `target` from the defaults, then the file named by --settings, then flags; later sources
+ * override earlier ones. Strings live as long as the process.
+ * @return APR_SUCCESS, or APR_EINVAL with one line in `error`
  */
 apr_status_t wb_settings_read(const wb_settings_table_t *table, int argc, char **argv, void *target,
                               wb_error_t *error);
 
 /**
- * Set one value by name, checked against its row.
- * @param origin where the value came from, for the error's line
+ * Set one value by name.
+ * @param origin source of the value, for the error message
  */
 apr_status_t wb_settings_set(const wb_settings_table_t *table, void *target, const char *name,
                              const char *value, const char *origin, wb_error_t *error);
 
-/** @return how many settings have another value in `left` than in `right` */
+/** @return number of settings whose values differ between `left` and `right` */
 unsigned wb_settings_differ(const wb_settings_table_t *table, const void *left, const void *right);
 
-/** Write the table as a page section in Markdown. */
+/** Write the table as a Markdown section. */
 void wb_settings_document(const wb_settings_table_t *table, FILE *file);
 
-/** Check that text is IP:PORT with a numeric address. @return nonzero when it is */
+/** @return nonzero if the text is IP:PORT with a numeric IPv4 address */
 int wb_address_is_valid(const char *text);
 
 #endif
--- a/include/wickbridge/tls.h
+++ b/include/wickbridge/tls.h
@@ -1,9 +1,10 @@
 /**
  * @file tls.h
- * @brief TLS on links between nodes, by GnuTLS: both sides show a certificate of the nodes'
- * authority.
+ * @brief Mutual TLS on links between nodes, with GnuTLS: both sides must present a certificate
+ * signed by the configured authority.
  *
- * Threads: a context is read-only once created; a session belongs to its link's loop.
+ * Steps of a session never block. Failures are WB_TLS_FAILED, described by wb_tls_session_failure.
+ * Threads: a context is read-only once created; a session is used on its link's loop only.
  */
 #ifndef WICKBRIDGE_TLS_H
 #define WICKBRIDGE_TLS_H
@@ -16,16 +17,18 @@
 typedef struct wb_tls_context_t wb_tls_context_t;
 typedef struct wb_tls_session_t wb_tls_session_t;
 
-/** How a step of a session went. */
+/** Result of a step of a session. */
 typedef enum wb_tls_step_t {
     WB_TLS_DONE,
-    WB_TLS_WANTS_READ,  /**< again when the socket can be read */
-    WB_TLS_WANTS_WRITE, /**< again when the socket can be written */
-    WB_TLS_ENDED,       /**< the other side closed it */
-    WB_TLS_FAILED       /**< wrong or missing certificate, or a broken connection */
+    WB_TLS_WANTS_READ,  /**< retry when the socket is readable */
+    WB_TLS_WANTS_WRITE, /**< retry when the socket is writable */
+    WB_TLS_ENDED,       /**< closed by the peer */
+    WB_TLS_FAILED       /**< invalid or missing certificate, or the connection failed */
 } wb_tls_step_t;
 
-/** Read key, certificate and authority from PEM files. */
+/** Load key, certificate and authority from PEM files. @return APR_SUCCESS, or the reason in
+ * `error`
+ */
 apr_status_t wb_tls_context_create(wb_tls_context_t **context, const char *key_file,
                                    const char *certificate_file, const char *trust_file,
                                    wb_error_t *error);
@@ -36,12 +39,12 @@
 void wb_tls_session_free(wb_tls_session_t *session);
 
 wb_tls_step_t wb_tls_session_handshake(wb_tls_session_t *session);
-/** @param length in: what is to be sent; out: what was */
+/** @param length in: bytes to send; out: bytes sent */
 wb_tls_step_t wb_tls_session_send(wb_tls_session_t *session, const char *data, gsize *length);
-/** @param length in: room; out: what came */
+/** @param length in: capacity of `data`; out: bytes received */
 wb_tls_step_t wb_tls_session_receive(wb_tls_session_t *session, char *data, gsize *length);
 
-/** @return one line on the last failure */
+/** @return one line that describes the last failure */
 const char *wb_tls_session_failure(const wb_tls_session_t *session);
 
 #endif
