--- a/include/wickbridge/membership.h
+++ b/include/wickbridge/membership.h
@@ -1,9 +1,11 @@
 /**
  * @file membership.h
- * @brief Who is up and who owns which cell: heartbeats on a fixed fan-out overlay, with gossip.
+ * @brief Cluster membership, failure detection and cell ownership, by heartbeats and gossip on an
+ * overlay network of fixed fan-out.
  *
- * Each node heartbeats only its overlay neighbours (about eight links, whatever the cluster's
- * size) and floods changes over the same links. Threads: everything on the loop's thread.
+ * Each node exchanges heartbeats with its overlay neighbours only (about eight links, independent
+ * of the cluster's size) and floods changes over the same links. Times are monotonic (wb_clock_ms)
+ * in milliseconds. The functions report no errors. Loop thread only.
  */
 #ifndef WICKBRIDGE_MEMBERSHIP_H
 #define WICKBRIDGE_MEMBERSHIP_H
@@ -14,7 +16,7 @@
 
 typedef struct wb_membership_t wb_membership_t;
 
-/** Settings and identity. Texts are copied. */
+/** Identity of this node and settings. Strings are copied. */
 typedef struct wb_membership_options_t {
     const char *node;
     const char *address;
@@ -22,14 +24,16 @@
     const char *zone;
     const char *const *seeds; /**< addresses to join through, ended by NULL */
     int64_t heartbeat_interval_ms;
-    int64_t suspect_after_ms; /**< silence before a neighbour is suspected */
-    int64_t dead_after_ms;    /**< suspicion before it counts as dead */
+    int64_t suspect_after_ms; /**< time without a message after which a neighbour is suspected */
+    int64_t dead_after_ms;    /**< time after which a suspected member counts as dead */
 } wb_membership_options_t;
 
 typedef struct wb_membership_events_t {
+    /** A member was added or changed its state. */
     void (*on_member)(const wb_member_t *member, void *context);
+    /** A cell has a new owner, as of this epoch. */
     void (*on_owner)(const char *cell, const char *node, uint64_t epoch, void *context);
-    /** A neighbour's heartbeat shows its configuration version. */
+    /** A neighbour's heartbeat carried its configuration version. */
     void (*on_config_version)(const char *node, uint64_t version, void *context);
     void *context;
 } wb_membership_events_t;
@@ -39,29 +43,34 @@
                                      const wb_membership_events_t *events);
 void wb_membership_stop(wb_membership_t *membership);
 
-/** Give it a message or a change of a link. @return TRUE when the message was its own */
+/** Handle a message from a node. @return TRUE if it is a membership message */
 gboolean wb_membership_message(wb_membership_t *membership, const char *node,
                                const wb_wire_message *message);
+/** Handle wb_peers_events_t.on_up. */
 void wb_membership_link_up(wb_membership_t *membership, const char *node, gboolean overlay);
+/** Handle wb_peers_events_t.on_down: a neighbour becomes suspected. */
 void wb_membership_link_down(wb_membership_t *membership, const char *node);
+/** Handle wb_peers_events_t.on_replaced: the process of `node` has ended. */
 void wb_membership_replaced(wb_membership_t *membership, const char *node);
 
-/** The platform says that this machine is gone for good. */
+/** The platform has permanently removed a machine. */
 void wb_membership_machine_gone(wb_membership_t *membership, const char *machine_id);
 
 const wb_member_table_t *wb_membership_table(const wb_membership_t *membership);
+/** @return the node's address for links, or NULL if it is unknown or gone */
 const char *wb_membership_address(const wb_membership_t *membership, const char *node);
 
-/** Tell all that this node owns a cell at an epoch. */
+/** Announce to all nodes that this node owns a cell as of an epoch. */
 void wb_membership_announce_owner(wb_membership_t *membership, const char *cell, uint64_t epoch);
 
-/** @return the owner last heard of, or NULL; `epoch` may be NULL */
+/** @return the latest known owner, or NULL. @param epoch out: its epoch, or 0; may be NULL */
 const char *wb_membership_owner(const wb_membership_t *membership, const char *cell,
                                 uint64_t *epoch);
 
+/** Set the version that this node's heartbeats carry. */
 void wb_membership_set_config_version(wb_membership_t *membership, uint64_t version);
 
-/** Tell all that this node leaves for good. */
+/** Announce to all nodes that this node leaves permanently. */
 void wb_membership_leave(wb_membership_t *membership);
 
 #endif
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -1,4 +1,4 @@
-/* Speaks the control side of the engine protocol: orders, fences, inventories. */
+/* Client of the engines' control API: orders, fences, inventories. */
 #include "wickbridge/engine_client.h"
 
 #include "wickbridge/json.h"
@@ -8,22 +8,24 @@
 #include <string.h>
 
 #define FOLLOW_RETRY_MS 250
-#define LOST_AFTER_FAILURES 2
-#define ANSWER_MARGIN_MS 1500
+/* Consecutive failures after which an engine counts as unreachable. */
+#define UNREACHABLE_FAILURES 2
+/* Added to the long poll's wait for the timeout of the call. */
+#define RESPONSE_MARGIN_MS 1500
 
 /* An engine whose inventory is followed. */
 typedef struct follow_t {
     wb_engine_client_t *client;
     char *engine;
     char *address;
-    int64_t sequence;
-    int failures;
-    gboolean stopped; /* freed when the call that is under way ends */
-    gboolean calling;
+    int64_t sequence; /* of the last inventory; -1: none yet */
+    int failures;     /* consecutive */
+    gboolean stopped; /* freed when the call or timer under way ends */
+    gboolean calling; /* a call or the retry timer is under way */
 } follow_t;
 
 struct wb_engine_client_t {
-    int references; /* one for the owner, one for each call under way */
+    int references; /* one for the owner, one for each call or timer under way */
     wb_http_client_t *http;
     wb_loop_t *loop;
     wb_engine_client_options_t options;
@@ -32,7 +34,7 @@
     GHashTable *follows; /* engine -> follow_t */
 };
 
-/* An order that is under way. */
+/* An order under way. */
 typedef struct order_call_t {
     wb_engine_client_t *client;
     char *engine;
@@ -52,6 +54,7 @@
     g_free(follow);
 }
 
+/* Frees a follow now, or once its call has ended. */
 static void follow_release(gpointer data) {
     follow_t *follow = data;
     follow->stopped = TRUE;
@@ -100,9 +103,10 @@
     wb_inventory_t *inventory = result->outcome == WB_HTTP_ANSWERED ? inventory_read(result) : NULL;
     wb_order_outcome_t outcome = order_outcome(result, call->fence, inventory);
     if (inventory != NULL && inventory->fence == call->fence && outcome == WB_ORDER_STALE)
-        outcome = WB_ORDER_REFUSED; /* 409 for the order itself: it was unloading */
+        outcome = WB_ORDER_REFUSED; /* 409 for this order: the model is being unloaded */
     if (outcome != WB_ORDER_TAKEN)
-        wb_log_info(WB_PART_ENGINE, "Engine %s did not take order %" G_GUINT64_FORMAT ": %u %s.",
+        wb_log_info(WB_PART_ENGINE,
+                    "Engine %s did not accept order %" G_GUINT64_FORMAT ": status %u %s.",
                     call->engine, (guint64)call->fence, result->status, result->reason);
     if (!client->closed)
         client->events.on_order_done(call->engine, call->fence, outcome, inventory,
@@ -114,7 +118,7 @@
     g_free(call);
 }
 
-static json_t *order_describe(const wb_order_t *order) {
+static json_t *order_to_json(const wb_order_t *order) {
     char fence[32];
     g_snprintf(fence, sizeof(fence), "%" G_GUINT64_FORMAT, (guint64)order->fence);
     json_t *body = json_pack("{s:s}", "fence", fence);
@@ -139,7 +143,7 @@
     const char *path = order->action == WB_ORDER_FENCE ? "fence" : "orders";
     g_autofree char *url =
         g_strdup_printf("%s://%s/engine/v1/%s", client->options.scheme, order->address, path);
-    json_t *body = order_describe(order);
+    json_t *body = order_to_json(order);
     char *text = wb_json_dump(body);
     wb_http_request_t request = {.method = "POST",
                                  .url = url,
@@ -155,7 +159,8 @@
 
 static void follow_call(follow_t *follow);
 
-static void follow_again(void *context) {
+/* Retry timer: calls again, unless the engine was unfollowed meanwhile. */
+static void follow_retry(void *context) {
     follow_t *follow = context;
     wb_engine_client_t *client = follow->client;
     follow->calling = FALSE;
@@ -168,19 +173,19 @@
 
 static void follow_failed(follow_t *follow) {
     wb_engine_client_t *client = follow->client;
-    if (++follow->failures == LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s doesn't answer.", follow->engine);
+    if (++follow->failures == UNREACHABLE_FAILURES) {
+        wb_log_message(WB_PART_ENGINE, "Engine %s is unreachable.", follow->engine);
         client->events.on_reachable(follow->engine, FALSE, client->events.context);
     }
     follow->calling = TRUE;
     client->references++;
-    wb_loop_after(client->loop, FOLLOW_RETRY_MS, follow_again, follow);
+    wb_loop_after(client->loop, FOLLOW_RETRY_MS, follow_retry, follow);
 }
 
 static void follow_succeeded(follow_t *follow, wb_inventory_t *inventory) {
     wb_engine_client_t *client = follow->client;
-    if (follow->failures >= LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s answers again.", follow->engine);
+    if (follow->failures >= UNREACHABLE_FAILURES) {
+        wb_log_message(WB_PART_ENGINE, "Engine %s is reachable again.", follow->engine);
         client->events.on_reachable(follow->engine, TRUE, client->events.context);
     }
     follow->failures = 0;
@@ -201,7 +206,7 @@
     } else if (inventory == NULL) {
         follow_failed(follow);
     } else {
-        follow->calling = TRUE; /* an event may unfollow this engine */
+        follow->calling = TRUE; /* keeps it alive if an event unfollows this engine */
         follow_succeeded(follow, inventory);
         follow->calling = FALSE;
         if (follow->stopped)
@@ -220,7 +225,7 @@
         client->options.scheme, follow->address, (gint64)follow->sequence, (gint64)wait_ms);
     wb_http_request_t request = {.method = "GET",
                                  .url = url,
-                                 .timeout_ms = wait_ms + ANSWER_MARGIN_MS,
+                                 .timeout_ms = wait_ms + RESPONSE_MARGIN_MS,
                                  .on_done = follow_done,
                                  .context = follow};
     follow->calling = TRUE;
--- a/src/engine/inventory.c
+++ b/src/engine/inventory.c
@@ -1,4 +1,4 @@
-/* Reads an engine's inventory from JSON. */
+/* Parses an engine's inventory from JSON. */
 #include "wickbridge/inventory.h"
 
 #include "wickbridge/json.h"
--- a/src/membership/member.c
+++ b/src/membership/member.c
@@ -1,4 +1,4 @@
-/* Merges what nodes tell of each other, and ranks members for a key. */
+/* Merges updates about members, and ranks members for a key. */
 #include "wickbridge/member.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 struct wb_member_table_t {
     GHashTable *by_node;
-    uint64_t digest; /* XOR over the members that are up */
+    uint64_t digest; /* XOR of member_hash over all members */
 };
 
 typedef struct wb_member_rank_t {
@@ -39,7 +39,7 @@
     return member->state == WB_MEMBER_ALIVE || member->state == WB_MEMBER_SUSPECT;
 }
 
-/* What a member adds to the table's digest. */
+/* Returns a member's contribution to the table's digest; 0 unless it is up. */
 static uint64_t member_hash(const wb_member_t *member) {
     if (!member_is_up(member))
         return 0;
@@ -62,7 +62,7 @@
     wb_member_t *known = g_hash_table_lookup(table->by_node, update->node);
     if (known == NULL) {
         if (!member_is_up(update))
-            return FALSE; /* forgotten here already, or never known */
+            return FALSE; /* removed by a sweep, or never known */
         known = g_new0(wb_member_t, 1);
         known->node = g_strdup(update->node);
         known->address = g_strdup(update->address);
@@ -132,7 +132,7 @@
     return strcmp(a->member->node, b->member->node);
 }
 
-/* Members that are up with their hash for a key, best first. */
+/* Returns the members that are up, sorted by descending hash for a key. */
 static GArray *ranks_create(const wb_member_table_t *table, const char *key) {
     GArray *ranks = g_array_new(FALSE, TRUE, sizeof(wb_member_rank_t));
     uint64_t seed = XXH64(key, strlen(key), 0);
@@ -168,6 +168,7 @@
     return members;
 }
 
+/* Adds the member at an index of the ring, unless it is `self` or in the list already. */
 static void neighbour_add(GPtrArray *neighbours, const GPtrArray *ring, guint index,
                           const char *self) {
     const wb_member_t *member = ring->pdata[index % ring->len];
@@ -180,23 +181,24 @@
 GPtrArray *wb_member_table_neighbours(const wb_member_table_t *table, const char *self) {
     GPtrArray *neighbours = g_ptr_array_new_with_free_func(g_free);
     g_autoptr(GPtrArray) ring = wb_member_table_rank(table, "overlay ring", FALSE);
-    guint place = 0;
-    while (place < ring->len && strcmp(((wb_member_t *)ring->pdata[place])->node, self) != 0)
-        place++;
-    if (place == ring->len)
+    guint self_index = 0;
+    while (self_index < ring->len &&
+           strcmp(((wb_member_t *)ring->pdata[self_index])->node, self) != 0)
+        self_index++;
+    if (self_index == ring->len)
         return neighbours;
-    neighbour_add(neighbours, ring, place + 1, self);
-    neighbour_add(neighbours, ring, place + 2, self);
-    neighbour_add(neighbours, ring, place + ring->len / 2, self);
+    neighbour_add(neighbours, ring, self_index + 1, self);
+    neighbour_add(neighbours, ring, self_index + 2, self);
+    neighbour_add(neighbours, ring, self_index + ring->len / 2, self);
     neighbour_add(neighbours, ring, (guint)XXH64(self, strlen(self), 1) % ring->len, self);
     return neighbours;
 }
 
 void wb_member_machine_id(const char *node, char *id, size_t size) {
     g_strlcpy(id, node, size);
-    char *mark = strchr(id, '~');
-    if (mark != NULL)
-        *mark = '\0';
+    char *separator = strchr(id, '~');
+    if (separator != NULL)
+        *separator = '\0';
 }
 
 const char *wb_member_state_name(wb_member_state_t state) {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -1,4 +1,4 @@
-/* Detects failed nodes by heartbeats of neighbours and spreads what is new by gossip. */
+/* Failure detection by heartbeats of overlay neighbours, and propagation of changes by gossip. */
 #include "wickbridge/membership.h"
 
 #include "wickbridge/log.h"
@@ -7,19 +7,19 @@
 #include <xxhash.h>
 
 #define GOSSIP_FLUSH_MS 30
-#define RECENT_MS 10000 /* news of this age may still be spreading */
+#define RECENT_MS 10000 /* changes younger than this may not have reached all nodes */
 #define FORGET_AFTER_MS (10 * 60 * 1000)
 #define IDLE_LINK_MS (5 * 1000)
-#define OVERLAY_LEAST 2    /* links below which neighbours are looked for at once */
-#define RECONNECT_TICKS 10 /* heartbeats between tries to reach dead members and seeds */
-#define MISMATCH_TICKS 4   /* heartbeats with another digest before tables are exchanged */
+#define MIN_OVERLAY_LINKS 2 /* with fewer links, neighbours are connected at once */
+#define RECONNECT_TICKS 10  /* heartbeats between attempts to reach dead members and seeds */
+#define MISMATCH_TICKS 4    /* heartbeats with another digest before tables are exchanged */
 
-/* Who owns one cell, as heard. */
+/* The latest known owner of a cell. */
 typedef struct cell_owner_t {
     char *cell;
     char *node;
     uint64_t epoch;
-    int64_t changed_ms; /* when it was learnt here */
+    int64_t changed_ms; /* when this node learned of it */
 } cell_owner_t;
 
 struct wb_membership_t {
@@ -27,13 +27,13 @@
     wb_peers_t *peers;
     wb_membership_events_t events;
     wb_member_table_t *table;
-    GHashTable *owners; /* cell -> cell_owner_t */
-    uint64_t owner_digest;
+    GHashTable *owners;    /* cell -> cell_owner_t */
+    uint64_t owner_digest; /* XOR of owner_hash over all owners */
     wb_member_t self;
     GPtrArray *seeds;
-    GHashTable *fresh_members; /* names to pass on at the next flush */
-    GHashTable *fresh_cells;
-    GHashTable *mismatches; /* neighbour -> heartbeats in a row with another digest */
+    GHashTable *changed_members; /* set of names to send at the next flush */
+    GHashTable *changed_cells;   /* set of names to send at the next flush */
+    GHashTable *mismatches;      /* neighbour -> consecutive heartbeats with another digest */
     int64_t interval_ms;
     int64_t suspect_after_ms;
     int64_t dead_after_ms;
@@ -56,28 +56,29 @@
     return XXH64(owner->cell, strlen(owner->cell), owner->epoch);
 }
 
-static void member_learnt(wb_membership_t *membership, const char *node) {
-    g_hash_table_add(membership->fresh_members, g_strdup(node));
+/* Queues a changed member for gossip, logs it and calls on_member. */
+static void member_changed(wb_membership_t *membership, const char *node) {
+    g_hash_table_add(membership->changed_members, g_strdup(node));
     const wb_member_t *member = wb_member_table_find(membership->table, node);
     wb_log_info(WB_PART_MEMBERSHIP, "Member %s is %s.", node, wb_member_state_name(member->state));
     membership->events.on_member(member, membership->events.context);
 }
 
-/* Raises our incarnation when someone thinks that we are down. */
+/* Refutes an update that says that this node is down, by a higher incarnation. */
 static void self_refute(wb_membership_t *membership, const wb_member_t *update) {
     if (membership->left || update->state == WB_MEMBER_ALIVE ||
         update->incarnation < membership->self.incarnation)
         return;
     membership->self.incarnation = update->incarnation + 1;
     if (wb_member_table_merge(membership->table, &membership->self, wb_clock_ms()))
-        g_hash_table_add(membership->fresh_members, g_strdup(membership->self.node));
+        g_hash_table_add(membership->changed_members, g_strdup(membership->self.node));
 }
 
 static void member_merge(wb_membership_t *membership, const wb_member_t *update) {
     if (strcmp(update->node, membership->self.node) == 0)
         self_refute(membership, update);
     else if (wb_member_table_merge(membership->table, update, wb_clock_ms()))
-        member_learnt(membership, update->node);
+        member_changed(membership, update->node);
 }
 
 static void member_set_state(wb_membership_t *membership, const char *node,
@@ -108,7 +109,7 @@
     known->epoch = epoch;
     known->changed_ms = wb_clock_ms();
     membership->owner_digest ^= owner_hash(known);
-    g_hash_table_add(membership->fresh_cells, g_strdup(cell));
+    g_hash_table_add(membership->changed_cells, g_strdup(cell));
     membership->events.on_owner(cell, node, epoch, membership->events.context);
 }
 
@@ -121,19 +122,19 @@
     wire->state = member->state;
 }
 
-/* Which members and owners a gossip message carries. */
-typedef struct gossip_choice_t {
-    GHashTable *members; /* names; NULL: all */
-    GHashTable *cells;   /* names; NULL: all */
-    int64_t since_ms;    /* only what was learnt since */
-} gossip_choice_t;
+/* Selects the members and owners that a gossip message carries. */
+typedef struct gossip_filter_t {
+    GHashTable *members; /* set of names; NULL: all */
+    GHashTable *cells;   /* set of names; NULL: all */
+    int64_t since_ms;    /* only changes that this node learned since */
+} gossip_filter_t;
 
-static gboolean choice_has(GHashTable *names, const char *name) {
+static gboolean filter_has(GHashTable *names, const char *name) {
     return names == NULL || g_hash_table_contains(names, name);
 }
 
 static void gossip_send(wb_membership_t *membership, const GPtrArray *targets,
-                        const gossip_choice_t *choice) {
+                        const gossip_filter_t *filter) {
     g_autoptr(GPtrArray) list = wb_member_table_list(membership->table);
     g_autofree wb_wire_member *wire_members = g_new0(wb_wire_member, list->len + 1);
     guint cell_limit = g_hash_table_size(membership->owners);
@@ -144,7 +145,7 @@
     gossip->owners.owners_val = wire_owners;
     for (guint i = 0; i < list->len; i++) {
         const wb_member_t *member = list->pdata[i];
-        if (member->changed_ms >= choice->since_ms && choice_has(choice->members, member->node))
+        if (member->changed_ms >= filter->since_ms && filter_has(filter->members, member->node))
             member_to_wire(member, &wire_members[gossip->members.members_len++]);
     }
     GHashTableIter iterator;
@@ -152,7 +153,7 @@
     g_hash_table_iter_init(&iterator, membership->owners);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const cell_owner_t *owner = value;
-        if (owner->changed_ms < choice->since_ms || !choice_has(choice->cells, owner->cell))
+        if (owner->changed_ms < filter->since_ms || !filter_has(filter->cells, owner->cell))
             continue;
         wb_wire_ownership *wire = &wire_owners[gossip->owners.owners_len++];
         wire->cell = owner->cell;
@@ -166,46 +167,46 @@
 static void gossip_send_since(wb_membership_t *membership, const char *node, int64_t since_ms) {
     g_autoptr(GPtrArray) targets = g_ptr_array_new();
     g_ptr_array_add(targets, (gpointer)node);
-    gossip_choice_t choice = {NULL, NULL, since_ms};
-    gossip_send(membership, targets, &choice);
+    gossip_filter_t filter = {NULL, NULL, since_ms};
+    gossip_send(membership, targets, &filter);
 }
 
 static void gossip_send_all(wb_membership_t *membership, const char *node) {
     gossip_send_since(membership, node, INT64_MIN);
 }
 
-/* Tells a node what we think of it, so that it can refute. */
-static void gossip_send_itself(wb_membership_t *membership, const char *node) {
+/* Sends a node its own entry, so that it can refute it. */
+static void gossip_send_own_entry(wb_membership_t *membership, const char *node) {
     g_autoptr(GPtrArray) targets = g_ptr_array_new();
     g_autoptr(GHashTable) names = g_hash_table_new(g_str_hash, g_str_equal);
     g_autoptr(GHashTable) no_cells = g_hash_table_new(g_str_hash, g_str_equal);
     g_ptr_array_add(targets, (gpointer)node);
     g_hash_table_add(names, (gpointer)node);
-    gossip_choice_t choice = {names, no_cells, INT64_MIN};
-    gossip_send(membership, targets, &choice);
+    gossip_filter_t filter = {names, no_cells, INT64_MIN};
+    gossip_send(membership, targets, &filter);
 }
 
 static void overlay_maintain(wb_membership_t *membership);
 
 static void gossip_flush(void *context) {
     wb_membership_t *membership = context;
-    if (g_hash_table_size(membership->fresh_members) == 0 &&
-        g_hash_table_size(membership->fresh_cells) == 0)
+    if (g_hash_table_size(membership->changed_members) == 0 &&
+        g_hash_table_size(membership->changed_cells) == 0)
         return;
     g_autoptr(GPtrArray) targets = wb_peers_overlay(membership->peers);
-    if (targets->len < OVERLAY_LEAST) {
-        /* Who joins needs neighbours at once; later the next heartbeat is early enough. */
+    if (targets->len < MIN_OVERLAY_LINKS) {
+        /* A joining node needs neighbours at once; otherwise the next heartbeat connects them. */
         overlay_maintain(membership);
         g_ptr_array_unref(targets);
         targets = wb_peers_overlay(membership->peers);
     }
-    gossip_choice_t choice = {membership->fresh_members, membership->fresh_cells, INT64_MIN};
-    gossip_send(membership, targets, &choice);
-    g_hash_table_remove_all(membership->fresh_members);
-    g_hash_table_remove_all(membership->fresh_cells);
+    gossip_filter_t filter = {membership->changed_members, membership->changed_cells, INT64_MIN};
+    gossip_send(membership, targets, &filter);
+    g_hash_table_remove_all(membership->changed_members);
+    g_hash_table_remove_all(membership->changed_cells);
 }
 
-static void gossip_take(wb_membership_t *membership, const wb_wire_gossip *gossip) {
+static void gossip_apply(wb_membership_t *membership, const wb_wire_gossip *gossip) {
     for (u_int i = 0; i < gossip->members.members_len; i++) {
         const wb_wire_member *wire = &gossip->members.members_val[i];
         if (wire->state > WB_MEMBER_GONE)
@@ -221,14 +222,15 @@
     }
 }
 
-/* A heartbeat of a neighbour whose tables stay different leads to an exchange of tables. */
-static void heartbeat_take(wb_membership_t *membership, const char *node,
-                           const wb_wire_heartbeat *heartbeat) {
+/* Handles a neighbour's heartbeat. If its tables differ from ours for several heartbeats, sends it
+ * our tables. */
+static void heartbeat_apply(wb_membership_t *membership, const char *node,
+                            const wb_wire_heartbeat *heartbeat) {
     const wb_member_t *member = wb_member_table_find(membership->table, node);
     if (member == NULL)
         gossip_send_all(membership, node);
     else if (member->state != WB_MEMBER_ALIVE)
-        gossip_send_itself(membership, node);
+        gossip_send_own_entry(membership, node);
     gboolean same = heartbeat->member_digest == wb_member_table_digest(membership->table) &&
                     heartbeat->owner_digest == membership->owner_digest;
     guint count =
@@ -246,10 +248,10 @@
                                const wb_wire_message *message) {
     switch (message->kind) {
     case WB_WIRE_HEARTBEAT:
-        heartbeat_take(membership, node, &message->wb_wire_message_u.heartbeat);
+        heartbeat_apply(membership, node, &message->wb_wire_message_u.heartbeat);
         return TRUE;
     case WB_WIRE_GOSSIP:
-        gossip_take(membership, &message->wb_wire_message_u.gossip);
+        gossip_apply(membership, &message->wb_wire_message_u.gossip);
         return TRUE;
     case WB_WIRE_SYNC:
         gossip_send_all(membership, node);
@@ -262,7 +264,7 @@
 void wb_membership_link_up(wb_membership_t *membership, const char *node, gboolean overlay) {
     if (!wb_member_table_is_up(membership->table, node))
         gossip_send_all(membership, node);
-    else if (overlay) /* what is older has reached everyone; digests show it if not */
+    else if (overlay) /* older changes have reached all nodes, or the digests will differ */
         gossip_send_since(membership, node, wb_clock_ms() - RECENT_MS);
 }
 
@@ -290,20 +292,21 @@
     }
 }
 
-/* Suspects neighbours that are silent. */
+/* Suspects unresponsive neighbours, and closes their links after twice that time. */
 static void neighbours_check(wb_membership_t *membership, const GPtrArray *overlay) {
     int64_t now_ms = wb_clock_ms();
     for (guint i = 0; i < overlay->len; i++) {
         const char *node = overlay->pdata[i];
-        int64_t silence_ms = now_ms - wb_peers_heard_ms(membership->peers, node);
-        if (silence_ms <= membership->suspect_after_ms)
+        int64_t unresponsive_ms = now_ms - wb_peers_heard_ms(membership->peers, node);
+        if (unresponsive_ms <= membership->suspect_after_ms)
             continue;
         member_set_state(membership, node, WB_MEMBER_SUSPECT);
-        if (silence_ms > 2 * membership->suspect_after_ms)
-            wb_peers_drop(membership->peers, node, "it is silent");
+        if (unresponsive_ms > 2 * membership->suspect_after_ms)
+            wb_peers_drop(membership->peers, node, "unresponsive");
     }
 }
 
+/* Declares members dead that have been suspected for too long. */
 static void suspects_check(wb_membership_t *membership) {
     int64_t now_ms = wb_clock_ms();
     g_autoptr(GPtrArray) list = wb_member_table_list(membership->table);
@@ -315,7 +318,7 @@
     }
 }
 
-/* Connects to our neighbours and lets go of former ones. */
+/* Connects to this node's overlay neighbours and releases former ones. */
 static void overlay_maintain(wb_membership_t *membership) {
     g_autoptr(GPtrArray) overlay = wb_peers_overlay(membership->peers);
     g_autoptr(GPtrArray) neighbours =
@@ -338,8 +341,9 @@
     return FALSE;
 }
 
-/* Tries seeds that nobody known serves, and members that may only have been cut off. */
-static void lost_reconnect(wb_membership_t *membership) {
+/* Connects to seeds that are no known member's address, and to one of the dead members in turn,
+ * which may only have been partitioned. */
+static void unreachable_reconnect(wb_membership_t *membership) {
     for (guint i = 0; i < membership->seeds->len; i++)
         if (!address_is_up(membership, membership->seeds->pdata[i]))
             wb_peers_connect_address(membership->peers, membership->seeds->pdata[i]);
@@ -373,7 +377,7 @@
     overlay_maintain(membership);
     heartbeats_send(membership, overlay);
     if (membership->ticks++ % RECONNECT_TICKS == 0)
-        lost_reconnect(membership);
+        unreachable_reconnect(membership);
     wb_peers_close_idle(membership->peers, IDLE_LINK_MS);
     wb_member_table_sweep(membership->table, wb_clock_ms(), FORGET_AFTER_MS);
 }
@@ -387,8 +391,8 @@
     membership->events = *events;
     membership->table = wb_member_table_create();
     membership->owners = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, owner_free);
-    membership->fresh_members = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    membership->fresh_cells = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    membership->changed_members = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    membership->changed_cells = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     membership->mismatches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     membership->seeds = g_ptr_array_new_with_free_func(g_free);
     for (const char *const *seed = options->seeds; seed != NULL && *seed != NULL; seed++)
@@ -407,7 +411,7 @@
     membership->heartbeat_timer =
         wb_loop_every(loop, options->heartbeat_interval_ms, heartbeat_tick, membership);
     membership->flush_timer = wb_loop_every(loop, GOSSIP_FLUSH_MS, gossip_flush, membership);
-    lost_reconnect(membership);
+    unreachable_reconnect(membership);
     return membership;
 }
 
@@ -416,8 +420,8 @@
     wb_timer_cancel(membership->flush_timer);
     wb_member_table_free(membership->table);
     g_hash_table_unref(membership->owners);
-    g_hash_table_unref(membership->fresh_members);
-    g_hash_table_unref(membership->fresh_cells);
+    g_hash_table_unref(membership->changed_members);
+    g_hash_table_unref(membership->changed_cells);
     g_hash_table_unref(membership->mismatches);
     g_ptr_array_unref(membership->seeds);
     g_free(membership->self.node);
@@ -457,6 +461,6 @@
     wb_member_t update = membership->self;
     update.state = WB_MEMBER_GONE;
     if (wb_member_table_merge(membership->table, &update, wb_clock_ms()))
-        g_hash_table_add(membership->fresh_members, g_strdup(membership->self.node));
+        g_hash_table_add(membership->changed_members, g_strdup(membership->self.node));
     gossip_flush(membership);
 }
