--- a/include/wickbridge/inventory.h
+++ b/include/wickbridge/inventory.h
@@ -1,6 +1,8 @@
 /**
  * @file inventory.h
- * @brief What an engine says it holds, as typed values.
+ * @brief An engine's inventory: the models, adapters and cached weights that it reports.
+ *
+ * Sizes are in bytes. Not thread-safe.
  */
 #ifndef WICKBRIDGE_INVENTORY_H
 #define WICKBRIDGE_INVENTORY_H
@@ -11,7 +13,7 @@
 
 typedef enum wb_load_state_t { WB_LOAD_LOADING, WB_LOAD_LOADED, WB_LOAD_UNLOADING } wb_load_state_t;
 
-/** An adapter on a model on an engine. */
+/** An adapter of a model on an engine. */
 typedef struct wb_held_adapter_t {
     char *name;
     int64_t bytes;
@@ -31,24 +33,24 @@
 
 typedef struct wb_inventory_t {
     char *engine;
-    uint64_t fence;   /**< the highest order number it has taken */
-    int64_t sequence; /**< counts its changes */
+    uint64_t fence;   /**< the highest fencing number that it has accepted */
+    int64_t sequence; /**< number of its changes so far */
     int64_t capacity_bytes;
     int64_t used_bytes;
-    gboolean leaving;
-    int batch;
+    gboolean leaving;          /**< draining */
+    int batch;                 /**< requests that a replica runs concurrently */
     GHashTable *models;        /**< name -> wb_held_model_t */
-    GHashTable *disk_copies;   /**< set of model names */
-    GHashTable *memory_copies; /**< set of model names */
+    GHashTable *disk_copies;   /**< set of models whose weights are cached on disk */
+    GHashTable *memory_copies; /**< set of models whose weights are cached in host memory */
 } wb_inventory_t;
 
-/** @return the inventory, or NULL when the JSON isn't one */
+/** Parse an inventory. @return the inventory, or NULL if the JSON is malformed */
 wb_inventory_t *wb_inventory_parse(const json_t *body);
 wb_inventory_t *wb_inventory_create(const char *engine);
 void wb_inventory_free(wb_inventory_t *inventory);
 
 const wb_held_model_t *wb_inventory_model(const wb_inventory_t *inventory, const char *name);
-/** Add a model (for tests and emulation). */
+/** Add a model; it replaces one of the same name. @return the model, owned by the inventory */
 wb_held_model_t *wb_inventory_add_model(wb_inventory_t *inventory, const char *name, int64_t bytes,
                                         wb_load_state_t state);
 wb_held_adapter_t *wb_held_model_add_adapter(wb_held_model_t *model, const char *name,
--- a/include/wickbridge/node.h
+++ b/include/wickbridge/node.h
@@ -1,8 +1,9 @@
 /**
  * @file node.h
- * @brief A whole node on a loop: links, membership, configuration, cells, gateway.
+ * @brief A complete node on a loop: links, membership, configuration, cells, gateway.
  *
- * The caller-facing and operator-facing HTTP servers are the daemon's; hollow nodes go without.
+ * The HTTP servers for clients and operators belong to the daemon; hollow nodes (many in one
+ * process, for benchmarks) have none. Only wb_node_create fails, with a message in its wb_error_t.
  */
 #ifndef WICKBRIDGE_NODE_H
 #define WICKBRIDGE_NODE_H
@@ -12,7 +13,7 @@
 
 typedef struct wb_node_t wb_node_t;
 
-/** Settings of a node; docs/SETTINGS.md has the meanings. */
+/** Settings of a node; docs/SETTINGS.md describes them. */
 typedef struct wb_node_settings_t {
     const char *id;
     const char *cluster;
@@ -60,30 +61,32 @@
     int64_t drain_timeout_s;
 } wb_node_settings_t;
 
-/** Threads and clients that a node, or many hollow nodes, run on. */
+/** Loop and clients that one or more nodes run on; they must outlive the nodes. */
 typedef struct wb_node_parts_t {
     wb_loop_t *loop;
-    wb_http_client_t *control_client; /**< platform and engines' control side */
-    wb_http_client_t **stream_clients;
+    wb_http_client_t *control_client;  /**< for the platform and the engines' control API */
+    wb_http_client_t **stream_clients; /**< for requests to engines */
     guint stream_client_count;
-    wb_tls_context_t *link_tls; /**< for links between nodes; NULL: plain */
-    const char *scheme;         /**< towards platform and engines: "http" or "https" */
+    wb_tls_context_t *link_tls; /**< for links between nodes; NULL: no TLS */
+    const char *scheme;         /**< of the platform and the engines: "http" or "https" */
 } wb_node_parts_t;
 
-/** Build a node. Before the loop starts, or on its thread. */
+/** Create a node. Before the loop starts, or on its thread. @param settings copied; its strings
+ * must outlive the node
+ * @return APR_SUCCESS, or the reason in `error` */
 apr_status_t wb_node_create(wb_node_t **node, const wb_node_settings_t *settings,
                             const wb_node_parts_t *parts, wb_error_t *error);
 
-/** Take a node down without ceremony. On the loop's thread, or after it stopped. */
+/** Stop a node at once, without a drain, and free it. On the loop's thread, or after it stopped. */
 void wb_node_free(wb_node_t *node);
 
-/** Begin a planned stop: refuse new requests, hand cells over. On the loop's thread. */
+/** Begin a planned stop: refuse new requests, hand over owned cells. On the loop's thread. */
 void wb_node_drain(wb_node_t *node);
 
-/** @return TRUE once nothing is open and no cell is owned. On the loop's thread */
+/** @return TRUE once no request is open and no cell is left to hand over. On the loop's thread */
 gboolean wb_node_is_drained(wb_node_t *node);
 
-/** Tell all that this node leaves. On the loop's thread. */
+/** Announce to all nodes that this node leaves permanently. On the loop's thread. */
 void wb_node_leave(wb_node_t *node);
 
 const char *wb_node_name(const wb_node_t *node);
@@ -94,7 +97,8 @@
 wb_peers_t *wb_node_peers(wb_node_t *node);
 wb_platform_t *wb_node_platform(wb_node_t *node);
 
-/** @return TRUE when callers can be served, and tells the gateway. On the loop's thread */
+/** Check whether clients can be served, and update the gateway (wb_gateway_set_ready). On the
+ * loop's thread. */
 gboolean wb_node_is_ready(wb_node_t *node);
 
 #endif
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -1,15 +1,17 @@
 /**
  * @file record.h
- * @brief The replicated record of a cell: members, slots, claims; changed by commands only.
+ * @brief The replicated record of a cell: members, slots, engines and claims; changed by commands
+ * only.
  *
- * Pure: no clock, socket or lock inside; the same commands in the same order give equal records.
+ * Pure: no clock, socket or lock; the same commands in the same order result in equal records.
+ * Times are monotonic, in milliseconds. The functions report no errors. Not thread-safe.
  */
 #ifndef WICKBRIDGE_RECORD_H
 #define WICKBRIDGE_RECORD_H
 
 #include "wickbridge/message.h"
 
-/** A key's one run, for requests that may not be repeated. */
+/** The only run of an idempotency key, for requests that must not run twice. */
 typedef struct wb_claim_t {
     char *model;
     char *key;
@@ -18,28 +20,28 @@
     char *engine_address;
     char *node;
     uint64_t attempt;
-    uint64_t digest;
-    gboolean done;
-    unsigned status;
-    char *answer;
-    int64_t taken_ms; /**< local clock when it came here; 0 for a claim without a time */
+    uint64_t digest;  /**< of the request's body */
+    gboolean done;    /**< the run has ended */
+    unsigned status;  /**< of the response, once done */
+    char *answer;     /**< the response's body, once done */
+    int64_t taken_ms; /**< when this member applied the claim; 0: unknown */
 } wb_claim_t;
 
-/** A slot: the model may be loaded on the engine, and nowhere without one. */
+/** Permission to load a model on an engine; a model is loaded only where it has a slot. */
 typedef struct wb_slot_t {
     char *model;
     char *engine;
 } wb_slot_t;
 
-/** An engine of the cell, as the machine list last showed it. */
+/** An engine of the cell, as in the latest machine list. */
 typedef struct wb_record_engine_t {
     char *engine;
     char *address;
     char *zone;
-    unsigned state; /**< wb_machine_state_t, never gone: such engines are forgotten */
+    unsigned state; /**< wb_machine_state_t; never WB_MACHINE_GONE, such engines are removed */
 } wb_record_engine_t;
 
-/** wb_record_engine_t.state of an engine to forget; equals WB_MACHINE_GONE. */
+/** wb_record_engine_t.state of an engine to remove; equals WB_MACHINE_GONE. */
 #define WB_RECORD_ENGINE_GONE 2
 
 typedef struct wb_record_t {
@@ -48,17 +50,19 @@
     GPtrArray *slots;        /**< wb_slot_t * */
     GHashTable *engines;     /**< id -> wb_record_engine_t * */
     GHashTable *claims;      /**< "model\nkey" -> wb_claim_t * */
-    int64_t unsure_until_ms; /**< until then claims from before a lost majority may be missing */
-    gboolean slots_unsure;   /**< after a lost majority, until all engines were seen */
+    int64_t unsure_until_ms; /**< until then, claims from before the loss of a majority may be
+                                missing */
+    gboolean slots_unsure;   /**< slots may be missing after the loss of a majority, until the
+                                inventories of all engines were received */
 } wb_record_t;
 
 wb_record_t *wb_record_create(void);
 void wb_record_free(wb_record_t *record);
 
-/** Apply a command. @param now_ms stamps new claims for their retention */
+/** Apply a command. @param now_ms time stamp of new claims, for their retention */
 void wb_record_apply(wb_record_t *record, const wb_wire_command *command, int64_t now_ms);
 
-/** Fill a wire record; free it with wb_record_wire_clear. */
+/** Convert to a wire record, to be freed with wb_record_wire_clear. */
 void wb_record_to_wire(const wb_record_t *record, wb_wire_record *wire, int64_t now_ms);
 void wb_record_wire_clear(wb_wire_record *wire);
 wb_record_t *wb_record_from_wire(const wb_wire_record *wire, int64_t now_ms);
@@ -68,28 +72,29 @@
 guint wb_record_slot_count(const wb_record_t *record, const char *model);
 const wb_claim_t *wb_record_claim(const wb_record_t *record, const char *model, const char *key);
 
-/** What is to be done about a request that asks for its key's one run. */
+/** Decision on a request that claims its idempotency key. */
 typedef enum wb_claim_decision_t {
-    WB_CLAIM_PROPOSE,     /**< the key is free, or its last attempt is known not to have run */
-    WB_CLAIM_ASKED_AGAIN, /**< this very attempt has been proposed before */
+    WB_CLAIM_PROPOSE,     /**< the key is unused, or its last attempt is known not to have run */
+    WB_CLAIM_ASKED_AGAIN, /**< the same attempt was proposed before */
     WB_CLAIM_TAKEN,       /**< another attempt ran or may still run */
-    WB_CLAIM_DONE,        /**< the first run's answer is known */
-    WB_CLAIM_MISMATCH,    /**< the key belongs to another request */
+    WB_CLAIM_DONE,        /**< the response of the first run is known */
+    WB_CLAIM_MISMATCH,    /**< the key was used for a different request */
     WB_CLAIM_UNSURE       /**< the record may have lost the key's claim */
 } wb_claim_decision_t;
 
-/** Decide on a claim. @param want with a stream, that is, with something to run */
+/** Decide on a claim. @param want must have a stream: it asks to run, not only to look the key up
+ */
 wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_want *want,
                                     int64_t now_ms);
 
-/** Fill the command that claims a key for a request. It borrows the texts of `want`. */
+/** Fill in the command that claims a key for a request. It borrows the strings of `want`. */
 void wb_claim_command(const wb_wire_claim_want *want, uint64_t attempt, wb_wire_command *command);
 
-/** Answers are kept so long with their claims; the claims themselves stay longer. */
+/** Retention of responses in claims; the claims themselves are kept longer. */
 #define WB_CLAIM_ANSWER_KEEP_MS 60000
 
-/** Forget claims older than `retention_ms`, and answers older than WB_CLAIM_ANSWER_KEEP_MS, so that
- * a record with many claims still fits into a message. */
+/** Remove claims older than `retention_ms`, and responses older than WB_CLAIM_ANSWER_KEEP_MS, so
+ * that a record with many claims still fits into a message. */
 void wb_record_expire(wb_record_t *record, int64_t now_ms, int64_t retention_ms);
 
 #endif
