--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -29,7 +29,7 @@
     GHashTable *adapters; /**< set of names */
 } wb_engine_model_t;
 
-/** State that an engine publishes: its announcement in the store, or its answer to a report call.
+/** State that an engine publishes: its announcement in the store, or its response to a report call.
  */
 typedef struct wb_engine_state_t {
     char *id;
@@ -48,7 +48,7 @@
     GHashTable *in_memory; /**< set of models whose weights are cached in host memory */
     GHashTable *on_disk;   /**< set of models whose weights are cached on disk */
     GHashTable *arriving;  /**< set of MODEL/ADAPTER that were ordered and not reported yet */
-    /* Set in answers to report calls only: */
+    /* Set in responses to report calls only: */
     gboolean reported;
     gboolean busy;    /**< an order is being executed */
     int64_t sequence; /**< number of orders accepted so far */
@@ -105,7 +105,7 @@
     wb_list_item_t state_news; /**< linked while its reported state is to be sent to other nodes */
     int64_t state_told_ms;     /**< when that was last sent; 0: never */
     int64_t rest_until_ms;     /**< end of the backoff that it asked this node for (Retry-After) */
-    wb_list_t idle;            /**< idle kept-alive connections; see attempt.c */
+    wb_list_t idle;            /**< idle keep-alive connections; see attempt.c */
     GHashTable *prefixes;      /**< hash of a prompt prefix -> when it was last prefilled there */
 } wb_engine_t;
 
@@ -135,7 +135,7 @@
  * Compute the grace period of an engine whose announcement has been removed. Its drain began at
  * some time since the table was last known to have the row. If that is longer ago than a drain
  * lasts, the store was unavailable meanwhile, and announcements of running engines expired as well:
- * these come back, so the grace period then starts now.
+ * they will be announced again, so the grace period then starts now.
  * @param known_ms time as of which the table was known before
  * @param drain_ms time for which a draining engine still serves requests
  * @return the time at which the grace period ends
@@ -144,9 +144,9 @@
 
 /**
  * Mark an engine as draining because a response of it, to this node or another, reported so. This
- * holds for the rest of its incarnation. For half of `drain_ms` it still gets requests that no
- * other engine can serve.
- * @return FALSE if that was known already
+ * holds for the rest of its incarnation. Unless it was known to be draining already, it still gets
+ * requests that no other engine can serve for half of `drain_ms`.
+ * @return FALSE if a response had reported that before
  */
 gboolean wb_engine_tell_leaving(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
 /** @return TRUE if it may get requests: it is available, or within its grace period */
--- a/include/wickbridge/send_gate.h
+++ b/include/wickbridge/send_gate.h
@@ -20,7 +20,7 @@
 /**
  * Compute the next send time.
  * @param share     max number of requests in any window
- * @param window_ms length of the window; at most that of the calls of wb_send_gate_note
+ * @param window_ms length of the window; at most that passed to wb_send_gate_note
  * @param ahead     number of requests that will be sent before this one
  * @return time from which the request may be sent; now_ms: at once; G_MAXINT64: never (no share)
  */
