--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -79,11 +79,10 @@
 typedef struct wb_demand_t {
     const char *node;
     const char *model;
-    const char *adapter; /**< "" for none */
-    int waiting;         /**< requests */
-    int running;         /**< requests */
-    int64_t
-        tightest_deadline_ms; /**< earliest deadline of the waiting requests, from now; 0: none */
+    const char *adapter;          /**< "" for none */
+    int waiting;                  /**< requests */
+    int running;                  /**< requests */
+    int64_t tightest_deadline_ms; /**< of the waiting requests, from now; 0: none */
 } wb_demand_t;
 
 typedef struct wb_cell_events_t {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -341,8 +341,8 @@
     return FALSE;
 }
 
-/* Connects to seeds that are no known member's address, and to one of the dead members in turn,
- * which may only have been partitioned. */
+/* Connects to seeds that are not the address of a member that is up, and to one of the dead members
+ * in turn, which may only have been partitioned. */
 static void unreachable_reconnect(wb_membership_t *membership) {
     for (guint i = 0; i < membership->seeds->len; i++)
         if (!address_is_up(membership, membership->seeds->pdata[i]))
