--- a/include/wickbridge/catalog.h
+++ b/include/wickbridge/catalog.h
@@ -24,10 +24,10 @@
 } wb_route_kind_t;
 
 /** A target of a weighted split. */
-typedef struct wb_route_part_t {
+typedef struct wb_route_target_t {
     char *service;
     double weight;
-} wb_route_part_t;
+} wb_route_target_t;
 
 typedef struct wb_route_t {
     char *name;
@@ -40,10 +40,10 @@
     int64_t target_gap_ms;     /**< target for the gap between two events of a stream; 0: none */
     int rank;                  /**< priority; 0 is the most urgent */
     int max_attempts;          /**< max number of engines that may run one request */
-    char **homes;       /**< allowed regions, in which its requests may be served; NULL: all */
-    gboolean is_public; /**< requests need no API key */
-    GArray *parts;      /**< of wb_route_part_t: the split targets */
-    double split_point; /**< private: state of wb_route_pick_service */
+    char **allowed_regions;    /**< in which its requests may be served; NULL: all */
+    gboolean is_public;        /**< requests need no API key */
+    GArray *parts;             /**< of wb_route_target_t: the split targets */
+    double split_point;        /**< private: state of wb_route_pick_service */
 } wb_route_t;
 
 /** A model that engines of a service may load. */
@@ -59,23 +59,24 @@
 
 typedef struct wb_service_t {
     char *name;
-    int max_connections;   /**< that an engine accepts from all nodes together; 0: unknown */
-    GHashTable *models;    /**< name -> wb_model_spec_t; empty for services without models */
-    double weights_mb;     /**< an engine's capacity for weights and adapters */
-    int adapter_slots;     /**< adapters that an engine can hold */
-    double cold_per_s;     /**< requests per second that a cold engine sustains; 0: as a warm one */
-    int64_t cold_start_ms; /**< time for which an engine is cold after its start */
-    double loads_per_s;    /**< max loads from the weight store by all engines; 0: no limit */
-    int64_t store_load_ms; /**< mean store_load_ms of its models; set by wb_catalog_seal */
+    int max_connections;        /**< that an engine accepts from all nodes together; 0: unknown */
+    GHashTable *models;         /**< name -> wb_model_spec_t; empty for services without models */
+    double weights_mb;          /**< an engine's capacity for weights and adapters */
+    int adapter_slots;          /**< adapters that an engine can hold */
+    double cold_capacity_per_s; /**< requests per second that a cold engine sustains; 0: as a warm
+                                   one */
+    int64_t cold_start_ms;      /**< time for which an engine is cold after its start */
+    double loads_per_s;         /**< max loads from the weight store by all engines; 0: no limit */
+    int64_t store_load_ms;      /**< mean store_load_ms of its models; set by wb_catalog_seal */
 } wb_service_t;
 
 /** Limits on clients' requests. */
-typedef struct wb_caller_limits_t {
+typedef struct wb_client_limits_t {
     size_t head_bytes;
     size_t body_bytes;
     int64_t head_timeout_ms; /**< max time to receive a request head */
     int64_t idle_timeout_ms; /**< max idle time between requests and within a body */
-} wb_caller_limits_t;
+} wb_client_limits_t;
 
 typedef struct wb_catalog_t {
     int references;
@@ -83,7 +84,7 @@
     GHashTable *hosts;     /**< host -> GPtrArray of wb_route_t, longest prefix first */
     GHashTable *services;  /**< name -> wb_service_t */
     wb_tenants_t *tenants; /**< NULL: clients need no API keys */
-    wb_caller_limits_t limits;
+    wb_client_limits_t limits;
     unsigned route_count;
 } wb_catalog_t;
 
@@ -96,7 +97,7 @@
 wb_route_t *wb_catalog_add_route(wb_catalog_t *catalog, const char *name, const char *host,
                                  const char *path_prefix);
 /** Add a split target. A target of weight 0 gets no requests. */
-void wb_route_add_part(wb_route_t *route, const char *service, double weight);
+void wb_route_add_target(wb_route_t *route, const char *service, double weight);
 /** Add a service; it replaces one of the same name. @return the service, to be filled in; owned by
  * the catalog */
 wb_service_t *wb_catalog_add_service(wb_catalog_t *catalog, const char *name);
--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -82,7 +82,7 @@
     const char *adapter;          /**< "" for none */
     int waiting;                  /**< requests */
     int running;                  /**< requests */
-    int64_t tightest_deadline_ms; /**< of the waiting requests, from now; 0: none */
+    int64_t earliest_deadline_ms; /**< of the waiting requests, from now; 0: none */
 } wb_demand_t;
 
 typedef struct wb_cell_events_t {
--- a/include/wickbridge/cold_share.h
+++ b/include/wickbridge/cold_engine_share.h
@@ -1,5 +1,5 @@
 /**
- * @file cold_share.h
+ * @file cold_engine_share.h
  * @brief This node's share of the requests that a cold engine sustains.
  *
  * An engine that has just started (cold engine) sustains only a few requests per second and crashes
@@ -15,10 +15,10 @@
  *
  * Pure. The functions can't fail.
  */
-#ifndef WICKBRIDGE_COLD_SHARE_H
-#define WICKBRIDGE_COLD_SHARE_H
+#ifndef WICKBRIDGE_COLD_ENGINE_SHARE_H
+#define WICKBRIDGE_COLD_ENGINE_SHARE_H
 
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 /** Window in which requests are counted: the engine's second, and 0.1 s for differences in network
  * delay. */
@@ -27,9 +27,9 @@
 /**
  * @param per_s requests per second that the engine sustains from all nodes together
  * @param nodes number of nodes that share it, this one included; 0: this node has no share now
- * @param rank  number of nodes that precede this one, by wb_dealt_rank
+ * @param rank  number of nodes that precede this one, by wb_rendezvous_rank
  * @return requests in any WB_COLD_WINDOW_MS for this node
  */
-unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank);
+unsigned wb_cold_engine_share(double per_s, unsigned nodes, unsigned rank);
 
 #endif
--- a/include/wickbridge/config_store.h
+++ b/include/wickbridge/config_store.h
@@ -69,7 +69,7 @@
 /** Handle the version in a neighbour's heartbeat: fetches missing changes from it. If neighbours
  * repeatedly report the version in force here, this node becomes ready without the table service.
  */
-void wb_config_store_heard(wb_config_store_t *store, const char *node, uint64_t version);
+void wb_config_store_on_peer_version(wb_config_store_t *store, const char *node, uint64_t version);
 
 /** @return recently accepted changes, oldest first, as a JSON array */
 json_t *wb_config_store_history(const wb_config_store_t *store);
--- a/include/wickbridge/dialect.h
+++ b/include/wickbridge/dialect.h
@@ -44,11 +44,11 @@
      * Ended by NULL. */
     const char *const *reserved;
     /* Names of response headers. */
-    const char *not_run;        /**< present: the engine rejected the request without running it */
-    const char *seal;           /**< present: the engine itself produced the response */
-    const char *engine_load;    /**< RUNNING,WAITING[,SLOTS[,PACE]] */
-    const char *engine_limit;   /**< requests per second that it accepts from all nodes together */
-    const char *engine_leaving; /**< "1": it is draining */
+    const char *not_run;         /**< present: the engine rejected the request without running it */
+    const char *seal;            /**< present: the engine itself produced the response */
+    const char *engine_load;     /**< RUNNING,WAITING[,SLOTS[,PACE]] */
+    const char *engine_limit;    /**< requests per second that it accepts from all nodes together */
+    const char *engine_draining; /**< "1": it is draining */
     /** HTTP status of a request that reached another engine than the expected one. */
     unsigned wrong_engine_status;
     /* Calls to engines. */
--- a/include/wickbridge/edge_metrics.h
+++ b/include/wickbridge/edge_metrics.h
@@ -13,7 +13,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-#define WB_ENDINGS_MAX 24
+#define WB_OUTCOMES_MAX 24
 #define WB_LATENCY_BUCKETS 12
 
 /** A latency histogram; the bucket bounds are in edge_metrics.c. */
@@ -25,42 +25,42 @@
 
 /** Counters and histograms since the start of the process. */
 typedef struct wb_edge_metrics_t {
-    uint64_t requests;                /**< client requests */
-    uint64_t endings[WB_ENDINGS_MAX]; /**< requests by outcome (wb_ending_t) */
-    uint64_t sends;                   /**< attempts: requests sent to engines */
-    uint64_t resends;                 /**< attempts after the first one of a request */
-    uint64_t resends_refused;         /**< retries that the retry budget didn't allow */
-    uint64_t rejections;              /**< attempts that engines rejected without running them */
-    uint64_t broken_sends;            /**< attempts without a complete response */
-    uint64_t sends_withdrawn; /**< attempts cancelled before the first byte was sent, as the engine
-                                 had meanwhile reported a limit, draining or a backoff */
-    uint64_t engine_checks;   /**< connections made to find out whether an engine has crashed */
-    uint64_t engine_crashes;  /**< engines found to have crashed while running requests */
-    uint64_t engine_restarts; /**< new incarnations of known engine ids */
+    uint64_t requests;                             /**< client requests */
+    uint64_t requests_by_outcome[WB_OUTCOMES_MAX]; /**< requests by outcome (wb_outcome_t) */
+    uint64_t sends;                                /**< attempts: requests sent to engines */
+    uint64_t resends;                              /**< attempts after the first one of a request */
+    uint64_t resends_refused;     /**< retries that the retry budget didn't allow */
+    uint64_t rejections;          /**< attempts that engines rejected without running them */
+    uint64_t failed_attempts;     /**< attempts without a complete response */
+    uint64_t attempts_withdrawn;  /**< attempts cancelled before the first byte was sent, as the
+                                  engine  had meanwhile reported a limit, draining or a backoff */
+    uint64_t engine_checks;       /**< connections made to find out whether an engine has crashed */
+    uint64_t engine_crashes;      /**< engines found to have crashed while running requests */
+    uint64_t engine_restarts;     /**< new incarnations of known engine ids */
     uint64_t engine_rows_refused; /**< invalid rows of the engines table */
-    uint64_t cold_sends;          /**< attempts at cold engines */
+    uint64_t cold_attempts;       /**< attempts at cold engines */
     uint64_t evacuations;         /**< zone evacuations that this node learned of */
-    uint64_t directory_wants;     /**< queries for engines sent to a relay */
-    uint64_t directory_answers;   /**< such queries answered as a relay */
-    uint64_t waits;               /**< requests that waited for an engine or a model */
-    uint64_t connections_opened;  /**< to engines */
-    uint64_t connections_reused;  /**< to engines */
+    uint64_t subscriptions_sent;  /**< queries for engines sent to a relay */
+    uint64_t subscriptions_answered; /**< such queries answered as a relay */
+    uint64_t waits;                  /**< requests that waited for an engine or a model */
+    uint64_t connections_opened;     /**< to engines */
+    uint64_t connections_reused;     /**< to engines */
     wb_store_calls_t store_calls;
-    uint64_t lease_takeovers;      /**< times that this node took the lease over */
-    uint64_t news_of_other_starts; /**< placement updates for another incarnation of an engine than
-                                      the known one */
-    uint64_t orders;               /**< orders sent to engines */
-    uint64_t orders_unknown;       /**< orders without a response */
-    uint64_t store_loads;          /**< loads ordered from the weight store */
-    uint64_t local_loads;          /**< loads ordered from an engine's memory or disk */
-    uint64_t unloads;              /**< unloads ordered */
-    uint64_t figures_refused;      /**< malformed or out-of-range values in engines' headers */
-    uint64_t engine_limits;        /**< limits that engines reported or changed */
-    uint64_t engine_leavings;      /**< engines that reported draining in a response */
-    uint64_t engine_rests;         /**< times that engines asked this node for a backoff */
-    uint64_t late_answers;         /**< first events later than the route's target */
-    uint64_t long_pauses;          /**< streams with a longer gap than the route's target */
-    uint64_t load_news;            /**< messages about engine load sent or received */
+    uint64_t lease_takeovers;           /**< times that this node took the lease over */
+    uint64_t updates_of_other_starts;   /**< placement updates for another incarnation of an engine
+                                        than   the known one */
+    uint64_t orders;                    /**< orders sent to engines */
+    uint64_t orders_unknown;            /**< orders without a response */
+    uint64_t store_loads;               /**< loads ordered from the weight store */
+    uint64_t local_loads;               /**< loads ordered from an engine's memory or disk */
+    uint64_t unloads;                   /**< unloads ordered */
+    uint64_t invalid_engine_values;     /**< malformed or out-of-range values in engines' headers */
+    uint64_t engine_limits;             /**< limits that engines reported or changed */
+    uint64_t engine_drains;             /**< engines that reported draining in a response */
+    uint64_t engine_backoffs;           /**< times that engines asked this node for a backoff */
+    uint64_t late_answers;              /**< first events later than the route's target */
+    uint64_t long_pauses;               /**< streams with a longer gap than the route's target */
+    uint64_t load_updates;              /**< messages about engine load sent or received */
     wb_histogram_t prediction_error_ms; /**< absolute error of the predicted time to first event */
     wb_histogram_t answer_ms;           /**< arrival to the first bytes of the response */
     wb_histogram_t whole_ms;            /**< arrival to the end of the response */
--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -21,45 +21,45 @@
 #ifndef WICKBRIDGE_ENGINE_LIMIT_H
 #define WICKBRIDGE_ENGINE_LIMIT_H
 
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 /** Window in which a node's requests are counted, for limits of at least one request in 4 s. */
 #define WB_LIMIT_WINDOW_MS 4500
 
 /** An engine's limit; zeroed: it has none. */
 typedef struct wb_engine_limit_t {
-    gboolean named;      /**< it is in force */
-    double per_s;        /**< requests per second */
-    int64_t named_ms;    /**< when a response to any node last reported it */
-    int64_t ended_ms;    /**< when the request was sent whose response showed its end; 0: never */
-    wb_send_gate_t gate; /**< requests that this node has sent since */
+    gboolean named;            /**< it is in force */
+    double per_s;              /**< requests per second */
+    int64_t limit_reported_ms; /**< when a response to any node last reported it */
+    int64_t ended_ms; /**< when the request was sent whose response showed its end; 0: never */
+    wb_send_limiter_t gate; /**< requests that this node has sent since */
 } wb_engine_limit_t;
 
 /** Position of this node among those that share an engine's limit. */
-typedef struct wb_limit_place_t {
+typedef struct wb_share_rank_t {
     unsigned nodes; /**< number of nodes that share it; 0: this node has no share now */
-    unsigned rank;  /**< number of nodes that precede this one, by wb_dealt_rank */
-} wb_limit_place_t;
+    unsigned rank;  /**< number of nodes that precede this one, by wb_rendezvous_rank */
+} wb_share_rank_t;
 
 /**
  * A response reported the limit.
  * @param sent_ms  when its request was sent
- * @param named_ms when it arrived
+ * @param limit_reported_ms when it arrived
  * @return TRUE if the limit is new or its rate has changed
  */
-gboolean wb_engine_limit_name(wb_engine_limit_t *limit, double per_s, int64_t sent_ms,
-                              int64_t named_ms);
+gboolean wb_engine_limit_set(wb_engine_limit_t *limit, double per_s, int64_t sent_ms,
+                             int64_t limit_reported_ms);
 /** A response reported no limit. @param sent_ms as above @return TRUE if that ended the limit */
-gboolean wb_engine_limit_unname(wb_engine_limit_t *limit, int64_t sent_ms);
+gboolean wb_engine_limit_end(wb_engine_limit_t *limit, int64_t sent_ms);
 /**
  * Compute the next send time of this node.
  * @param ahead number of this node's requests that wait for the engine and will be sent first
  * @return time from which this node may send; now_ms: at once; G_MAXINT64: unknown
  */
-int64_t wb_engine_limit_opens_ms(const wb_engine_limit_t *limit, const wb_limit_place_t *place,
-                                 unsigned ahead, int64_t now_ms);
+int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *place,
+                                unsigned ahead, int64_t now_ms);
 /** Record that this node sends a request to the engine. */
-void wb_engine_limit_note(wb_engine_limit_t *limit, int64_t now_ms);
+void wb_engine_limit_record(wb_engine_limit_t *limit, int64_t now_ms);
 /** Free the record of sent requests. */
 void wb_engine_limit_clear(wb_engine_limit_t *limit);
 
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -10,7 +10,7 @@
  * the last few hundred ms indicates current interference.
  *
  * A single gateway receives too few responses from each engine, so the values of all gateways are
- * aggregated (pace_aggregate.h), and the aggregate is set with wb_engine_pace_share.
+ * aggregated (pace_aggregate.h), and the aggregate is set with wb_engine_pace_set_shared.
  *
  * Pure: the time is passed in, monotonic (wb_clock_ms) in milliseconds. Invalid values are ignored;
  * the functions report no other errors. Not thread-safe. Engines are chosen in engine_choice.h.
@@ -22,37 +22,37 @@
 #include <stdint.h>
 
 /** Bounds of a valid pace in percent. */
-#define WB_PACE_LEAST_PERCENT 10
-#define WB_PACE_MOST_PERCENT 1000
+#define WB_PACE_MIN_PERCENT 10
+#define WB_PACE_MAX_PERCENT 1000
 /** Length of a window. The lowest value of the current and the previous window is the engine's
  * intrinsic pace; interference lasts much shorter. */
 #define WB_PACE_WINDOW_MS 6000
 
 /** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
 typedef struct wb_engine_pace_t {
-    unsigned told_percent; /* last value received here; 0: none */
+    unsigned last_percent; /* last value received here; 0: none */
     int64_t told_ms;
-    unsigned least_percent;        /* lowest of the current window; 0: none */
-    unsigned least_before_percent; /* lowest of the previous window; 0: none */
+    unsigned current_min_percent;  /* lowest of the current window; 0: none */
+    unsigned previous_min_percent; /* lowest of the previous window; 0: none */
     int64_t window_began_ms;
     unsigned shared_percent; /* intrinsic pace by the values of all nodes; 0: unknown */
 } wb_engine_pace_t;
 
 /** Parse a reported pace. @return percent, or 0 if it is malformed or out of bounds */
-unsigned wb_engine_pace_read(const char *text);
-/** Add a value that this node received. @param percent as wb_engine_pace_read returns it; 0 is
+unsigned wb_engine_pace_parse(const char *text);
+/** Add a value that this node received. @param percent as wb_engine_pace_parse returns it; 0 is
  * ignored */
-void wb_engine_pace_told(wb_engine_pace_t *pace, unsigned percent, int64_t now_ms);
+void wb_engine_pace_add(wb_engine_pace_t *pace, unsigned percent, int64_t now_ms);
 /** Set the lowest value that all nodes together received. @param percent 0: unknown */
-void wb_engine_pace_share(wb_engine_pace_t *pace, unsigned percent);
+void wb_engine_pace_set_shared(wb_engine_pace_t *pace, unsigned percent);
 /** @return the lowest value received here in the current and the previous window, in percent; 0:
  * none */
-unsigned wb_engine_pace_heard(const wb_engine_pace_t *pace, int64_t now_ms);
+unsigned wb_engine_pace_recent_min(const wb_engine_pace_t *pace, int64_t now_ms);
 /** @return the engine's intrinsic pace in percent, without interference; 0: unknown */
-unsigned wb_engine_pace_own(const wb_engine_pace_t *pace, int64_t now_ms);
+unsigned wb_engine_pace_intrinsic(const wb_engine_pace_t *pace, int64_t now_ms);
 /** @return the engine's intrinsic pace as a factor of the baseline; 1 if unknown */
-double wb_engine_pace_usual(const wb_engine_pace_t *pace, int64_t now_ms);
+double wb_engine_pace_intrinsic_factor(const wb_engine_pace_t *pace, int64_t now_ms);
 /** @return the pace expected now, with interference, as a factor of the baseline */
-double wb_engine_pace_now(const wb_engine_pace_t *pace, int64_t now_ms);
+double wb_engine_pace_current_factor(const wb_engine_pace_t *pace, int64_t now_ms);
 
 #endif
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -13,7 +13,7 @@
 #ifndef WICKBRIDGE_FLEET_H
 #define WICKBRIDGE_FLEET_H
 
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 #include "wickbridge/engine_limit.h"
 #include "wickbridge/engine_pace.h"
 #include "wickbridge/list.h"
@@ -66,21 +66,21 @@
 /** One incarnation of an engine, kept while it is announced or referenced by requests. */
 typedef struct wb_engine_t {
     int references;
-    wb_engine_state_t *state; /**< the latest announcement; owned */
-    gboolean gone;            /**< its announcement was removed */
-    int64_t leaving_ms;       /**< since when it has been draining or removed; 0: neither */
-    gboolean told_leaving;  /**< a response reported draining; announcements of the same incarnation
-                               don't reset it */
-    int64_t use_until_ms;   /**< it was removed, or reported draining in a response only: end of the
-                               grace period in which it gets requests that no other engine can
-                               serve */
-    int64_t closed_from_ms; /**< time from which it gets no new requests because its zone is being
-                               evacuated; 0: the zone is in service */
-    int64_t cold_until_ms;  /**< end of its warm-up, with reduced capacity; 0: it is warm */
-    wb_send_gate_t cold_gate; /**< requests that this node sent to it during the warm-up */
-    unsigned cold_share;      /**< requests per second that this node may send during the warm-up */
-    int64_t cold_shared_ms;   /**< when cold_share was computed; 0: never */
-    GHashTable *overlay;      /**< MODEL/ADAPTER -> private; placement updates of the controller */
+    wb_engine_state_t *state;  /**< the latest announcement; owned */
+    gboolean gone;             /**< its announcement was removed */
+    int64_t draining_since_ms; /**< since when it has been draining or removed; 0: neither */
+    gboolean drain_reported;   /**< a response reported draining; announcements of the same
+                                incarnation   don't reset it */
+    int64_t grace_until_ms; /**< it was removed, or reported draining in a response only: end of the
+                             grace period in which it gets requests that no other engine can
+                             serve */
+    int64_t evacuated_from_ms;      /**< time from which it gets no new requests because its zone is
+                                    being      evacuated; 0: the zone is in service */
+    int64_t cold_until_ms;          /**< end of its warm-up, with reduced capacity; 0: it is warm */
+    wb_send_limiter_t cold_limiter; /**< requests that this node sent to it during the warm-up */
+    unsigned cold_share; /**< requests per second that this node may send during the warm-up */
+    int64_t cold_share_updated_ms; /**< when cold_share was computed; 0: never */
+    GHashTable *overlay; /**< MODEL/ADAPTER -> private; placement updates of the controller */
     /* Observed by this node: */
     unsigned running;       /**< this node's requests running on it */
     int64_t prefill_tokens; /**< prompt tokens of requests sent by this node and not yet answered */
@@ -88,25 +88,25 @@
     unsigned reported_waiting; /**< waiting requests, as reported in its last response */
     int64_t reported_ms;       /**< when that response arrived; 0: never */
     wb_engine_pace_t pace;     /**< its speed relative to the baseline */
-    unsigned pace_heard;       /**< lowest pace in percent received since this node's last report to
-                                  the controller; 0: none */
+    unsigned pace_min_percent; /**< lowest pace in percent received since this node's last report to
+                            the controller; 0: none */
     double tokens_sent;        /**< prompt tokens sent to it since this node's last report */
-    double shared_tokens_per_s; /**< prompt tokens per second sent to it by all nodes */
-    double shared_backlog_ms;   /**< time it needs to prefill those, as of shared_ms */
-    int64_t shared_ms;
+    double total_tokens_per_s; /**< prompt tokens per second sent to it by all nodes */
+    double total_backlog_ms;   /**< time it needs to prefill those, as of shared_received_ms */
+    int64_t shared_received_ms;
     unsigned failures;         /**< consecutive */
     int64_t avoid_until_ms;    /**< it failed: until then used only if no other engine can be */
     int64_t unheard_since_ms;  /**< when the first request after its last received byte was sent;
                                   0: no response is pending */
     int64_t rejected_until_ms; /**< it rejected a request as it was full; assumed full until then */
     wb_engine_limit_t limit;   /**< request rate that it accepts from all nodes together */
-    wb_limit_place_t place;    /**< this node's position among the nodes that share the limit */
-    int64_t placed_ms;         /**< when place was computed; 0: never */
-    wb_list_item_t state_news; /**< linked while its reported state is to be sent to other nodes */
-    int64_t state_told_ms;     /**< when that was last sent; 0: never */
-    int64_t rest_until_ms;     /**< end of the backoff that it asked this node for (Retry-After) */
-    wb_list_t idle;            /**< idle keep-alive connections; see attempt.c */
-    GHashTable *prefixes;      /**< hash of a prompt prefix -> when it was last prefilled there */
+    wb_share_rank_t limit_rank; /**< this node's position among the nodes that share the limit */
+    int64_t limit_share_updated_ms;   /**< when limit_rank was computed; 0: never */
+    wb_list_item_t state_update_item; /**< linked while a state update is pending */
+    int64_t state_sent_ms;            /**< when that was last sent; 0: never */
+    int64_t backoff_until_ms; /**< end of the backoff that it asked this node for (Retry-After) */
+    wb_list_t idle;           /**< idle keep-alive connections; see attempt.c */
+    GHashTable *prefixes;     /**< hash of a prompt prefix -> when it was last prefilled there */
 } wb_engine_t;
 
 typedef struct wb_fleet_t wb_fleet_t;
@@ -126,10 +126,10 @@
 gboolean wb_engine_state_is_later(const wb_engine_state_t *known, const wb_engine_state_t *state);
 /**
  * Remove an engine whose announcement was removed; a no-op for an unknown id.
- * @param use_until_ms end of the grace period in which it gets requests that no other engine can
+ * @param grace_until_ms end of the grace period in which it gets requests that no other engine can
  * serve; ignored if the engine was already draining
  */
-void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t use_until_ms);
+void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t grace_until_ms);
 
 /**
  * Compute the grace period of an engine whose announcement has been removed. Its drain began at
@@ -140,7 +140,7 @@
  * @param drain_ms time for which a draining engine still serves requests
  * @return the time at which the grace period ends
  */
-int64_t wb_fleet_use_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms);
+int64_t wb_fleet_grace_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms);
 
 /**
  * Mark an engine as draining because a response of it, to this node or another, reported so. This
@@ -148,11 +148,11 @@
  * requests that no other engine can serve for half of `drain_ms`.
  * @return FALSE if a response had reported that before
  */
-gboolean wb_engine_tell_leaving(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
+gboolean wb_engine_set_draining(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
 /** @return TRUE if it may get requests: it is available, or within its grace period */
-gboolean wb_engine_is_open(const wb_engine_t *engine, int64_t now_ms);
+gboolean wb_engine_is_usable(const wb_engine_t *engine, int64_t now_ms);
 /** @return TRUE if it is available: announced, not draining, and its zone isn't being evacuated */
-gboolean wb_engine_stays(const wb_engine_t *engine);
+gboolean wb_engine_is_available(const wb_engine_t *engine);
 /** @return the announced engine with this id, or NULL */
 wb_engine_t *wb_fleet_find(const wb_fleet_t *fleet, const char *id);
 /** @return the wb_engine_t of a service, including recently removed ones; owned by the fleet. NULL
@@ -173,12 +173,12 @@
  * only for requests that no other engine can serve
  * @return number of announced engines in the zone
  */
-unsigned wb_fleet_close_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms);
+unsigned wb_fleet_evacuate_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms);
 /** End the evacuation of a zone. @return number of announced engines in the zone */
-unsigned wb_fleet_open_zone(wb_fleet_t *fleet, const char *zone);
-gboolean wb_fleet_zone_is_closed(const wb_fleet_t *fleet, const char *zone);
+unsigned wb_fleet_end_evacuation(wb_fleet_t *fleet, const char *zone);
+gboolean wb_fleet_zone_is_evacuated(const wb_fleet_t *fleet, const char *zone);
 /** @return number of zones being evacuated */
-unsigned wb_fleet_closed_zones(const wb_fleet_t *fleet);
+unsigned wb_fleet_evacuated_zones(const wb_fleet_t *fleet);
 /** Drop engines that were removed some seconds ago. State that they reported is kept by
  * incarnation, in case they are announced again. */
 void wb_fleet_sweep(wb_fleet_t *fleet, int64_t now_ms);
@@ -191,13 +191,14 @@
  * an announcement arrives `row_after_ms` or more from now, which reflects the change already.
  * @param adapter "" for the model itself
  */
-void wb_engine_note(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
-                    int64_t now_ms, int64_t row_after_ms, int64_t valid_ms);
+void wb_engine_apply_placement(wb_engine_t *engine, const char *model, const char *adapter,
+                               gboolean held, int64_t now_ms, int64_t row_after_ms,
+                               int64_t valid_ms);
 /** @return a set of MODEL/ADAPTER (MODEL/ for a model itself) that the engine holds according to
  * its announcement and the placement updates; free it with g_hash_table_unref */
-GHashTable *wb_engine_holdings(const wb_engine_t *engine, int64_t now_ms);
+GHashTable *wb_engine_held_models(const wb_engine_t *engine, int64_t now_ms);
 /** @return TRUE if placement updates are kept for the engine, expired ones included */
-gboolean wb_engine_has_news(const wb_engine_t *engine);
+gboolean wb_engine_has_placement_updates(const wb_engine_t *engine);
 /** @return TRUE if both states list the same models and adapters */
 gboolean wb_engine_state_holds_same(const wb_engine_state_t *left, const wb_engine_state_t *right);
 /** @return TRUE if the engine holds the model, and the adapter unless it is "" or NULL */
--- a/include/wickbridge/http_listener.h
+++ b/include/wickbridge/http_listener.h
@@ -31,7 +31,7 @@
                        void *context);
     /** The client disconnected while its request ran; the connection is freed after this call. May
      * be NULL. */
-    void (*on_gone)(wb_http_connection_t *connection, void *request, void *context);
+    void (*on_client_closed)(wb_http_connection_t *connection, void *request, void *context);
     /** All buffered output was handed to the system. May be NULL. */
     void (*on_drained)(wb_http_connection_t *connection, void *request, void *context);
     void *context;
@@ -51,13 +51,14 @@
 /** Stop listening: the system refuses new connections. Open connections are kept. */
 void wb_http_listener_stop(wb_http_listener_t *listener);
 /** Close idle connections: those without a running or partly received request. */
-void wb_http_listener_close_resting(wb_http_listener_t *listener);
+void wb_http_listener_close_idle(wb_http_listener_t *listener);
 /** @return number of connections with a running or partly received request, or unsent output */
 unsigned wb_http_listener_busy(const wb_http_listener_t *listener);
-/** Close all connections, also those with running requests (on_gone is called), and free. */
+/** Close all connections, also those with running requests (on_client_closed is called), and free.
+ */
 void wb_http_listener_close(wb_http_listener_t *listener);
 
-/** Attach a request's state to its connection; passed to on_gone and on_drained. */
+/** Attach a request's state to its connection; passed to on_client_closed and on_drained. */
 void wb_http_connection_set_request(wb_http_connection_t *connection, void *request);
 
 /**
--- a/include/wickbridge/http_reader.h
+++ b/include/wickbridge/http_reader.h
@@ -39,7 +39,7 @@
 /** @return the number that a header's value begins with, or `fallback` if it begins with none */
 int64_t wb_http_head_number(const wb_http_head_t *head, const char *name, int64_t fallback);
 /** @return TRUE for hop-by-hop headers, which must not be forwarded */
-gboolean wb_http_header_is_hop(const wb_http_head_t *head, const char *name);
+gboolean wb_http_header_is_hop_by_hop(const wb_http_head_t *head, const char *name);
 
 typedef struct wb_http_reader_t wb_http_reader_t;
 
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -6,9 +6,10 @@
  * Engines don't check fencing tokens, so the lease relies on time alone. The holder may send orders
  * until duration_ms after it *sent* its last successful renewal. Another node takes the lease over
  * once it has seen the row unchanged for duration_ms + margin_ms, or at once if the row is marked
- * as released. It may order engines that the last row names only quiet_ms later (lease_grants.h),
- * so at least quiet_ms passes between the orders of two holders to one engine. The token increases
- * with each takeover. A restarted process on the holder's machine takes the lease over at once.
+ * as released. It may order engines that the last row names only handover_interval_ms later
+ * (lease_grants.h), so at least handover_interval_ms passes between the orders of two holders to
+ * one engine. The token increases with each takeover. A restarted process on the holder's machine
+ * takes the lease over at once.
  *
  * Pure: the caller passes in the time, the rows read and the outcomes of writes, and performs the
  * writes. Times are monotonic (wb_clock_ms) in milliseconds. Not thread-safe. A failed write is an
@@ -40,10 +41,10 @@
 
 /** The last known state of the previous holder. */
 typedef struct wb_lease_predecessor_t {
-    int64_t seen_ms;       /**< when its last row was seen; 0: there was none */
-    unsigned loads;        /**< recent_loads of that row */
-    unsigned engines_most; /**< max number of engines that it may have ordered after that row;
-                              G_MAXUINT: no limit */
+    int64_t seen_ms;              /**< when its last row was seen; 0: there was none */
+    unsigned loads;               /**< recent_loads of that row */
+    unsigned max_ordered_engines; /**< max number of engines that it may have ordered after that
+                              row; G_MAXUINT: no limit */
 } wb_lease_predecessor_t;
 
 /** Free the contents of a row and zero it. */
@@ -52,11 +53,12 @@
 void wb_lease_row_copy(wb_lease_row_t *target, const wb_lease_row_t *source);
 
 typedef struct wb_lease_settings_t {
-    const char *machine;      /**< this node's machine; must outlive the lease */
-    const char *address;      /**< IP:PORT of this node; must outlive the lease */
-    int64_t duration_ms;      /**< validity of a renewal, from when it was sent */
-    int64_t renew_ms;         /**< interval between renewals */
-    int64_t quiet_ms;         /**< handover interval: min time between the orders of two holders */
+    const char *machine; /**< this node's machine; must outlive the lease */
+    const char *address; /**< IP:PORT of this node; must outlive the lease */
+    int64_t duration_ms; /**< validity of a renewal, from when it was sent */
+    int64_t renew_ms;    /**< interval between renewals */
+    int64_t
+        handover_interval_ms; /**< handover interval: min time between the orders of two holders */
     int64_t margin_ms;        /**< safety margin: added to waits, subtracted from the validity */
     int64_t write_timeout_ms; /**< timeout of a write, after which it is retried */
     int64_t spread_ms;        /**< max random delay before this node takes another's lease over, so
@@ -87,14 +89,14 @@
 /** The write had no effect: it failed, or its condition wasn't met. */
 void wb_lease_on_not_written(wb_lease_t *lease, int64_t now_ms);
 /** It is unknown whether the write took effect. */
-void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms);
+void wb_lease_on_write_unknown(wb_lease_t *lease, int64_t now_ms);
 
 /**
  * Ask for permission to order an engine. Check again immediately before the order is sent.
  * @return 0: it may be sent; > 0: ms until it may be; -1: only after the next write of the row,
  * which is due now, took effect
  */
-int64_t wb_lease_ask_order(wb_lease_t *lease, const char *engine, int64_t now_ms);
+int64_t wb_lease_authorize_order(wb_lease_t *lease, const char *engine, int64_t now_ms);
 /** @return ms until the engine may be ordered, as another holder may have ordered it recently */
 int64_t wb_lease_blocked_ms(const wb_lease_t *lease, const char *engine, int64_t now_ms);
 /** @return TRUE while this node holds the lease. Check immediately before each order. */
@@ -108,12 +110,12 @@
  * never read */
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease);
 /** @return when this node learned of the row's last change; 0: never */
-int64_t wb_lease_changed_ms(const wb_lease_t *lease);
+int64_t wb_lease_row_changed_ms(const wb_lease_t *lease);
 /** @return the known version of the row; 0: none */
 int64_t wb_lease_version(const wb_lease_t *lease);
 /** @return the known row, also an expired or released one; NULL if there is none. Owned by the
  * lease */
-const wb_lease_row_t *wb_lease_known(const wb_lease_t *lease);
+const wb_lease_row_t *wb_lease_known_row(const wb_lease_t *lease);
 /** @return the previous holder's state; owned by the lease */
 const wb_lease_predecessor_t *wb_lease_predecessor(const wb_lease_t *lease);
 /**
@@ -121,13 +123,13 @@
  * @param first_ms  fixed delay, which gives precedence to nodes with a shorter one
  * @param spread_ms max random delay in addition
  */
-void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms);
+void wb_lease_set_takeover_delay(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms);
 /** The store is available again to this node: delay a takeover so that the holder can renew first.
  */
-void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms);
+void wb_lease_on_store_recovered(wb_lease_t *lease, int64_t now_ms);
 /** Release the lease at the next write, and never take it over again. */
 void wb_lease_release(wb_lease_t *lease);
 /** @return TRUE while a requested release has not taken effect, as far as known */
-gboolean wb_lease_is_owed(const wb_lease_t *lease);
+gboolean wb_lease_release_is_pending(const wb_lease_t *lease);
 
 #endif
--- a/include/wickbridge/member.h
+++ b/include/wickbridge/member.h
@@ -24,7 +24,7 @@
 typedef struct wb_member_t {
     char *node;           /**< "id~boot" */
     char *address;        /**< IP:PORT for links */
-    char *caller_address; /**< IP:PORT for clients */
+    char *client_address; /**< IP:PORT for clients */
     char *zone;
     uint64_t incarnation; /**< increased by the node itself to refute a suspicion */
     wb_member_state_t state;
--- a/include/wickbridge/peers.h
+++ b/include/wickbridge/peers.h
@@ -59,7 +59,7 @@
 GPtrArray *wb_peers_overlay(wb_peers_t *peers);
 
 /** @return when the last message arrived from the node; 0 if there is no link to it */
-int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node);
+int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node);
 
 /** Stop asking for heartbeats on the link to a node. */
 void wb_peers_release_overlay(wb_peers_t *peers, const char *node);
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -74,12 +74,12 @@
 
 /** Decision on a request that claims its idempotency key. */
 typedef enum wb_claim_decision_t {
-    WB_CLAIM_PROPOSE,     /**< the key is unused, or its last attempt is known not to have run */
-    WB_CLAIM_ASKED_AGAIN, /**< the same attempt was proposed before */
-    WB_CLAIM_TAKEN,       /**< another attempt ran or may still run */
-    WB_CLAIM_DONE,        /**< the response of the first run is known */
-    WB_CLAIM_MISMATCH,    /**< the key was used for a different request */
-    WB_CLAIM_UNSURE       /**< the record may have lost the key's claim */
+    WB_CLAIM_PROPOSE,  /**< the key is unused, or its last attempt is known not to have run */
+    WB_CLAIM_REPEATED, /**< the same attempt was proposed before */
+    WB_CLAIM_TAKEN,    /**< another attempt ran or may still run */
+    WB_CLAIM_DONE,     /**< the response of the first run is known */
+    WB_CLAIM_MISMATCH, /**< the key was used for a different request */
+    WB_CLAIM_UNSURE    /**< the record may have lost the key's claim */
 } wb_claim_decision_t;
 
 /** Decide on a claim. @param want must have a stream: it asks to run, not only to look the key up
--- a/include/wickbridge/store_calls.h
+++ b/include/wickbridge/store_calls.h
@@ -13,14 +13,14 @@
 
 /** Why a call is made. */
 typedef enum wb_store_cause_t {
-    WB_STORE_CAUSE_READ,   /**< full read: at the start, or because the change history expired */
-    WB_STORE_CAUSE_PACE,   /**< regular poll; no other node has reported a read of the table yet */
-    WB_STORE_CAUSE_LAPSED, /**< other nodes' reads of the table are no longer fresh */
+    WB_STORE_CAUSE_FULL_READ, /**< full read: at the start, or because the change history expired */
+    WB_STORE_CAUSE_POLL,   /**< regular poll; no other node has reported a read of the table yet */
+    WB_STORE_CAUSE_STALE,  /**< other nodes' reads of the table are no longer fresh */
     WB_STORE_CAUSE_SAFETY, /**< other nodes' reads are fresh, but the max interval is over */
-    WB_STORE_CAUSE_LOOK,   /**< a change was announced that this node doesn't know */
-    WB_STORE_CAUSE_HURRY,  /**< expedited, as requests are waiting */
-    WB_STORE_CAUSE_RETRY,  /**< the previous call failed */
-    WB_STORE_CAUSE_WRITE,  /**< write of this node's row or of the lease row */
+    WB_STORE_CAUSE_CHANGE, /**< a change was announced that this node doesn't know */
+    WB_STORE_CAUSE_EXPEDITED, /**< expedited, as requests are waiting */
+    WB_STORE_CAUSE_RETRY,     /**< the previous call failed */
+    WB_STORE_CAUSE_WRITE,     /**< write of this node's row or of the lease row */
     WB_STORE_CAUSE_COUNT
 } wb_store_cause_t;
 
@@ -30,7 +30,7 @@
     uint64_t made[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT];
     uint64_t failed;
     uint64_t told[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT]; /**< `made` as of the last log line */
-    uint64_t failed_told;                                 /**< `failed` as of the last log line */
+    uint64_t failed_logged;                               /**< `failed` as of the last log line */
     int64_t told_ms;                                      /**< when logging was last due */
 } wb_store_calls_t;
 
--- a/include/wickbridge/table.h
+++ b/include/wickbridge/table.h
@@ -20,11 +20,11 @@
 } wb_table_name_t;
 
 typedef enum wb_table_outcome_t {
-    WB_TABLE_DONE,         /**< the read or write succeeded */
-    WB_TABLE_CONFLICT,     /**< the row had another version; `rows` holds the current row */
-    WB_TABLE_NOT_DONE,     /**< refused or not sent, without effect; may be retried */
-    WB_TABLE_HISTORY_GONE, /**< the store no longer keeps the changes after that version */
-    WB_TABLE_UNKNOWN       /**< no response: a write may have taken effect, or may do so later */
+    WB_TABLE_DONE,            /**< the read or write succeeded */
+    WB_TABLE_CONFLICT,        /**< the row had another version; `rows` holds the current row */
+    WB_TABLE_NOT_DONE,        /**< refused or not sent, without effect; may be retried */
+    WB_TABLE_HISTORY_EXPIRED, /**< the store no longer keeps the changes after that version */
+    WB_TABLE_UNKNOWN          /**< no response: a write may have taken effect, or may do so later */
 } wb_table_outcome_t;
 
 /** A row at one version. */
--- a/include/wickbridge/table_watch.h
+++ b/include/wickbridge/table_watch.h
@@ -29,62 +29,62 @@
     void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean good, int64_t age_ms,
                     void *context);
     void *context;
-    /** The table has more rows than wb_table_watch_limit allows. The watch makes no calls until
-     * wb_table_watch_go_on or wb_table_watch_follow_part is called. */
-    void (*on_large)(void *context);
+    /** The table has more rows than wb_table_watch_set_row_limit allows. The watch makes no calls
+     * until wb_table_watch_read_all or wb_table_watch_follow_subset is called. */
+    void (*on_row_limit)(void *context);
 } wb_table_watch_events_t;
 
 /** Polling intervals of a table. */
-typedef struct wb_table_pace_t {
-    int64_t wait_ms;       /**< how long the store may hold a call for changes (long poll) */
-    int64_t pause_ms;      /**< min interval between the starts of two calls for changes */
-    int64_t trust_ms;      /**< how long another node's read replaces a call of this node */
-    int64_t look_ms;       /**< min interval between calls made because a peer knows newer rows */
-    int64_t safety_ms;     /**< max interval between this node's calls, even if peers' reads are
-                              fresh; up to a quarter less, at random for each watch */
-    int64_t retry_ms;      /**< max backoff after failed calls; 0: 1.2 s */
-    int64_t read_trust_ms; /**< min time from the start of a full read to the first call for
+typedef struct wb_table_watch_intervals_t {
+    int64_t wait_ms;            /**< how long the store may hold a call for changes (long poll) */
+    int64_t pause_ms;           /**< min interval between the starts of two calls for changes */
+    int64_t peer_read_valid_ms; /**< how long another node's read replaces a call of this node */
+    int64_t look_ms;   /**< min interval between calls made because a peer knows newer rows */
+    int64_t safety_ms; /**< max interval between this node's calls, even if peers' reads are
+                          fresh; up to a quarter less, at random for each watch */
+    int64_t retry_ms;  /**< max backoff after failed calls; 0: 1.2 s */
+    int64_t full_read_valid_ms; /**< min time from the start of a full read to the first call for
                               changes; not applied to an empty table */
-} wb_table_pace_t;
+} wb_table_watch_intervals_t;
 
 /** Create a watch and start the full read. @param table must outlive the watch */
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
-                                        const wb_table_pace_t *pace,
+                                        const wb_table_watch_intervals_t *pace,
                                         const wb_table_watch_events_t *events);
-/** Set the row limit above which on_large is called; 0: none. */
-void wb_table_watch_limit(wb_table_watch_t *watch, unsigned rows);
-/** After on_large or wb_table_watch_follow_part: remove the row limit and read the full table.
- * on_row is called for unchanged rows too. */
-void wb_table_watch_go_on(wb_table_watch_t *watch);
-/** After on_large: forget all rows and don't read the table; rows come from
- * wb_table_watch_take only. The watch counts as synced. */
-void wb_table_watch_follow_part(wb_table_watch_t *watch);
-void wb_table_watch_set_pace(wb_table_watch_t *watch, const wb_table_pace_t *pace);
+/** Set the row limit above which on_row_limit is called; 0: none. */
+void wb_table_watch_set_row_limit(wb_table_watch_t *watch, unsigned rows);
+/** After on_row_limit or wb_table_watch_follow_subset: remove the row limit and read the full
+ * table. on_row is called for unchanged rows too. */
+void wb_table_watch_read_all(wb_table_watch_t *watch);
+/** After on_row_limit: forget all rows and don't read the table; rows come from
+ * wb_table_watch_apply_row only. The watch counts as synced. */
+void wb_table_watch_follow_subset(wb_table_watch_t *watch);
+void wb_table_watch_set_intervals(wb_table_watch_t *watch, const wb_table_watch_intervals_t *pace);
 /** Apply a row that another node has read. Ignored if a newer version is known, or before the first
  * full read is complete. */
-void wb_table_watch_take(wb_table_watch_t *watch, const wb_table_row_t *row);
+void wb_table_watch_apply_row(wb_table_watch_t *watch, const wb_table_row_t *row);
 /**
- * Record that another node has read the table. While that read is fresh (trust_ms) and has no row
- * that is missing here, this node polls only at safety_ms.
+ * Record that another node has read the table. While that read is fresh (peer_read_valid_ms) and
+ * has no row that is missing here, this node polls only at safety_ms.
  * @param newest_row the highest row version that the other node knows
  * @param known_ms   monotonic time as of which it knows the table
  */
-void wb_table_watch_vouch(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms);
+void wb_table_watch_note_peer_read(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms);
 /** @return the highest row version that was applied */
 int64_t wb_table_watch_newest_row(const wb_table_watch_t *watch);
 /** @return monotonic time as of which this node itself has read the table; 0: never */
 int64_t wb_table_watch_known_ms(const wb_table_watch_t *watch);
-/** @return monotonic time as of which this node or another (wb_table_watch_vouch) has read the
- * table; 0: never */
+/** @return monotonic time as of which this node or another (wb_table_watch_note_peer_read) has read
+ * the table; 0: never */
 int64_t wb_table_watch_fresh_ms(const wb_table_watch_t *watch);
 /** Poll once look_ms has passed since the last call, whatever other nodes have read: a change that
  * is missing here was announced. */
-void wb_table_watch_look(wb_table_watch_t *watch);
+void wb_table_watch_poll_soon(wb_table_watch_t *watch);
 /** End the backoff and poll at once, as the store is known to be available again. A no-op unless
  * the last call failed. */
-void wb_table_watch_wake(wb_table_watch_t *watch);
+void wb_table_watch_retry_now(wb_table_watch_t *watch);
 /** Shorten the pause before the next poll, once. */
-void wb_table_watch_hurry(wb_table_watch_t *watch);
+void wb_table_watch_expedite(wb_table_watch_t *watch);
 /** @return TRUE during a full read, also a repeated one */
 gboolean wb_table_watch_is_reading(const wb_table_watch_t *watch);
 /** @return TRUE once the first full read is complete */
--- a/include/wickbridge/tcp_stream.h
+++ b/include/wickbridge/tcp_stream.h
@@ -18,10 +18,10 @@
 
 /** How a connection ended. */
 typedef enum wb_tcp_end_t {
-    WB_TCP_END_UNREACHED, /**< never connected, nothing was sent: timeout or unreachable */
-    WB_TCP_END_REFUSED,   /**< never connected, nothing was sent: connection refused */
-    WB_TCP_END_CLOSED,    /**< closed normally by the peer */
-    WB_TCP_END_RESET      /**< reset, or the peer stopped acknowledging */
+    WB_TCP_END_UNREACHABLE, /**< never connected, nothing was sent: timeout or unreachable */
+    WB_TCP_END_REFUSED,     /**< never connected, nothing was sent: connection refused */
+    WB_TCP_END_CLOSED,      /**< closed normally by the peer */
+    WB_TCP_END_RESET        /**< reset, or the peer stopped acknowledging */
 } wb_tcp_end_t;
 
 typedef struct wb_tcp_events_t {
@@ -40,7 +40,7 @@
 /**
  * Start to connect. on_open or on_end follows, never from inside this call.
  * @param address            IP:PORT
- * @param connect_timeout_ms timeout, after which on_end reports WB_TCP_END_UNREACHED
+ * @param connect_timeout_ms timeout, after which on_end reports WB_TCP_END_UNREACHABLE
  * @param silence_limit_ms   max time for which sent bytes may stay unacknowledged
  * @param events             must outlive the stream
  * @return APR_SUCCESS, or the reason in `error`; no callback follows then
--- a/include/wickbridge/tenant.h
+++ b/include/wickbridge/tenant.h
@@ -20,9 +20,9 @@
 /** Size of an HMAC-SHA256 digest. */
 #define WB_KEY_DIGEST_BYTES 32
 /** Max length of a key; a longer one in a request is invalid. */
-#define WB_KEY_LIMIT_BYTES 512
+#define WB_KEY_MAX_BYTES 512
 /** The tenant has no priority; its requests have that of their route. */
-#define WB_TENANT_NO_RANK (-1)
+#define WB_TENANT_NO_PRIORITY (-1)
 
 typedef struct wb_key_digest_t {
     guchar bytes[WB_KEY_DIGEST_BYTES];
@@ -36,12 +36,13 @@
 
 typedef struct wb_tenant_t {
     char *name;
-    int rank; /**< priority, overrides the route's; 0 is the most urgent; or WB_TENANT_NO_RANK */
+    int rank; /**< priority, overrides the route's; 0 is the most urgent; or WB_TENANT_NO_PRIORITY
+               */
     wb_quota_unit_t unit;
-    double plain_tokens; /**< cost of a request that states no token counts */
-    double rate_per_s;   /**< units per second over all nodes; 0: no limit */
-    double burst;        /**< units allowed beyond the rate */
-    char **homes;        /**< allowed regions, in which its requests may be served; NULL: all */
+    double default_tokens;  /**< cost of a request that states no token counts */
+    double rate_per_s;      /**< units per second over all nodes; 0: no limit */
+    double burst;           /**< units allowed beyond the rate */
+    char **allowed_regions; /**< in which its requests may be served; NULL: all */
 } wb_tenant_t;
 
 typedef struct wb_tenants_t wb_tenants_t;
@@ -57,7 +58,8 @@
 /** @return the tenant by name, or NULL */
 const wb_tenant_t *wb_tenants_find(const wb_tenants_t *tenants, const char *name);
 /** @return the tenant that the key is assigned to, or NULL */
-const wb_tenant_t *wb_tenants_of_key(const wb_tenants_t *tenants, const wb_key_digest_t *digest);
+const wb_tenant_t *wb_tenants_find_by_key(const wb_tenants_t *tenants,
+                                          const wb_key_digest_t *digest);
 /** @return name -> wb_tenant_t; owned by `tenants` */
 GHashTable *wb_tenants_all(const wb_tenants_t *tenants);
 
--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -52,26 +52,27 @@
 
 static int64_t owner_request_order(const char *engine, void *context) {
     wb_controller_t *controller = context;
-    return controller->events.ask_order(engine, controller->events.context);
+    return controller->events.authorize_order(engine, controller->events.context);
 }
 
 static gboolean owner_store_allows_load(const char *service, void *context) {
-    return wb_load_window_has_room(wb_controller_window(context, service), wb_clock_ms());
+    return wb_load_window_allows(wb_controller_window(context, service), wb_clock_ms());
 }
 
-static wb_load_pace_t *concurrency_of(wb_controller_t *controller, const char *service) {
-    wb_load_pace_t *concurrency = g_hash_table_lookup(controller->concurrency_limits, service);
+static wb_load_concurrency_t *concurrency_of(wb_controller_t *controller, const char *service) {
+    wb_load_concurrency_t *concurrency =
+        g_hash_table_lookup(controller->concurrency_limits, service);
     if (concurrency == NULL) {
-        concurrency = g_new0(wb_load_pace_t, 1);
+        concurrency = g_new0(wb_load_concurrency_t, 1);
         g_hash_table_insert(controller->concurrency_limits, g_strdup(service), concurrency);
     }
     return concurrency;
 }
 
-wb_store_turns_t *wb_controller_fairness(wb_controller_t *controller, const char *service) {
-    wb_store_turns_t *fairness = g_hash_table_lookup(controller->fairness, service);
+wb_store_fairness_t *wb_controller_fairness(wb_controller_t *controller, const char *service) {
+    wb_store_fairness_t *fairness = g_hash_table_lookup(controller->fairness, service);
     if (fairness == NULL) {
-        fairness = g_new0(wb_store_turns_t, 1);
+        fairness = g_new0(wb_store_fairness_t, 1);
         g_hash_table_insert(controller->fairness, g_strdup(service), fairness);
     }
     return fairness;
@@ -98,8 +99,8 @@
 }
 
 unsigned wb_controller_store_limit(wb_controller_t *controller, const char *service) {
-    return wb_load_pace_limit(concurrency_of(controller, service),
-                              nominal_load_ms(controller, service));
+    return wb_load_concurrency_limit(concurrency_of(controller, service),
+                                     nominal_load_ms(controller, service));
 }
 
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service) {
@@ -111,34 +112,34 @@
 }
 
 static unsigned owner_store_load_started(const char *service, void *context) {
-    wb_load_window_count(wb_controller_window(context, service), wb_clock_ms());
+    wb_load_window_record(wb_controller_window(context, service), wb_clock_ms());
     return wb_controller_store_loads(context, service);
 }
 
 static void owner_store_load_ended(const char *service, unsigned at_once, int64_t took_ms,
                                    int64_t nominal_ms, void *context) {
-    wb_load_pace_t *concurrency = concurrency_of(context, service);
-    wb_load_pace_note(concurrency, at_once, took_ms, nominal_ms);
+    wb_load_concurrency_t *concurrency = concurrency_of(context, service);
+    wb_load_concurrency_record(concurrency, at_once, took_ms, nominal_ms);
     wb_event("store-load-ended",
              ",\"service\":\"%s\",\"at_once\":%u,\"ms\":%lld,\"alone_ms\":%lld,\"limit\":%u",
              wb_event_text(service), at_once, (long long)took_ms, (long long)nominal_ms,
-             wb_load_pace_limit(concurrency, nominal_ms));
+             wb_load_concurrency_limit(concurrency, nominal_ms));
 }
 
 static void owner_load_crashed(const wb_engine_t *engine, const char *model, void *context) {
     wb_controller_t *controller = context;
     const char *service = engine->state->service;
     int64_t now_ms = wb_clock_ms();
-    if (engine->leaving_ms != 0) {
+    if (engine->draining_since_ms != 0) {
         return; /* it was draining, so its end isn't a crash */
     }
-    guint engines = wb_load_faults_crashed(controller->faults, service, model, now_ms);
+    guint engines = wb_load_faults_record_crash(controller->faults, service, model, now_ms);
     wb_event("load-crashed",
              ",\"service\":\"%s\",\"model\":\"%s\",\"engine\":\"%s\",\"in_a_row\":%u,"
              "\"paused_ms\":%lld",
              wb_event_text(service), wb_event_text(model), wb_event_text(engine->state->id),
              engines,
-             (long long)wb_load_faults_paused_ms(controller->faults, service, model, now_ms));
+             (long long)wb_load_faults_backoff_ms(controller->faults, service, model, now_ms));
 }
 
 static uint64_t owner_token(void *context) {
@@ -154,9 +155,9 @@
                                  gboolean held, void *context) {
     wb_controller_t *controller = context;
     if (held && *adapter == '\0')
-        wb_load_faults_loaded(controller->faults, engine->state->service, model);
+        wb_load_faults_record_success(controller->faults, engine->state->service, model);
     if (held)
-        wb_demand_book_served(controller->stats, engine->state->service, model, adapter);
+        wb_demand_stats_mark_served(controller->stats, engine->state->service, model, adapter);
     wb_controller_send_placement(controller, engine, model, adapter, held, 0);
 }
 
@@ -200,9 +201,9 @@
     wb_controller_snapshot_clear(&snapshot);
 }
 
-void wb_controller_take_demand(wb_controller_t *controller, const wb_wire_demand *demand) {
+void wb_controller_on_demand(wb_controller_t *controller, const wb_wire_demand *demand) {
     /* Limits the share of time spent on decisions in a large fleet; otherwise the tick decides. */
-    if (wb_demand_book_take(controller->stats, demand, wb_clock_ms()) &&
+    if (wb_demand_stats_update(controller->stats, demand, wb_clock_ms()) &&
         wb_clock_us() >= controller->next_decision_us)
         wb_controller_decide(controller);
 }
@@ -217,8 +218,8 @@
     int64_t started_us = wb_clock_us();
     int64_t now_ms = wb_clock_ms();
     controller->deadline_us = started_us + DECISION_MAX_US;
-    wb_demand_book_count(controller->stats, now_ms);
-    wb_demand_book_age(controller->stats, now_ms);
+    wb_demand_stats_aggregate(controller->stats, now_ms);
+    wb_demand_stats_expire(controller->stats, now_ms);
     gboolean scale_out = now_ms - controller->scale_out_ms >= SCALE_OUT_INTERVAL_MS;
     if (scale_out)
         controller->scale_out_ms = now_ms;
@@ -242,7 +243,7 @@
     int64_t now_ms = wb_clock_ms();
     if (wb_clock_us() < controller->next_decision_us)
         return;
-    if (wb_demand_book_someone_waits(controller->stats) ||
+    if (wb_demand_stats_has_waiting(controller->stats) ||
         now_ms - controller->scale_out_ms >= SCALE_OUT_INTERVAL_MS)
         wb_controller_decide(controller);
 }
@@ -258,7 +259,7 @@
     controller->fleet = fleet;
     controller->metrics = metrics;
     controller->events = *events;
-    controller->stats = wb_demand_book_create();
+    controller->stats = wb_demand_stats_create();
     controller->orders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                                (GDestroyNotify)wb_engine_orders_free);
     controller->faults = wb_load_faults_create();
@@ -270,7 +271,7 @@
     return controller;
 }
 
-void wb_controller_set_token(wb_controller_t *controller, uint64_t token,
+void wb_controller_set_lease(wb_controller_t *controller, uint64_t token,
                              const wb_lease_predecessor_t *predecessor) {
     if (controller->token == token)
         return;
@@ -279,16 +280,17 @@
     g_hash_table_remove_all(controller->orders);
     if (token == 0 || predecessor->seen_ms == 0 || controller->catalog == NULL)
         return;
-    unsigned unreported_loads = predecessor->engines_most > G_MAXUINT / UNREPORTED_LOADS_PER_ENGINE
-                                    ? G_MAXUINT
-                                    : UNREPORTED_LOADS_PER_ENGINE * predecessor->engines_most;
+    unsigned unreported_loads =
+        predecessor->max_ordered_engines > G_MAXUINT / UNREPORTED_LOADS_PER_ENGINE
+            ? G_MAXUINT
+            : UNREPORTED_LOADS_PER_ENGINE * predecessor->max_ordered_engines;
     GHashTableIter iter;
     gpointer name;
     g_hash_table_iter_init(&iter, controller->catalog->services);
     while (g_hash_table_iter_next(&iter, &name, NULL))
-        wb_load_window_assume(wb_controller_window(controller, name), predecessor->loads,
-                              unreported_loads,
-                              predecessor->seen_ms + controller->settings->lease_duration_ms);
+        wb_load_window_add_predecessor(
+            wb_controller_window(controller, name), predecessor->loads, unreported_loads,
+            predecessor->seen_ms + controller->settings->lease_duration_ms);
 }
 
 unsigned wb_controller_recent_loads(const wb_controller_t *controller) {
@@ -297,7 +299,7 @@
     gpointer window;
     g_hash_table_iter_init(&iter, controller->windows);
     while (g_hash_table_iter_next(&iter, NULL, &window))
-        max_loads = MAX(max_loads, wb_load_window_counted(window, wb_clock_ms()));
+        max_loads = MAX(max_loads, wb_load_window_used(window, wb_clock_ms()));
     return max_loads;
 }
 
@@ -323,8 +325,8 @@
     }
 }
 
-const struct wb_model_use_t *wb_controller_use(const wb_controller_t *controller,
-                                               const char *service, const char *model) {
-    const wb_usage_t *usage = wb_demand_book_find(controller->stats, service, model, "");
+const struct wb_model_use_t *wb_controller_model_use(const wb_controller_t *controller,
+                                                     const char *service, const char *model) {
+    const wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, model, "");
     return usage != NULL ? &usage->use : NULL;
 }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -26,7 +26,7 @@
     gboolean (*may_act)(void *context);
     /** Request permission to send an order to an engine. @return 0: it may be sent now; > 0: not
      * before this many ms; -1: the grant is pending, ask again soon */
-    int64_t (*ask_order)(const char *engine, void *context);
+    int64_t (*authorize_order)(const char *engine, void *context);
     /** @return ms for which an engine must get no orders, as a previous lease holder may have
      * ordered it recently */
     int64_t (*blocked_ms)(const char *engine, void *context);
@@ -46,21 +46,21 @@
  * cached engine states.
  * @param predecessor the previous lease holder; may be NULL with token 0
  */
-void wb_controller_set_token(wb_controller_t *controller, uint64_t token,
+void wb_controller_set_lease(wb_controller_t *controller, uint64_t token,
                              const wb_lease_predecessor_t *predecessor);
 /** @return loads from the weight store in the current window, the maximum over all services */
 unsigned wb_controller_recent_loads(const wb_controller_t *controller);
 /** Replace the configuration; the controller keeps a reference. */
 void wb_controller_set_catalog(wb_controller_t *controller, wb_catalog_t *catalog);
 /** Handle a gateway's report of its running and waiting requests. */
-void wb_controller_take_demand(wb_controller_t *controller, const wb_wire_demand *demand);
+void wb_controller_on_demand(wb_controller_t *controller, const wb_wire_demand *demand);
 /** An engine has restarted under its id: orders to its previous start are void. */
 void wb_controller_engine_restarted(wb_controller_t *controller, const char *engine_id);
 /** An engine's announcement has changed or was removed. */
 void wb_controller_engine_changed(wb_controller_t *controller, const char *engine_id);
 /** @return the demand for a model, owned by the controller; NULL when there has been none */
-const struct wb_model_use_t *wb_controller_use(const wb_controller_t *controller,
-                                               const char *service, const char *model);
+const struct wb_model_use_t *wb_controller_model_use(const wb_controller_t *controller,
+                                                     const char *service, const char *model);
 /** Make a placement decision now rather than at the next tick. */
 void wb_controller_decide(wb_controller_t *controller);
 
--- a/src/control/controller_adapters.c
+++ b/src/control/controller_adapters.c
@@ -78,7 +78,8 @@
 void wb_controller_place_adapters(wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot) {
     wb_adapter_context_t data = {controller, snapshot};
-    wb_demand_book_each_adapter(controller->stats, snapshot->service->name, adapter_place, &data);
+    wb_demand_stats_each_waiting_adapter(controller->stats, snapshot->service->name, adapter_place,
+                                         &data);
 }
 
 /* Picks the least recently used adapter. Skips adapters that are being loaded or waited for. */
@@ -103,7 +104,7 @@
                 continue;
             }
             const wb_usage_t *usage =
-                wb_demand_book_find(controller->stats, engine->state->service, model, adapter);
+                wb_demand_stats_find(controller->stats, engine->state->service, model, adapter);
             int64_t last_used_ms = usage != NULL ? usage->last_used_ms : 0;
             if (usage != NULL && usage->use.waiting > 0)
                 continue;
--- a/src/control/controller_missing.c
+++ b/src/control/controller_missing.c
@@ -47,7 +47,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
         wb_usage_t *usage =
-            wb_demand_book_find(controller->stats, snapshot->service->name, spec->name, "");
+            wb_demand_stats_find(controller->stats, snapshot->service->name, spec->name, "");
         if (usage == NULL) {
             continue;
         }
@@ -56,13 +56,13 @@
             usage->announced_ready_ms = 0;
         }
         if (needs_replica(usage, now_ms) &&
-            wb_load_faults_paused_ms(controller->faults, snapshot->service->name, spec->name,
-                                     now_ms) == 0) {
+            wb_load_faults_backoff_ms(controller->faults, snapshot->service->name, spec->name,
+                                      now_ms) == 0) {
             wb_missing_model_t model = {spec, usage->missed_requests, usage->time_left_ms};
             g_array_append_val(missing, model);
         }
     }
-    g_array_sort(missing, wb_load_queue_order);
+    g_array_sort(missing, wb_load_queue_compare);
     return missing;
 }
 
@@ -77,7 +77,7 @@
     if (usage->use.waiting > 0) {
         return G_MAXDOUBLE;
     }
-    return wb_placement_store_price_ms(spec) +
+    return wb_placement_store_load_cost_ms(spec) +
            MISSED_COST_MS * (usage->missed_requests +
                              (usage->use.unreliable > 0 ? expected_requests(usage, spec) : 0));
 }
@@ -124,8 +124,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
         int64_t backoff_ms =
-            wb_load_faults_paused_ms(controller->faults, service, spec->name, now_ms);
-        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, spec->name, "");
+            wb_load_faults_backoff_ms(controller->faults, service, spec->name, now_ms);
+        wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, spec->name, "");
         if (backoff_ms > 0 && usage != NULL && usage->use.replicas == 0) {
             estimate_add(entries, usage, spec, backoff_ms + spec->store_load_ms, now_ms);
         }
@@ -144,18 +144,19 @@
 static gboolean missing_place(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                               const wb_model_spec_t *spec, const wb_usage_t *usage,
                               int64_t now_ms) {
-    const wb_store_turns_t *fairness = wb_controller_fairness(controller, snapshot->service->name);
-    unsigned allowed = snapshot->store_room;
-    gboolean may_use_store = wb_store_turns_missing_may(fairness, missing_gain_ms(usage, spec),
-                                                        spec->store_load_ms, now_ms);
+    const wb_store_fairness_t *fairness =
+        wb_controller_fairness(controller, snapshot->service->name);
+    unsigned allowed = snapshot->store_loads_allowed;
+    gboolean may_use_store = wb_store_fairness_may_load_missing(
+        fairness, missing_gain_ms(usage, spec), spec->store_load_ms, now_ms);
     if (!may_use_store) {
-        snapshot->store_room = 0;
+        snapshot->store_loads_allowed = 0;
     }
     gboolean placed =
         wb_controller_place_model(controller, snapshot, spec, missing_cost_limit_ms(usage, spec),
                                   usage->use.waiting > 0 ? "waited-for" : "missing");
     if (!may_use_store) {
-        snapshot->store_room = allowed;
+        snapshot->store_loads_allowed = allowed;
     }
     return placed;
 }
@@ -171,10 +172,10 @@
         if (i > 0 && wb_controller_deadline_passed(controller))
             break;
         const wb_missing_model_t *model = &g_array_index(missing, wb_missing_model_t, i);
-        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, model->spec->name, "");
+        wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, model->spec->name, "");
         if (missing_place(controller, snapshot, model->spec, usage, now_ms)) {
             usage->announced_ready_ms = 0;
-        } else if (snapshot->store_room == 0 && usage->use.replicas == 0 &&
+        } else if (snapshot->store_loads_allowed == 0 && usage->use.replicas == 0 &&
                    model->missed_requests > 0) {
             int64_t ready_in_ms =
                 wb_load_queue_ready_ms(wb_controller_store_limit(controller, service),
--- a/src/control/controller_models.c
+++ b/src/control/controller_models.c
@@ -16,10 +16,10 @@
     double eviction_ms;
     wb_placement_engine_t *target = wb_placement_choose(snapshot, spec, &cost_ms, &eviction_ms);
     if (target == NULL ||
-        eviction_ms + wb_placement_load_price_ms(spec, target->engine->state) > limit_ms)
+        eviction_ms + wb_placement_load_cost_ms(spec, target->engine->state) > limit_ms)
         return FALSE;
-    wb_usage_t *usage = wb_demand_book_get(controller->stats, snapshot->service->name, spec->name,
-                                           "", wb_clock_ms());
+    wb_usage_t *usage = wb_demand_stats_get(controller->stats, snapshot->service->name, spec->name,
+                                            "", wb_clock_ms());
     wb_event("model-placed",
              ",\"service\":\"%s\",\"model\":\"%s\",\"engine\":\"%s\",\"why\":\"%s\","
              "\"cost_ms\":%.0f,\"victims_ms\":%.0f,\"waiting\":%u,\"replicas\":%u,"
@@ -31,9 +31,9 @@
     gboolean from_store;
     double load_ms = wb_placement_load_ms(spec, target->engine->state, &from_store);
     if (from_store) {
-        snapshot->store_room -= snapshot->store_room > 0;
-        wb_store_turns_loaded(wb_controller_fairness(controller, snapshot->service->name),
-                              usage->use.replicas == 0);
+        snapshot->store_loads_allowed -= snapshot->store_loads_allowed > 0;
+        wb_store_fairness_record_load(wb_controller_fairness(controller, snapshot->service->name),
+                                      usage->use.replicas == 0);
     }
     double ready_ms = target->busy_ms + load_ms + (eviction_ms > 0 ? EVICTION_TIME_MS : 0);
     wb_controller_send_placement(controller, target->engine, spec->name, "", FALSE,
@@ -59,28 +59,28 @@
 }
 
 /* Returns TRUE when a model's load calls for one more engine, or for a faster one. */
-static gboolean needs_engine(const wb_model_use_t *use, const wb_engine_power_t *power,
+static gboolean needs_engine(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                              double fastest) {
     if (use->replicas == 0) {
         return FALSE;
     }
-    return wb_placement_speed(use) < wb_placement_wanted(use, power) ||
-           wb_placement_is_slow(use, fastest);
+    return wb_placement_total_speed(use) < wb_placement_wanted_replicas(use, power) ||
+           wb_placement_engines_are_slow(use, fastest);
 }
 
 static GArray *scale_outs_collect(const wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot) {
     GArray *scale_outs = g_array_new(FALSE, FALSE, sizeof(wb_scale_out_t));
     const char *service = snapshot->service->name;
-    double fastest = wb_placement_fastest(snapshot);
+    double fastest = wb_placement_max_speed(snapshot);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
-        const wb_usage_t *usage = wb_demand_book_find(controller->stats, service, spec->name, "");
+        const wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, spec->name, "");
         if (usage == NULL || !needs_engine(&usage->use, &snapshot->power, fastest) ||
-            wb_load_faults_paused_ms(controller->faults, service, spec->name, wb_clock_ms()) > 0) {
+            wb_load_faults_backoff_ms(controller->faults, service, spec->name, wb_clock_ms()) > 0) {
             continue;
         }
         wb_scale_out_t scale_out = {spec, &usage->use,
@@ -101,10 +101,11 @@
         wb_placement_choose(snapshot, scale_out->spec, &cost_ms, &eviction_ms);
     *found = target != NULL;
     if (target == NULL) {
-        if (snapshot->store_room == 0 &&
-            scale_out->gain_ms > wb_placement_store_price_ms(scale_out->spec)) {
-            wb_store_turns_wish(wb_controller_fairness(controller, snapshot->service->name),
-                                scale_out->gain_ms, wb_clock_ms());
+        if (snapshot->store_loads_allowed == 0 &&
+            scale_out->gain_ms > wb_placement_store_load_cost_ms(scale_out->spec)) {
+            wb_store_fairness_request_replica(
+                wb_controller_fairness(controller, snapshot->service->name), scale_out->gain_ms,
+                wb_clock_ms());
         }
         return FALSE;
     }
@@ -145,7 +146,7 @@
     if (wb_controller_is_large(controller)) {
         wb_controller_snapshot_one(controller, service, engine, &snapshot);
     } else {
-        wb_demand_book_count(controller->stats, wb_clock_ms());
+        wb_demand_stats_aggregate(controller->stats, wb_clock_ms());
         wb_controller_snapshot(controller, service, &snapshot);
     }
     double cost_ms;
--- a/src/control/controller_snapshot.c
+++ b/src/control/controller_snapshot.c
@@ -20,7 +20,7 @@
     if (*adapter != '\0')
         return;
     wb_model_use_t *use =
-        &wb_demand_book_get(data->controller->stats, data->service->name, model, "", wb_clock_ms())
+        &wb_demand_stats_get(data->controller->stats, data->service->name, model, "", wb_clock_ms())
              ->use;
     use->loading_replicas++;
     use->loading_speed += data->candidate->speed;
@@ -39,8 +39,9 @@
  * model without demand needs no replacement. */
 static void replicas_add(wb_controller_t *controller, const char *service,
                          const wb_placement_engine_t *candidate, int64_t now_ms) {
-    gboolean available = wb_engine_stays(candidate->engine);
-    if (!available && candidate->engine->leaving_ms != 0 && !candidate->engine->told_leaving) {
+    gboolean available = wb_engine_is_available(candidate->engine);
+    if (!available && candidate->engine->draining_since_ms != 0 &&
+        !candidate->engine->drain_reported) {
         return;
     }
     GHashTableIter iter;
@@ -48,8 +49,8 @@
     g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
         wb_usage_t *usage = available
-                                ? wb_demand_book_get(controller->stats, service, name, "", now_ms)
-                                : wb_demand_book_find(controller->stats, service, name, "");
+                                ? wb_demand_stats_get(controller->stats, service, name, "", now_ms)
+                                : wb_demand_stats_find(controller->stats, service, name, "");
         if (available) {
             usage->use.replicas++;
             usage->use.speed += candidate->speed;
@@ -66,10 +67,10 @@
                     wb_engine_t *engine, const wb_engine_orders_t *orders, int64_t now_ms) {
     wb_placement_engine_t candidate = {.engine = engine, .state = engine->state};
     candidate.speed = controller->settings->engine_pace != 0
-                          ? 1 / wb_engine_pace_usual(&engine->pace, now_ms)
+                          ? 1 / wb_engine_pace_intrinsic_factor(&engine->pace, now_ms)
                           : 1;
-    candidate.available = wb_engine_stays(engine) && now_ms >= engine->avoid_until_ms;
-    candidate.overloaded = engine->limit.named || now_ms < engine->rest_until_ms;
+    candidate.available = wb_engine_is_available(engine) && now_ms >= engine->avoid_until_ms;
+    candidate.overloaded = engine->limit.named || now_ms < engine->backoff_until_ms;
     if (orders != NULL) {
         candidate.state = wb_engine_orders_state(orders);
         candidate.busy_ms = wb_engine_orders_busy_ms(orders);
@@ -87,7 +88,7 @@
                                 const wb_placement_snapshot_t *snapshot,
                                 wb_placement_engine_t *candidate, const wb_engine_orders_t *orders,
                                 int64_t now_ms) {
-    if (orders != NULL && wb_engine_stays(candidate->engine)) {
+    if (orders != NULL && wb_engine_is_available(candidate->engine)) {
         wb_loading_context_t data = {controller, snapshot->service, candidate};
         wb_engine_orders_each(orders, loading_replica_add, &data);
     }
@@ -102,7 +103,7 @@
     gpointer name;
     g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        const wb_usage_t *usage = wb_demand_book_find(controller->stats, service, name, "");
+        const wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, name, "");
         per_s += usage != NULL ? usage->use.rate_per_s / MAX(usage->use.replicas, 1) : 0;
     }
     return per_s;
@@ -115,7 +116,7 @@
                                       const wb_placement_engine_t *candidate) {
     const char *service = snapshot->service->name;
     const wb_engine_limit_t *limit = &candidate->engine->limit;
-    if (!limit->named || !wb_engine_stays(candidate->engine) ||
+    if (!limit->named || !wb_engine_is_available(candidate->engine) ||
         limit->per_s >= LIMIT_HEADROOM * demand_per_s(controller, service, candidate)) {
         return;
     }
@@ -123,7 +124,7 @@
     gpointer name;
     g_hash_table_iter_init(&iter, candidate->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        wb_usage_t *usage = wb_demand_book_find(controller->stats, service, name, "");
+        wb_usage_t *usage = wb_demand_stats_find(controller->stats, service, name, "");
         if (usage != NULL && usage->use.replicas > 0) {
             usage->use.replicas--;
             usage->use.speed -= candidate->speed;
@@ -133,7 +134,7 @@
 }
 
 /* Requests per replica, on average over all models. */
-static double place_rate_per_s(const wb_placement_snapshot_t *snapshot) {
+static double replica_rate_per_s(const wb_placement_snapshot_t *snapshot) {
     double rate_per_s = 0;
     unsigned replicas = 0;
     GHashTableIter iter;
@@ -154,7 +155,7 @@
 }
 
 gboolean wb_controller_is_large(const wb_controller_t *controller) {
-    return g_hash_table_size(wb_fleet_all(controller->fleet)) > WB_PLACES_JUDGED;
+    return g_hash_table_size(wb_fleet_all(controller->fleet)) > WB_PLACEMENT_MAX_CANDIDATES;
 }
 
 static void snapshot_begin(wb_controller_t *controller, const wb_service_t *service,
@@ -163,7 +164,7 @@
         .service = service,
         .engines = g_array_new(FALSE, FALSE, sizeof(wb_placement_engine_t)),
         .uses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL),
-        .store_room = wb_controller_store_room(controller, service->name),
+        .store_loads_allowed = wb_controller_store_room(controller, service->name),
         .power = {controller->settings->prefill_tokens_per_ms, 0},
         .is_loading = engine_is_loading,
         .context = controller};
@@ -176,11 +177,11 @@
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
         wb_usage_t *usage =
-            wb_demand_book_find(controller->stats, snapshot->service->name, name, "");
+            wb_demand_stats_find(controller->stats, snapshot->service->name, name, "");
         if (usage != NULL)
             g_hash_table_insert(snapshot->uses, name, &usage->use);
     }
-    snapshot->place_rate_per_s = place_rate_per_s(snapshot);
+    snapshot->replica_rate_per_s = replica_rate_per_s(snapshot);
 }
 
 void wb_controller_snapshot(wb_controller_t *controller, const wb_service_t *service,
@@ -203,7 +204,7 @@
         limited_replicas_discount(controller, snapshot,
                                   &g_array_index(snapshot->engines, wb_placement_engine_t, i));
     }
-    if (snapshot->engines->len > WB_PLACES_JUDGED) {
+    if (snapshot->engines->len > WB_PLACEMENT_MAX_CANDIDATES) {
         snapshot->first = (guint)g_random_int_range(0, (gint32)snapshot->engines->len);
     }
     uses_add(controller, snapshot);
--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -9,13 +9,13 @@
 
 #include "control/controller.h"
 
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 #include "control/engine_orders.h"
 #include "control/load_faults.h"
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 #include "control/load_window.h"
 #include "control/placement.h"
-#include "control/store_turns.h"
+#include "control/store_fairness.h"
 
 struct wb_controller_t {
     wb_loop_t *loop;
@@ -26,11 +26,11 @@
     wb_controller_events_t events;
     wb_catalog_t *catalog;
     uint64_t token; /* 0: this node doesn't hold the lease */
-    wb_demand_book_t *stats;
+    wb_demand_stats_t *stats;
     GHashTable *orders;             /* engine id -> wb_engine_orders_t */
     GHashTable *windows;            /* service -> wb_load_window_t */
-    GHashTable *concurrency_limits; /* service -> wb_load_pace_t */
-    GHashTable *fairness;           /* service -> wb_store_turns_t */
+    GHashTable *concurrency_limits; /* service -> wb_load_concurrency_t */
+    GHashTable *fairness;           /* service -> wb_store_fairness_t */
     wb_load_faults_t *faults;
     int64_t scale_out_ms;     /* when replicas were last considered for busy models */
     int64_t deadline_us;      /* the current decision starts no further placement after this */
@@ -47,7 +47,7 @@
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service);
 /** @return a service's alternation between missing models and replicas; created when there is none
  */
-wb_store_turns_t *wb_controller_fairness(wb_controller_t *controller, const char *service);
+wb_store_fairness_t *wb_controller_fairness(wb_controller_t *controller, const char *service);
 /** @return an engine's orders; created when there are none */
 wb_engine_orders_t *wb_controller_orders(wb_controller_t *controller, wb_engine_t *engine);
 /** Report to all gateways whether an engine holds a model or adapter.
--- a/src/control/demand_book.c
+++ b/src/control/demand_stats.c
@@ -1,5 +1,5 @@
 /* Aggregates the demand that gateways report, per model and adapter. */
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 
 #include <math.h>
 #include <string.h>
@@ -16,7 +16,7 @@
     int64_t received_ms;
 } wb_node_report_t;
 
-struct wb_demand_book_t {
+struct wb_demand_stats_t {
     GHashTable *reports; /* node -> wb_node_report_t */
     GHashTable *usages;  /* SERVICE/MODEL/ADAPTER -> wb_usage_t */
 };
@@ -27,14 +27,14 @@
     g_free(report);
 }
 
-wb_demand_book_t *wb_demand_book_create(void) {
-    wb_demand_book_t *stats = g_new0(wb_demand_book_t, 1);
+wb_demand_stats_t *wb_demand_stats_create(void) {
+    wb_demand_stats_t *stats = g_new0(wb_demand_stats_t, 1);
     stats->reports = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_report_free);
     stats->usages = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return stats;
 }
 
-void wb_demand_book_free(wb_demand_book_t *stats) {
+void wb_demand_stats_free(wb_demand_stats_t *stats) {
     g_hash_table_unref(stats->reports);
     g_hash_table_unref(stats->usages);
     g_free(stats);
@@ -44,14 +44,14 @@
     return g_strjoin("/", service, model, adapter, NULL);
 }
 
-wb_usage_t *wb_demand_book_find(const wb_demand_book_t *stats, const char *service,
-                                const char *model, const char *adapter) {
+wb_usage_t *wb_demand_stats_find(const wb_demand_stats_t *stats, const char *service,
+                                 const char *model, const char *adapter) {
     g_autofree char *key = usage_key(service, model, adapter);
     return g_hash_table_lookup(stats->usages, key);
 }
 
-wb_usage_t *wb_demand_book_get(wb_demand_book_t *stats, const char *service, const char *model,
-                               const char *adapter, int64_t now_ms) {
+wb_usage_t *wb_demand_stats_get(wb_demand_stats_t *stats, const char *service, const char *model,
+                                const char *adapter, int64_t now_ms) {
     g_autofree char *key = usage_key(service, model, adapter);
     wb_usage_t *usage = g_hash_table_lookup(stats->usages, key);
     if (usage == NULL) {
@@ -86,8 +86,8 @@
         usage->last_used_ms = now_ms;
 }
 
-gboolean wb_demand_book_take(wb_demand_book_t *stats, const wb_wire_demand *demand,
-                             int64_t now_ms) {
+gboolean wb_demand_stats_update(wb_demand_stats_t *stats, const wb_wire_demand *demand,
+                                int64_t now_ms) {
     wb_node_report_t *report = g_new0(wb_node_report_t, 1);
     report->received_ms = now_ms;
     /* The message belongs to its link, so it is copied by encoding and decoding it. */
@@ -105,13 +105,13 @@
     gboolean has_waiting = FALSE;
     for (guint i = 0; i < demand->entries.entries_len; i++) {
         const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
-        wb_usage_t *model = wb_demand_book_get(stats, entry->service, entry->model, "", now_ms);
+        wb_usage_t *model = wb_demand_stats_get(stats, entry->service, entry->model, "", now_ms);
         usage_add_arrivals(model, entry->arrivals, entry->work, now_ms);
         if (model->use.replicas == 0)
             model->missed_requests += entry->arrivals;
         if (*entry->adapter != '\0') {
             usage_add_arrivals(
-                wb_demand_book_get(stats, entry->service, entry->model, entry->adapter, now_ms),
+                wb_demand_stats_get(stats, entry->service, entry->model, entry->adapter, now_ms),
                 entry->arrivals, 0, now_ms);
             model->use.adapter_rate_per_s += entry->arrivals / RATE_TIME_CONSTANT_S;
         }
@@ -120,7 +120,7 @@
     return has_waiting;
 }
 
-static void usages_reset(wb_demand_book_t *stats) {
+static void usages_reset(wb_demand_stats_t *stats) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, stats->usages);
@@ -146,7 +146,7 @@
     usage->time_left_ms = MIN(usage->time_left_ms, entry->time_left_ms);
 }
 
-void wb_demand_book_count(wb_demand_book_t *stats, int64_t now_ms) {
+void wb_demand_stats_aggregate(wb_demand_stats_t *stats, int64_t now_ms) {
     usages_reset(stats);
     GHashTableIter iter;
     gpointer value;
@@ -160,12 +160,13 @@
         const wb_wire_demand *demand = &report->message.wb_wire_message_u.demand;
         for (guint i = 0; i < demand->entries.entries_len; i++) {
             const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
-            wb_usage_t *model = wb_demand_book_get(stats, entry->service, entry->model, "", now_ms);
+            wb_usage_t *model =
+                wb_demand_stats_get(stats, entry->service, entry->model, "", now_ms);
             usage_add_entry(model, entry, *entry->adapter == '\0');
             if (*entry->adapter == '\0')
                 continue;
             usage_add_entry(
-                wb_demand_book_get(stats, entry->service, entry->model, entry->adapter, now_ms),
+                wb_demand_stats_get(stats, entry->service, entry->model, entry->adapter, now_ms),
                 entry, TRUE);
             model->use.waiting += entry->waiting;
             if (entry->waiting > 0)
@@ -182,7 +183,7 @@
            now_ms - usage->last_used_ms > USAGE_TTL_MS;
 }
 
-void wb_demand_book_age(wb_demand_book_t *stats, int64_t now_ms) {
+void wb_demand_stats_expire(wb_demand_stats_t *stats, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_foreach_remove(stats->usages, usage_is_expired, &now_ms);
@@ -197,8 +198,8 @@
     }
 }
 
-void wb_demand_book_served(wb_demand_book_t *stats, const char *service, const char *model,
-                           const char *adapter) {
+void wb_demand_stats_mark_served(wb_demand_stats_t *stats, const char *service, const char *model,
+                                 const char *adapter) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, stats->reports);
@@ -213,12 +214,12 @@
             }
         }
     }
-    wb_usage_t *usage = wb_demand_book_find(stats, service, model, "");
+    wb_usage_t *usage = wb_demand_stats_find(stats, service, model, "");
     if (usage != NULL)
         usage->waiting_since_ms = 0;
 }
 
-gboolean wb_demand_book_someone_waits(const wb_demand_book_t *stats) {
+gboolean wb_demand_stats_has_waiting(const wb_demand_stats_t *stats) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, stats->usages);
@@ -228,9 +229,10 @@
     return FALSE;
 }
 
-void wb_demand_book_each_adapter(const wb_demand_book_t *stats, const char *service,
-                                 void (*visit)(const wb_wire_demand_entry *entry, void *context),
-                                 void *context) {
+void wb_demand_stats_each_waiting_adapter(const wb_demand_stats_t *stats, const char *service,
+                                          void (*visit)(const wb_wire_demand_entry *entry,
+                                                        void *context),
+                                          void *context) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, stats->reports);
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -2,7 +2,7 @@
 #include "control/engine_orders_types.h"
 
 #include "control/placement.h"
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
 #include "wickbridge/event_log.h"
 
@@ -42,13 +42,13 @@
 }
 
 static void task_end(wb_engine_orders_t *orders, const char *outcome) {
-    wb_task_t *task = wb_task_pop(&orders->tasks);
+    wb_engine_task_t *task = wb_engine_task_pop(&orders->tasks);
     wb_event(
         "task-over",
         ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"outcome\":\"%s\",\"ms\":%lld",
         orders->engine->state->id, task->model, task->adapter, outcome,
         (long long)(wb_clock_ms() - task->created_ms));
-    wb_task_free(task);
+    wb_engine_task_free(task);
     if (orders->awaited != WB_AWAIT_NONE) {
         /* The outcome of an accepted order is unknown: its model may still take memory. */
         state_discard(orders);
@@ -69,7 +69,7 @@
         return;
     }
     unreachable_begin(orders);
-    if (wb_task_first(&orders->tasks) != NULL)
+    if (wb_engine_task_first(&orders->tasks) != NULL)
         task_end(orders, "unreachable");
 }
 
@@ -78,7 +78,7 @@
     orders->owner.load_crashed(orders->engine, orders->order_model, orders->owner.context);
     unreachable_begin(orders);
     state_discard(orders);
-    if (wb_task_first(&orders->tasks) != NULL)
+    if (wb_engine_task_first(&orders->tasks) != NULL)
         task_end(orders, "crashed");
     orders->awaited = WB_AWAIT_NONE;
 }
@@ -91,7 +91,7 @@
     unreachable_begin(orders);
     state_discard(orders);
     orders->awaited = WB_AWAIT_NONE;
-    if (wb_task_first(&orders->tasks) != NULL) {
+    if (wb_engine_task_first(&orders->tasks) != NULL) {
         task_end(orders, "engine-restarted");
     }
 }
@@ -116,7 +116,7 @@
 
 /* Ends the first task, as the engine holds its model or adapter. */
 static void task_done(wb_engine_orders_t *orders) {
-    const wb_task_t *task = wb_task_first(&orders->tasks);
+    const wb_engine_task_t *task = wb_engine_task_first(&orders->tasks);
     if (orders->order_from_store && *task->adapter == '\0' &&
         strcmp(task->model, orders->order_model) == 0) {
         orders->order_from_store = FALSE;
@@ -152,7 +152,7 @@
     }
     gboolean loaded = orders->awaited == WB_AWAIT_LOADED;
     orders->awaited = WB_AWAIT_NONE;
-    if (loaded && wb_task_first(&orders->tasks) != NULL)
+    if (loaded && wb_engine_task_first(&orders->tasks) != NULL)
         task_done(orders);
     else
         advance_after(orders, 0);
@@ -202,9 +202,9 @@
 /* Applies the engine-reported state in the response headers of a report or order. */
 static void response_head_apply(const wb_http_head_t *head, void *context) {
     wb_engine_orders_t *orders = context;
-    wb_heard_t heard = {orders->dialect,      head,          WB_HEARD_ON_CALL,
-                        orders->call_sent_ms, wb_clock_ms(), orders->settings->drain_ms};
-    if (wb_engine_hear(orders->engine, &heard, orders->metrics)) {
+    wb_engine_response_t heard = {orders->dialect,      head,          WB_RESPONSE_TO_CALL,
+                                  orders->call_sent_ms, wb_clock_ms(), orders->settings->drain_ms};
+    if (wb_engine_update_from_response(orders->engine, &heard, orders->metrics)) {
         orders->owner.engine_state_changed(orders->engine, orders->owner.context);
     }
 }
@@ -226,7 +226,8 @@
     if (!orders->owner.may_act(orders->owner.context)) {
         return RETRY_MS;
     }
-    int64_t wait_ms = orders->owner.ask_order(orders->engine->state->id, orders->owner.context);
+    int64_t wait_ms =
+        orders->owner.authorize_order(orders->engine->state->id, orders->owner.context);
     return wait_ms < 0 ? GRANT_POLL_MS : MIN(wait_ms, RETRY_MS);
 }
 
@@ -308,7 +309,7 @@
         return;
     }
     state_discard(orders);
-    if (result->status == 400 && wb_task_first(&orders->tasks) != NULL)
+    if (result->status == 400 && wb_engine_task_first(&orders->tasks) != NULL)
         task_end(orders, "refused");
     else
         advance_after(orders, POLL_MIN_MS);
@@ -363,7 +364,7 @@
     }
 }
 
-static void load_model(wb_engine_orders_t *orders, const wb_task_t *task,
+static void load_model(wb_engine_orders_t *orders, const wb_engine_task_t *task,
                        const wb_model_spec_t *spec) {
     g_autoptr(GPtrArray) victims =
         orders->owner.pick_victims(orders->state, task->model, orders->owner.context);
@@ -394,7 +395,7 @@
     order_send(orders);
 }
 
-static void load_adapter(wb_engine_orders_t *orders, const wb_task_t *task,
+static void load_adapter(wb_engine_orders_t *orders, const wb_engine_task_t *task,
                          const wb_service_t *service, const wb_model_spec_t *spec) {
     if (!state_has(orders->state, task->model, "")) {
         task_end(orders, "no-model");
@@ -423,7 +424,7 @@
     order_send(orders);
 }
 
-static void task_advance(wb_engine_orders_t *orders, const wb_task_t *task) {
+static void task_advance(wb_engine_orders_t *orders, const wb_engine_task_t *task) {
     const wb_service_t *service =
         orders->owner.service(orders->engine->state->service, orders->owner.context);
     const wb_model_spec_t *spec =
@@ -439,7 +440,7 @@
 }
 
 static void orders_advance(wb_engine_orders_t *orders) {
-    const wb_task_t *task = wb_task_first(&orders->tasks);
+    const wb_engine_task_t *task = wb_engine_task_first(&orders->tasks);
     if (orders->calling || task == NULL)
         return;
     /* Requests the grant now, so that its write runs in parallel with the report. */
@@ -464,7 +465,8 @@
     }
     gboolean idle = orders->tasks.len == 0;
     gboolean first_is_started = orders->calling || orders->awaited != WB_AWAIT_NONE;
-    wb_task_queue(&orders->tasks, wb_task_create(model, adapter, wb_clock_ms()), first_is_started);
+    wb_engine_task_enqueue(&orders->tasks, wb_engine_task_create(model, adapter, wb_clock_ms()),
+                           first_is_started);
     if (idle && !orders->calling) {
         advance_after(orders, 0);
     }
@@ -482,7 +484,7 @@
             g_hash_table_lookup(orders->engine->state->models, orders->order_model);
         wb_engine_state_add_model(orders->state, orders->order_model, held->version);
         orders->awaited = WB_AWAIT_NONE;
-        if (wb_task_first(&orders->tasks) != NULL)
+        if (wb_engine_task_first(&orders->tasks) != NULL)
             task_done(orders);
         return;
     }
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -28,7 +28,7 @@
     gboolean (*may_act)(void *context);
     /** Request permission to send an order to an engine. @return 0: it may be sent now; > 0: not
      * before this many ms; -1: the grant is pending, ask again soon */
-    int64_t (*ask_order)(const char *engine, void *context);
+    int64_t (*authorize_order)(const char *engine, void *context);
     /** @return models to evict so that `model` fits, owned by the caller; NULL when it can't be
      * made to fit */
     GPtrArray *(*pick_victims)(const wb_engine_state_t *state, const char *model, void *context);
--- a/src/control/engine_orders_late.c
+++ b/src/control/engine_orders_overdue.c
@@ -25,7 +25,8 @@
     estimate_report(orders, orders->order_model, elapsed_ms / OVERDUE_DIVISOR);
 }
 
-void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders, const wb_task_t *task) {
+void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders,
+                                           const wb_engine_task_t *task) {
     const wb_service_t *service =
         orders->owner.service(orders->engine->state->service, orders->owner.context);
     const wb_model_spec_t *spec =
--- a/src/control/engine_orders_state.c
+++ b/src/control/engine_orders_state.c
@@ -4,14 +4,14 @@
 
 gboolean wb_engine_orders_has(const wb_engine_orders_t *orders, const char *model,
                               const char *adapter) {
-    return wb_task_find(&orders->tasks, model, adapter) != NULL;
+    return wb_engine_task_find(&orders->tasks, model, adapter) != NULL;
 }
 
 void wb_engine_orders_each(const wb_engine_orders_t *orders,
                            void (*visit)(const char *model, const char *adapter, void *context),
                            void *context) {
     WB_LIST_EACH(item, &orders->tasks) {
-        const wb_task_t *task = WB_LIST_OF(item, wb_task_t, queued);
+        const wb_engine_task_t *task = WB_LIST_OF(item, wb_engine_task_t, queued);
         visit(task->model, task->adapter, context);
     }
 }
@@ -32,7 +32,7 @@
         return 0;
     }
     WB_LIST_EACH(item, &orders->tasks) {
-        const wb_task_t *task = WB_LIST_OF(item, wb_task_t, queued);
+        const wb_engine_task_t *task = WB_LIST_OF(item, wb_engine_task_t, queued);
         const wb_model_spec_t *spec = g_hash_table_lookup(service->models, task->model);
         gboolean from_weight_store;
         if (spec == NULL || *task->adapter != '\0') {
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -23,7 +23,7 @@
     wb_edge_metrics_t *metrics;
     wb_engine_orders_owner_t owner;
     wb_http_peer_t *peer;
-    wb_list_t tasks;          /* of wb_task_t; the first is under way */
+    wb_list_t tasks;          /* of wb_engine_task_t; the first is under way */
     wb_engine_state_t *state; /* as last read, updated with orders; NULL: must be read */
     gboolean calling;         /* a report or order is under way */
     int64_t call_sent_ms;     /* of the report or order under way, or the last one */
@@ -44,11 +44,12 @@
     int64_t estimate_sent_ms; /* of the last estimate for an overdue load; 0: none was sent */
 };
 
-/* engine_orders_late.c */
+/* engine_orders_overdue.c */
 /** The load under way takes longer than estimated: report a new estimate. */
 void wb_engine_orders_report_load_overdue(wb_engine_orders_t *orders);
 /** The grant for an order takes longer than a decision should, as when the store is slow: report a
  * new estimate for the task's model. The grant takes one write of the lease row, or two. */
-void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders, const wb_task_t *task);
+void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders,
+                                           const wb_engine_task_t *task);
 
 #endif
--- a/src/control/engine_task.c
+++ b/src/control/engine_task.c
@@ -3,32 +3,33 @@
 
 #include <string.h>
 
-wb_task_t *wb_task_create(const char *model, const char *adapter, int64_t now_ms) {
-    wb_task_t *task = g_new0(wb_task_t, 1);
+wb_engine_task_t *wb_engine_task_create(const char *model, const char *adapter, int64_t now_ms) {
+    wb_engine_task_t *task = g_new0(wb_engine_task_t, 1);
     task->model = g_strdup(model);
     task->adapter = g_strdup(adapter);
     task->created_ms = now_ms;
     return task;
 }
 
-void wb_task_free(wb_task_t *task) {
+void wb_engine_task_free(wb_engine_task_t *task) {
     g_free(task->model);
     g_free(task->adapter);
     g_free(task);
 }
 
-wb_task_t *wb_task_first(const wb_list_t *tasks) {
+wb_engine_task_t *wb_engine_task_first(const wb_list_t *tasks) {
     wb_list_item_t *first = wb_list_first(tasks);
-    return first != NULL ? WB_LIST_OF(first, wb_task_t, queued) : NULL;
+    return first != NULL ? WB_LIST_OF(first, wb_engine_task_t, queued) : NULL;
 }
 
-wb_task_t *wb_task_pop(wb_list_t *tasks) {
-    return WB_LIST_OF(wb_list_pop(tasks), wb_task_t, queued);
+wb_engine_task_t *wb_engine_task_pop(wb_list_t *tasks) {
+    return WB_LIST_OF(wb_list_pop(tasks), wb_engine_task_t, queued);
 }
 
-wb_task_t *wb_task_find(const wb_list_t *tasks, const char *model, const char *adapter) {
+wb_engine_task_t *wb_engine_task_find(const wb_list_t *tasks, const char *model,
+                                      const char *adapter) {
     WB_LIST_EACH(item, tasks) {
-        wb_task_t *task = WB_LIST_OF(item, wb_task_t, queued);
+        wb_engine_task_t *task = WB_LIST_OF(item, wb_engine_task_t, queued);
         if (strcmp(task->model, model) == 0 && strcmp(task->adapter, adapter) == 0) {
             return task;
         }
@@ -36,13 +37,13 @@
     return NULL;
 }
 
-void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_is_started) {
+void wb_engine_task_enqueue(wb_list_t *tasks, wb_engine_task_t *task, gboolean first_is_started) {
     const wb_list_item_t *first = wb_list_first(tasks);
     wb_list_item_t *position = &tasks->ring;
     if (*task->adapter != '\0') {
         WB_LIST_EACH(item, tasks) {
             gboolean is_started = item == first && first_is_started;
-            if (!is_started && *WB_LIST_OF(item, wb_task_t, queued)->adapter == '\0') {
+            if (!is_started && *WB_LIST_OF(item, wb_engine_task_t, queued)->adapter == '\0') {
                 position = item;
                 break;
             }
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -76,7 +76,7 @@
     wb_lease_t *lease = g_new0(wb_lease_t, 1);
     lease->settings = *settings;
     lease->version = -1;
-    lease->grants = wb_lease_grants_create(settings->quiet_ms + settings->margin_ms);
+    lease->grants = wb_lease_grants_create(settings->handover_interval_ms + settings->margin_ms);
     lease->takeover_spread_ms = settings->spread_ms;
     lease->takeover_fraction = g_random_double();
     lease->beat = ((uint64_t)g_random_int() << 24) + 1;
@@ -103,7 +103,7 @@
 /* Applies a row that this process has written; it extends the lease from when it was sent. */
 static void own_row_apply(wb_lease_t *lease, int64_t sent_ms) {
     lease->own_token = lease->known.token;
-    wb_lease_grants_written(lease->grants, lease->known.beat);
+    wb_lease_grants_on_written(lease->grants, lease->known.beat);
     if (lease->known.released)
         lease->was_released = TRUE;
     else if (!lease->releasing)
@@ -172,17 +172,18 @@
     const wb_lease_settings_t *settings = &lease->settings;
     gboolean had_holder = lease->known.holder != NULL;
     gboolean engines_listed = lease->known.grants_known && !lease->known.any_granted;
-    lease->predecessor.engines_most = engines_listed ? lease->known.granted_count : G_MAXUINT;
+    lease->predecessor.max_ordered_engines =
+        engines_listed ? lease->known.granted_count : G_MAXUINT;
     wb_lease_grants_begin(
         lease->grants, had_holder ? &lease->known : NULL, is_own(lease, &lease->known),
-        holder_expires_ms(lease) + settings->quiet_ms + settings->margin_ms, now_ms);
+        holder_expires_ms(lease) + settings->handover_interval_ms + settings->margin_ms, now_ms);
 }
 
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease) {
     return lease->version < 0 ? 0 : takeover_at_ms(lease);
 }
 
-int64_t wb_lease_changed_ms(const wb_lease_t *lease) {
+int64_t wb_lease_row_changed_ms(const wb_lease_t *lease) {
     return lease->version_since_ms;
 }
 
@@ -190,7 +191,7 @@
     if (lease->writing || lease->version < 0 || now_ms < lease->retry_at_ms)
         return FALSE;
     if (is_holding(lease))
-        return lease->releasing || wb_lease_grants_is_short(lease->grants) ||
+        return lease->releasing || wb_lease_grants_has_pending(lease->grants) ||
                now_ms - lease->last_write_ms >= lease->settings.renew_ms;
     if (lease->releasing || lease->was_released)
         return FALSE;
@@ -213,7 +214,7 @@
         next.token = MAX(lease->known.token, lease->own_token) + 1;
         takeover_begin(lease, now_ms);
     }
-    wb_lease_grants_write(lease->grants, &next, now_ms);
+    wb_lease_grants_fill_row(lease->grants, &next, now_ms);
     wb_lease_row_copy(&lease->written_row, &next);
     lease->written_expected_version = lease->version;
     lease->written_sent_ms = now_ms;
@@ -249,7 +250,7 @@
     lease->last_write_ms = now_ms - lease->settings.renew_ms;
 }
 
-void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms) {
+void wb_lease_on_write_unknown(wb_lease_t *lease, int64_t now_ms) {
     /* The next attempt has the same condition, so at most one of the two succeeds. The delay starts
      * when the write was sent: after a timeout the next attempt follows immediately, but not when
      * the store resets each connection. */
@@ -257,8 +258,8 @@
     lease->retry_at_ms -= now_ms - lease->written_sent_ms;
 }
 
-int64_t wb_lease_ask_order(wb_lease_t *lease, const char *engine, int64_t now_ms) {
-    return wb_lease_grants_ask(lease->grants, engine, now_ms);
+int64_t wb_lease_authorize_order(wb_lease_t *lease, const char *engine, int64_t now_ms) {
+    return wb_lease_grants_request(lease->grants, engine, now_ms);
 }
 
 int64_t wb_lease_blocked_ms(const wb_lease_t *lease, const char *engine, int64_t now_ms) {
@@ -277,7 +278,7 @@
     return lease->own_token;
 }
 
-const wb_lease_row_t *wb_lease_known(const wb_lease_t *lease) {
+const wb_lease_row_t *wb_lease_known_row(const wb_lease_t *lease) {
     return lease->known.holder != NULL ? &lease->known : NULL;
 }
 
@@ -289,12 +290,12 @@
     return &lease->predecessor;
 }
 
-void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms) {
+void wb_lease_set_takeover_delay(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms) {
     lease->takeover_min_delay_ms = first_ms;
     lease->takeover_spread_ms = spread_ms;
 }
 
-void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms) {
+void wb_lease_on_store_recovered(wb_lease_t *lease, int64_t now_ms) {
     lease->holder_priority_until_ms = now_ms + HOLDER_PRIORITY_RENEWALS * lease->settings.renew_ms;
 }
 
@@ -302,6 +303,6 @@
     lease->releasing = TRUE;
 }
 
-gboolean wb_lease_is_owed(const wb_lease_t *lease) {
+gboolean wb_lease_release_is_pending(const wb_lease_t *lease) {
     return lease->releasing && is_holding(lease);
 }
--- a/src/control/lease_grants.h
+++ b/src/control/lease_grants.h
@@ -19,9 +19,9 @@
 
 typedef struct wb_lease_grants_t wb_lease_grants_t;
 
-/** @param quiet_ms time after its last order for which an engine is listed: the handover interval
- * with all margins */
-wb_lease_grants_t *wb_lease_grants_create(int64_t quiet_ms);
+/** @param handover_interval_ms time after its last order for which an engine is listed: the
+ * handover interval with all margins */
+wb_lease_grants_t *wb_lease_grants_create(int64_t handover_interval_ms);
 void wb_lease_grants_free(wb_lease_grants_t *grants);
 
 /**
@@ -38,17 +38,17 @@
  * @return 0: an order may be sent now; > 0: the engine is blocked for this many ms; -1: the next
  * row must be written first
  */
-int64_t wb_lease_grants_ask(wb_lease_grants_t *grants, const char *engine, int64_t now_ms);
+int64_t wb_lease_grants_request(wb_lease_grants_t *grants, const char *engine, int64_t now_ms);
 /** @return ms for which the engine is blocked, as another holder may have ordered it recently */
 int64_t wb_lease_grants_blocked_ms(const wb_lease_grants_t *grants, const char *engine,
                                    int64_t now_ms);
 /** @return TRUE when a requested engine isn't listed in any row yet */
-gboolean wb_lease_grants_is_short(const wb_lease_grants_t *grants);
+gboolean wb_lease_grants_has_pending(const wb_lease_grants_t *grants);
 
 /** Fill in the engines of a row that is about to be written. The names are owned by the grants and
  * valid until the next call of this function. */
-void wb_lease_grants_write(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms);
+void wb_lease_grants_fill_row(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms);
 /** A row of this node is in the store. @param beat its heartbeat counter */
-void wb_lease_grants_written(wb_lease_grants_t *grants, uint64_t beat);
+void wb_lease_grants_on_written(wb_lease_grants_t *grants, uint64_t beat);
 
 #endif
--- a/src/control/load_pace.c
+++ b/src/control/load_concurrency.c
@@ -1,5 +1,5 @@
 /* Adaptive limit on concurrent loads from the weight store. */
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 
 #include <math.h>
 
@@ -13,23 +13,23 @@
 #define FAST_RATIO 1.25
 #define SLOW_RATIO 1.5
 
-gboolean wb_load_pace_is_late(int64_t nominal_ms) {
+gboolean wb_load_exceeds_client_timeout(int64_t nominal_ms) {
     return nominal_ms > CLIENT_TIMEOUT_MS;
 }
 
-unsigned wb_load_pace_limit(const wb_load_pace_t *concurrency, int64_t nominal_ms) {
+unsigned wb_load_concurrency_limit(const wb_load_concurrency_t *concurrency, int64_t nominal_ms) {
     if (concurrency->limit > 0) {
         return (unsigned)MAX(concurrency->limit, 1);
     }
-    return wb_load_pace_is_late(nominal_ms) ? 1 : (unsigned)INITIAL_LIMIT;
+    return wb_load_exceeds_client_timeout(nominal_ms) ? 1 : (unsigned)INITIAL_LIMIT;
 }
 
-void wb_load_pace_note(wb_load_pace_t *concurrency, unsigned concurrent, int64_t took_ms,
-                       int64_t nominal_ms) {
+void wb_load_concurrency_record(wb_load_concurrency_t *concurrency, unsigned concurrent,
+                                int64_t took_ms, int64_t nominal_ms) {
     if (concurrent == 0 || took_ms <= 0 || nominal_ms <= 0) {
         return;
     }
-    double limit = wb_load_pace_limit(concurrency, nominal_ms);
+    double limit = wb_load_concurrency_limit(concurrency, nominal_ms);
     double slowdown = (double)took_ms / (double)nominal_ms;
     if (slowdown < FAST_RATIO && concurrent >= limit) {
         limit += 1;
--- a/src/control/load_pace.h
+++ b/src/control/load_concurrency.h
@@ -1,5 +1,5 @@
 /**
- * @file load_pace.h
+ * @file load_concurrency.h
  * @brief Adaptive limit on concurrent loads from the weight store.
  *
  * Beyond some number, which the store doesn't report, concurrent loads only slow each other down:
@@ -10,25 +10,25 @@
  *
  * Pure; times are in ms. Nothing here fails.
  */
-#ifndef WICKBRIDGE_LOAD_PACE_H
-#define WICKBRIDGE_LOAD_PACE_H
+#ifndef WICKBRIDGE_LOAD_CONCURRENCY_H
+#define WICKBRIDGE_LOAD_CONCURRENCY_H
 
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct wb_load_pace_t {
+typedef struct wb_load_concurrency_t {
     double limit; /**< 0: no load has ended yet */
-} wb_load_pace_t;
+} wb_load_concurrency_t;
 
 /** @return TRUE when a load of this time outlasts the timeouts of nearly all clients that wait for
  * it */
-gboolean wb_load_pace_is_late(int64_t nominal_ms);
+gboolean wb_load_exceeds_client_timeout(int64_t nominal_ms);
 
 /**
  * @param nominal_ms time of a load without other loads
  * @return maximum number of loads under way; at least 1
  */
-unsigned wb_load_pace_limit(const wb_load_pace_t *concurrency, int64_t nominal_ms);
+unsigned wb_load_concurrency_limit(const wb_load_concurrency_t *concurrency, int64_t nominal_ms);
 
 /**
  * Record a load that has ended.
@@ -36,7 +36,7 @@
  * @param took_ms    time from its order until it was seen to be complete
  * @param nominal_ms time of a load without other loads
  */
-void wb_load_pace_note(wb_load_pace_t *concurrency, unsigned concurrent, int64_t took_ms,
-                       int64_t nominal_ms);
+void wb_load_concurrency_record(wb_load_concurrency_t *concurrency, unsigned concurrent,
+                                int64_t took_ms, int64_t nominal_ms);
 
 #endif
--- a/src/control/load_faults.c
+++ b/src/control/load_faults.c
@@ -26,8 +26,8 @@
     return g_strjoin("/", service, model, NULL);
 }
 
-guint wb_load_faults_crashed(wb_load_faults_t *faults, const char *service, const char *model,
-                             int64_t now_ms) {
+guint wb_load_faults_record_crash(wb_load_faults_t *faults, const char *service, const char *model,
+                                  int64_t now_ms) {
     g_autofree char *key = model_key(service, model);
     wb_load_fault_t *crashes = g_hash_table_lookup(faults->models, key);
     if (crashes == NULL) {
@@ -35,15 +35,16 @@
         g_hash_table_insert(faults->models, g_steal_pointer(&key), crashes);
     }
     crashes->count++;
-    if (crashes->count >= WB_LOAD_FAULTS_MOST) {
-        crashes->backoff_ms =
-            CLAMP(2 * crashes->backoff_ms, WB_LOAD_FAULTS_PAUSE_MS, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
+    if (crashes->count >= WB_LOAD_FAULTS_MAX_CRASHES) {
+        crashes->backoff_ms = CLAMP(2 * crashes->backoff_ms, WB_LOAD_FAULTS_BACKOFF_MIN_MS,
+                                    WB_LOAD_FAULTS_BACKOFF_MAX_MS);
         crashes->until_ms = now_ms + crashes->backoff_ms;
     }
     return crashes->count;
 }
 
-void wb_load_faults_loaded(wb_load_faults_t *faults, const char *service, const char *model) {
+void wb_load_faults_record_success(wb_load_faults_t *faults, const char *service,
+                                   const char *model) {
     if (!wb_load_faults_any(faults)) {
         return;
     }
@@ -55,8 +56,8 @@
     return g_hash_table_size(faults->models) > 0;
 }
 
-int64_t wb_load_faults_paused_ms(const wb_load_faults_t *faults, const char *service,
-                                 const char *model, int64_t now_ms) {
+int64_t wb_load_faults_backoff_ms(const wb_load_faults_t *faults, const char *service,
+                                  const char *model, int64_t now_ms) {
     if (!wb_load_faults_any(faults)) {
         return 0;
     }
--- a/src/control/load_queue.c
+++ b/src/control/load_queue.c
@@ -1,7 +1,7 @@
 /* Order and time estimates of the loads of missing models. */
 #include "control/load_queue.h"
 
-gint wb_load_queue_order(gconstpointer left, gconstpointer right) {
+gint wb_load_queue_compare(gconstpointer left, gconstpointer right) {
     const wb_missing_model_t *a = left;
     const wb_missing_model_t *b = right;
     if (a->missed_requests != b->missed_requests) {
--- a/src/control/load_queue.h
+++ b/src/control/load_queue.h
@@ -24,7 +24,7 @@
 } wb_missing_model_t;
 
 /** GCompareFunc for g_array_sort: most missed requests first, then least time left. */
-gint wb_load_queue_order(gconstpointer left, gconstpointer right);
+gint wb_load_queue_compare(gconstpointer left, gconstpointer right);
 
 /**
  * Estimate when a model that waits for the weight store will be loaded.
--- a/src/control/load_window.c
+++ b/src/control/load_window.c
@@ -31,8 +31,8 @@
     window->max_burst_loads = MAX((unsigned)max_burst_loads, 1);
 }
 
-void wb_load_window_assume(wb_load_window_t *window, unsigned reported, unsigned max_unreported,
-                           int64_t until_ms) {
+void wb_load_window_add_predecessor(wb_load_window_t *window, unsigned reported,
+                                    unsigned max_unreported, int64_t until_ms) {
     window->predecessor_loads =
         MIN(reported + MIN(window->max_burst_loads, max_unreported), window->max_loads);
     window->predecessor_until_ms = until_ms;
@@ -48,20 +48,20 @@
     return counted;
 }
 
-unsigned wb_load_window_counted(const wb_load_window_t *window, int64_t now_ms) {
+unsigned wb_load_window_used(const wb_load_window_t *window, int64_t now_ms) {
     gboolean counts_predecessor = window->predecessor_until_ms > now_ms - window->window_ms;
     return counted_since(window, now_ms - window->window_ms) +
            (counts_predecessor ? window->predecessor_loads : 0);
 }
 
-gboolean wb_load_window_has_room(const wb_load_window_t *window, int64_t now_ms) {
+gboolean wb_load_window_allows(const wb_load_window_t *window, int64_t now_ms) {
     if (window->max_loads == 0)
         return TRUE;
-    return wb_load_window_counted(window, now_ms) < window->max_loads &&
+    return wb_load_window_used(window, now_ms) < window->max_loads &&
            counted_since(window, now_ms - window->burst_ms) < window->max_burst_loads;
 }
 
-void wb_load_window_count(wb_load_window_t *window, int64_t now_ms) {
+void wb_load_window_record(wb_load_window_t *window, int64_t now_ms) {
     while (window->started_ms->len > 0 &&
            g_array_index(window->started_ms, int64_t, 0) <= now_ms - window->window_ms)
         g_array_remove_index(window->started_ms, 0);
--- a/src/control/load_window.h
+++ b/src/control/load_window.h
@@ -24,13 +24,13 @@
  * to by itself.
  * @param max_unreported maximum number of loads that it can have started without reporting them
  */
-void wb_load_window_assume(wb_load_window_t *window, unsigned reported, unsigned max_unreported,
-                           int64_t until_ms);
+void wb_load_window_add_predecessor(wb_load_window_t *window, unsigned reported,
+                                    unsigned max_unreported, int64_t until_ms);
 /** @return loads in the current window, those of the previous lease holder included */
-unsigned wb_load_window_counted(const wb_load_window_t *window, int64_t now_ms);
+unsigned wb_load_window_used(const wb_load_window_t *window, int64_t now_ms);
 /** @return TRUE when one more load may start now */
-gboolean wb_load_window_has_room(const wb_load_window_t *window, int64_t now_ms);
+gboolean wb_load_window_allows(const wb_load_window_t *window, int64_t now_ms);
 /** Record the start of a load. */
-void wb_load_window_count(wb_load_window_t *window, int64_t now_ms);
+void wb_load_window_record(wb_load_window_t *window, int64_t now_ms);
 
 #endif
--- a/src/control/placement.c
+++ b/src/control/placement.c
@@ -136,7 +136,8 @@
 }
 
 /* Mean queueing delay of a model's requests when this many engines share them. */
-static double delay_ms(const wb_model_use_t *use, double engines, const wb_engine_power_t *power) {
+static double delay_ms(const wb_model_use_t *use, double engines,
+                       const wb_engine_capacity_t *power) {
     return prefill_delay_ms(use, engines, power->tokens_per_ms) +
            slots_delay_ms(use, engines, power->slots);
 }
@@ -316,7 +317,7 @@
 static double running_cost_ms(const wb_placement_snapshot_t *snapshot, const wb_model_use_t *use,
                               double speed) {
     double rate = use->rate_per_s / (use->replicas + use->loading_replicas + 1);
-    double excess_rate = rate - snapshot->place_rate_per_s;
+    double excess_rate = rate - snapshot->replica_rate_per_s;
     double own_ms = use->replicas > 0 ? run_ms(use) : 0;
     return excess_rate * HORIZON_S * own_ms * (1 / speed_or_baseline(speed) - 1);
 }
@@ -327,7 +328,7 @@
     wb_placement_engine_t *best = NULL;
     guint len = snapshot->engines->len;
     guint evaluated = 0;
-    for (guint i = 0; i < len && evaluated < WB_PLACES_JUDGED; i++) {
+    for (guint i = 0; i < len && evaluated < WB_PLACEMENT_MAX_CANDIDATES; i++) {
         wb_placement_engine_t *candidate =
             &g_array_index(snapshot->engines, wb_placement_engine_t, (snapshot->first + i) % len);
         if (!candidate->available || candidate->overloaded ||
@@ -338,7 +339,7 @@
         double victims_ms;
         gboolean from_store;
         double load_ms = wb_placement_load_ms(model, candidate->state, &from_store);
-        if (from_store && snapshot->store_room == 0)
+        if (from_store && snapshot->store_loads_allowed == 0)
             continue;
         evaluated++;
         if (!additional_eviction_cost(snapshot, candidate, model, &victims_ms))
@@ -355,20 +356,21 @@
     return best;
 }
 
-unsigned wb_placement_wanted(const wb_model_use_t *use, const wb_engine_power_t *power) {
+unsigned wb_placement_wanted_replicas(const wb_model_use_t *use,
+                                      const wb_engine_capacity_t *power) {
     double work = MAX(use->work_per_s, use->recent_work_per_s);
     double by_work = work / (power->tokens_per_ms * 1000.0 * PREFILL_SHARE);
     double by_slots = power->slots > 0 ? use->running / (SLOT_SHARE * power->slots) : 0;
     return (unsigned)ceil(MAX(by_work, by_slots));
 }
 
-double wb_placement_speed(const wb_model_use_t *use) {
+double wb_placement_total_speed(const wb_model_use_t *use) {
     double held = use->speed > 0 ? use->speed : use->replicas;
     double loading = use->loading_speed > 0 ? use->loading_speed : use->loading_replicas;
     return held + loading;
 }
 
-double wb_placement_fastest(const wb_placement_snapshot_t *snapshot) {
+double wb_placement_max_speed(const wb_placement_snapshot_t *snapshot) {
     double fastest = 0;
     for (guint i = 0; i < snapshot->engines->len; i++) {
         const wb_placement_engine_t *candidate =
@@ -378,15 +380,15 @@
     return fastest;
 }
 
-gboolean wb_placement_is_slow(const wb_model_use_t *use, double fastest) {
+gboolean wb_placement_engines_are_slow(const wb_model_use_t *use, double fastest) {
     unsigned engines = use->replicas + use->loading_replicas;
-    return engines > 0 && wb_placement_speed(use) / engines < SLOW_SPEED_RATIO * fastest;
+    return engines > 0 && wb_placement_total_speed(use) / engines < SLOW_SPEED_RATIO * fastest;
 }
 
-double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_power_t *power,
+double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                             double speed) {
     double engines = MAX(use->replicas + use->loading_replicas, 1);
-    double speed_now = MAX(wb_placement_speed(use), 0.1);
+    double speed_now = MAX(wb_placement_total_speed(use), 0.1);
     double speed_then = speed_now + speed_or_baseline(speed);
     double saved_ms = delay_ms(use, speed_now, power) - delay_ms(use, speed_then, power);
     saved_ms +=
@@ -394,10 +396,10 @@
     return use->rate_per_s * HORIZON_S * saved_ms;
 }
 
-double wb_placement_store_price_ms(const wb_model_spec_t *model) {
+double wb_placement_store_load_cost_ms(const wb_model_spec_t *model) {
     return LOAD_COST_SHARE * (double)model->store_load_ms;
 }
 
-double wb_placement_load_price_ms(const wb_model_spec_t *model, const wb_engine_state_t *state) {
+double wb_placement_load_cost_ms(const wb_model_spec_t *model, const wb_engine_state_t *state) {
     return LOAD_COST_SHARE * wb_placement_load_ms(model, state, NULL);
 }
--- a/src/control/placement.h
+++ b/src/control/placement.h
@@ -49,31 +49,31 @@
 } wb_placement_engine_t;
 
 /** Capacity of one engine. */
-typedef struct wb_engine_power_t {
+typedef struct wb_engine_capacity_t {
     double tokens_per_ms; /**< prompt tokens processed in a millisecond */
     unsigned slots;       /**< requests that it runs concurrently; 0: unknown */
-} wb_engine_power_t;
+} wb_engine_capacity_t;
 
 /** Engines evaluated for one placement. In a larger fleet a placement evaluates this many from a
  * random one on, to bound the time of a decision; the best of 512 is among the best 0.6 % of all
  * with a probability of 95 %. */
-#define WB_PLACES_JUDGED 512
+#define WB_PLACEMENT_MAX_CANDIDATES 512
 
 /** @return TRUE when an engine is loading a model or has been ordered to */
-typedef gboolean (*wb_placement_loading_fn)(const wb_engine_t *engine, const char *model,
-                                            void *context);
+typedef gboolean (*wb_placement_is_loading_fn)(const wb_engine_t *engine, const char *model,
+                                               void *context);
 
 /** The input of one placement decision for one service. */
 typedef struct wb_placement_snapshot_t {
     const wb_service_t *service;
-    GArray *engines;                    /**< of wb_placement_engine_t */
-    guint first;                        /**< index of the engine that an evaluation starts at */
-    GHashTable *uses;                   /**< model -> wb_model_use_t */
-    wb_engine_power_t power;            /**< capacity of an engine of speed 1 */
-    double place_rate_per_s;            /**< requests per replica, on average over all models */
-    unsigned store_room;                /**< loads from the weight store that may start now */
-    wb_placement_loading_fn is_loading; /**< NULL: no engine is loading */
-    void *context;                      /**< of is_loading */
+    GArray *engines;                       /**< of wb_placement_engine_t */
+    guint first;                           /**< index of the engine that an evaluation starts at */
+    GHashTable *uses;                      /**< model -> wb_model_use_t */
+    wb_engine_capacity_t power;            /**< capacity of an engine of speed 1 */
+    double replica_rate_per_s;             /**< requests per replica, on average over all models */
+    unsigned store_loads_allowed;          /**< loads from the weight store that may start now */
+    wb_placement_is_loading_fn is_loading; /**< NULL: no engine is loading */
+    void *context;                         /**< of is_loading */
 } wb_placement_snapshot_t;
 
 /** @return MB that an engine's models and adapters take, including adapters being loaded */
@@ -113,20 +113,20 @@
                                            double *victim_cost_ms);
 
 /** @return baseline engines that a model's prompt tokens and running requests call for */
-unsigned wb_placement_wanted(const wb_model_use_t *use, const wb_engine_power_t *power);
+unsigned wb_placement_wanted_replicas(const wb_model_use_t *use, const wb_engine_capacity_t *power);
 
 /** @return total speed of the engines that hold or load a model */
-double wb_placement_speed(const wb_model_use_t *use);
+double wb_placement_total_speed(const wb_model_use_t *use);
 
 /** @return speed of the service's fastest available engine */
-double wb_placement_fastest(const wb_placement_snapshot_t *snapshot);
+double wb_placement_max_speed(const wb_placement_snapshot_t *snapshot);
 
 /**
  * Check whether a model's engines are so much slower on average than the fastest that one more,
  * fast engine may be worth its load even if their capacity suffices.
- * @param fastest as returned by wb_placement_fastest
+ * @param fastest as returned by wb_placement_max_speed
  */
-gboolean wb_placement_is_slow(const wb_model_use_t *use, double fastest);
+gboolean wb_placement_engines_are_slow(const wb_model_use_t *use, double fastest);
 
 /**
  * Estimate what one more engine of the given speed would save a model's requests, in waiting and in
@@ -135,13 +135,13 @@
  * queue, which grows without bound as utilization approaches 1; the delay for a slot is
  * Sakasegawa's approximation for a multi-server queue (1977).
  */
-double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_power_t *power,
+double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                             double speed);
 
-/** As wb_placement_load_price_ms, for a load from the weight store. */
-double wb_placement_store_price_ms(const wb_model_spec_t *model);
+/** As wb_placement_load_cost_ms, for a load from the weight store. */
+double wb_placement_store_load_cost_ms(const wb_model_spec_t *model);
 
 /** @return cost of a load to other requests, without that of evictions */
-double wb_placement_load_price_ms(const wb_model_spec_t *model, const wb_engine_state_t *state);
+double wb_placement_load_cost_ms(const wb_model_spec_t *model, const wb_engine_state_t *state);
 
 #endif
--- a/src/control/table_watch.c
+++ b/src/control/table_watch.c
@@ -38,7 +38,7 @@
     wb_loop_t *loop;
     wb_table_t *table;
     wb_table_name_t name;
-    wb_table_pace_t settings;
+    wb_table_watch_intervals_t settings;
     wb_table_watch_events_t events;
     wb_watch_state_t state;
     unsigned max_rows;       /* 0: no limit */
@@ -181,8 +181,8 @@
     if (watch->peer_known_ms == 0 || watch->retry_ms != 0)
         return due;
     int64_t safety_ms = (int64_t)((double)watch->settings.safety_ms * watch->jitter);
-    int64_t fresh_until_ms =
-        MIN(watch->peer_known_ms + watch->settings.trust_ms, watch->called_ms + safety_ms);
+    int64_t fresh_until_ms = MIN(watch->peer_known_ms + watch->settings.peer_read_valid_ms,
+                                 watch->called_ms + safety_ms);
     return MAX(due, fresh_until_ms);
 }
 
@@ -204,8 +204,8 @@
     watch->state = WB_WATCH_FOLLOWING;
     watch->events.on_batch(TRUE, watch->events.context);
     /* An empty table isn't trusted, as it is probably about to be filled. */
-    int64_t trust_ms = watch->newest_row > 0 ? watch->settings.read_trust_ms : 0;
-    int64_t read_fresh_until_ms = watch->read_started_ms + trust_ms;
+    int64_t peer_read_valid_ms = watch->newest_row > 0 ? watch->settings.full_read_valid_ms : 0;
+    int64_t read_fresh_until_ms = watch->read_started_ms + peer_read_valid_ms;
     call_after(watch, MAX(next_call_ms(watch), read_fresh_until_ms) - wb_clock_ms());
 }
 
@@ -233,7 +233,7 @@
 static void too_large_begin(wb_table_watch_t *watch) {
     read_begin(watch); /* drops the rows of a read under way */
     watch->state = WB_WATCH_TOO_LARGE;
-    watch->events.on_large(watch->events.context);
+    watch->events.on_row_limit(watch->events.context);
 }
 
 static void page_answered(const wb_table_answer_t *answer, void *context) {
@@ -274,8 +274,8 @@
     wb_table_watch_t *watch = context;
     watch->calling = FALSE;
     call_report(watch,
-                answer->outcome == WB_TABLE_DONE || answer->outcome == WB_TABLE_HISTORY_GONE);
-    if (answer->outcome == WB_TABLE_HISTORY_GONE) {
+                answer->outcome == WB_TABLE_DONE || answer->outcome == WB_TABLE_HISTORY_EXPIRED);
+    if (answer->outcome == WB_TABLE_HISTORY_EXPIRED) {
         read_begin(watch);
         call_after(watch, REREAD_DELAY_MS);
         return;
@@ -311,16 +311,16 @@
 /* Returns why a call is made now, after the one started at called_ms. */
 static wb_store_cause_t cause_of(const wb_table_watch_t *watch, int64_t now_ms) {
     if (watch->state == WB_WATCH_READING)
-        return WB_STORE_CAUSE_READ;
+        return WB_STORE_CAUSE_FULL_READ;
     if (watch->retry_ms != 0)
         return WB_STORE_CAUSE_RETRY;
     if (watch->peer_known_ms == 0)
-        return WB_STORE_CAUSE_PACE;
+        return WB_STORE_CAUSE_POLL;
     if (watch->behind_since_ms != 0)
-        return WB_STORE_CAUSE_LOOK;
-    if (now_ms >= watch->peer_known_ms + watch->settings.trust_ms)
-        return WB_STORE_CAUSE_LAPSED;
-    return now_ms < next_call_ms(watch) ? WB_STORE_CAUSE_HURRY : WB_STORE_CAUSE_SAFETY;
+        return WB_STORE_CAUSE_CHANGE;
+    if (now_ms >= watch->peer_known_ms + watch->settings.peer_read_valid_ms)
+        return WB_STORE_CAUSE_STALE;
+    return now_ms < next_call_ms(watch) ? WB_STORE_CAUSE_EXPEDITED : WB_STORE_CAUSE_SAFETY;
 }
 
 static void watch_call(void *context) {
@@ -333,7 +333,7 @@
     if (watch->state == WB_WATCH_FOLLOWING) {
         /* Checks and retries need an immediate response, even if nothing has changed. */
         gboolean immediately =
-            watch->cause == WB_STORE_CAUSE_LOOK || watch->cause == WB_STORE_CAUSE_RETRY;
+            watch->cause == WB_STORE_CAUSE_CHANGE || watch->cause == WB_STORE_CAUSE_RETRY;
         int64_t wait_ms = immediately ? 0 : watch->settings.wait_ms;
         watch->table->changes(watch->table, watch->name, watch->version, wait_ms, changes_answered,
                               watch);
@@ -347,7 +347,7 @@
 }
 
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
-                                        const wb_table_pace_t *settings,
+                                        const wb_table_watch_intervals_t *settings,
                                         const wb_table_watch_events_t *events) {
     wb_table_watch_t *watch = g_new0(wb_table_watch_t, 1);
     watch->loop = loop;
@@ -365,11 +365,11 @@
     return watch;
 }
 
-void wb_table_watch_limit(wb_table_watch_t *watch, unsigned rows) {
+void wb_table_watch_set_row_limit(wb_table_watch_t *watch, unsigned rows) {
     watch->max_rows = rows;
 }
 
-void wb_table_watch_go_on(wb_table_watch_t *watch) {
+void wb_table_watch_read_all(wb_table_watch_t *watch) {
     if (watch->state == WB_WATCH_TOO_LARGE || watch->state == WB_WATCH_PEERS_ONLY) {
         watch->max_rows = 0;
         watch->reports_all = TRUE;
@@ -378,7 +378,7 @@
     }
 }
 
-void wb_table_watch_follow_part(wb_table_watch_t *watch) {
+void wb_table_watch_follow_subset(wb_table_watch_t *watch) {
     g_assert(watch->state == WB_WATCH_TOO_LARGE);
     read_begin(watch);
     g_hash_table_remove_all(watch->versions);
@@ -386,7 +386,7 @@
     watch->synced = TRUE;
 }
 
-void wb_table_watch_hurry(wb_table_watch_t *watch) {
+void wb_table_watch_expedite(wb_table_watch_t *watch) {
     watch->expedited = TRUE;
     if (watch->calling || watch->state != WB_WATCH_FOLLOWING || watch->timer == NULL ||
         watch->retry_ms != 0)
@@ -395,7 +395,7 @@
     call_after(watch, watch->called_ms + EXPEDITED_INTERVAL_MS - wb_clock_ms());
 }
 
-void wb_table_watch_wake(wb_table_watch_t *watch) {
+void wb_table_watch_retry_now(wb_table_watch_t *watch) {
     if (watch->retry_ms == 0 || watch->calling || watch->timer == NULL)
         return;
     watch->retry_ms = RETRY_MS;
@@ -409,19 +409,20 @@
         call_after(watch, next_call_ms(watch) - wb_clock_ms());
 }
 
-void wb_table_watch_set_pace(wb_table_watch_t *watch, const wb_table_pace_t *settings) {
+void wb_table_watch_set_intervals(wb_table_watch_t *watch,
+                                  const wb_table_watch_intervals_t *settings) {
     if (memcmp(&watch->settings, settings, sizeof(*settings)) == 0)
         return;
     watch->settings = *settings;
     call_reschedule(watch);
 }
 
-void wb_table_watch_take(wb_table_watch_t *watch, const wb_table_row_t *row) {
+void wb_table_watch_apply_row(wb_table_watch_t *watch, const wb_table_row_t *row) {
     if (watch->synced && row_apply(watch, row))
         watch->events.on_batch(FALSE, watch->events.context);
 }
 
-void wb_table_watch_vouch(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms) {
+void wb_table_watch_note_peer_read(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms) {
     if (newest_row > MAX(watch->newest_row, watch->peer_newest_row))
         watch->behind_since_ms = wb_clock_ms();
     watch->peer_newest_row = MAX(watch->peer_newest_row, newest_row);
@@ -429,7 +430,7 @@
     call_reschedule(watch);
 }
 
-void wb_table_watch_look(wb_table_watch_t *watch) {
+void wb_table_watch_poll_soon(wb_table_watch_t *watch) {
     watch->behind_since_ms = wb_clock_ms();
     call_reschedule(watch);
 }
--- a/src/directory/engine_subset.h
+++ b/src/directory/engine_subset.h
@@ -17,14 +17,14 @@
 #include "wickbridge/fleet.h"
 
 /** Maximum length of the list: enough to choose well among, and cheap to choose from. */
-#define WB_ENGINE_SUBSET_MOST 64
+#define WB_ENGINE_SUBSET_MAX 64
 
 /**
  * @param engines the service's engines, from wb_fleet_service; NULL: none
  * @param model   "" for any engine of the service
  * @param zone    of the requesting gateway
  * @param now_ms  monotonic time
- * @return at most WB_ENGINE_SUBSET_MOST borrowed wb_engine_t that hold the model and may get work;
+ * @return at most WB_ENGINE_SUBSET_MAX borrowed wb_engine_t that hold the model and may get work;
  * the array is to be freed with g_ptr_array_unref
  */
 GPtrArray *wb_engine_subset(const GPtrArray *engines, const char *model, const char *zone,
--- a/src/directory/table_readers.h
+++ b/src/directory/table_readers.h
@@ -37,6 +37,7 @@
  * @param failed set of ids of readers that were unreachable recently; NULL: none
  * @return id of the reader, owned by `readers`; NULL: there is none
  */
-const char *wb_table_readers_relay(const GArray *readers, const char *own, GHashTable *failed);
+const char *wb_table_readers_choose_relay(const GArray *readers, const char *own,
+                                          GHashTable *failed);
 
 #endif
--- a/src/dispatch/admission.c
+++ b/src/dispatch/admission.c
@@ -11,9 +11,9 @@
 #define RETRY_MIN_MS 500
 #define RETRY_MAX_MS 8000
 
-double wb_admission_refusal_chance(const wb_choice_request_t *request,
-                                   const wb_choice_estimate_t *estimate, int priority,
-                                   double client_timeout_ms) {
+double wb_admission_refusal_probability(const wb_choice_request_t *request,
+                                        const wb_choice_estimate_t *estimate, int priority,
+                                        double client_timeout_ms) {
     if (!request->has_prompt || request->target_ms <= 0) {
         return 0;
     }
--- a/src/dispatch/admission.h
+++ b/src/dispatch/admission.h
@@ -27,9 +27,9 @@
  * @param client_timeout_ms time from the request's arrival after which the client gives up
  * @return probability of a refusal, 0 to 1
  */
-double wb_admission_refusal_chance(const wb_choice_request_t *request,
-                                   const wb_choice_estimate_t *estimate, int priority,
-                                   double client_timeout_ms);
+double wb_admission_refusal_probability(const wb_choice_request_t *request,
+                                        const wb_choice_estimate_t *estimate, int priority,
+                                        double client_timeout_ms);
 
 /** @return Retry-After in ms: time until the backlog is within the target, within fixed bounds */
 int64_t wb_admission_retry_ms(const wb_choice_request_t *request,
--- a/src/dispatch/engine_choice.c
+++ b/src/dispatch/engine_choice.c
@@ -76,7 +76,7 @@
 wb_choice_estimate_t wb_choice_estimate(const wb_choice_setup_t *setup,
                                         const wb_choice_request_t *request,
                                         const wb_choice_engine_t *engine) {
-    double slot_ms = setup->by_pace ? FULL_BATCH_MS / MAX(engine->slots, 1) : 0;
+    double slot_ms = setup->use_pace ? FULL_BATCH_MS / MAX(engine->slots, 1) : 0;
     wb_choice_estimate_t estimate = {.cost_ms = occupancy_ms(engine) + engine->penalty_ms,
                                      .spread_ms = spread_ms(engine, slot_ms)};
     if (!request->has_prompt) {
@@ -84,12 +84,12 @@
     }
     double token_ms = engine->pace / setup->tokens_per_ms;
     double step_ms = setup->step_ms * engine->pace;
-    double prefill_ms = engine->unread_tokens * token_ms;
+    double prefill_ms = engine->uncached_tokens * token_ms;
     estimate.wait_ms = wait_ms(setup, engine);
     estimate.first_ms = request->wait_scale * estimate.wait_ms + prefill_ms + step_ms;
-    estimate.pause_ms = setup->event_tokens * (step_ms + setup->piece_tokens * token_ms);
+    estimate.pause_ms = setup->event_tokens * (step_ms + setup->chunk_tokens * token_ms);
     estimate.cost_ms += estimate.first_ms;
-    if (!setup->by_pace) {
+    if (!setup->use_pace) {
         return estimate;
     }
     double stream_ms = request->out_tokens * step_ms;
--- a/src/dispatch/engine_choice.h
+++ b/src/dispatch/engine_choice.h
@@ -25,15 +25,15 @@
 
 /** Expected share of the prompt tokens sent to an engine that aren't in its prefix cache, where the
  * sender doesn't know what the engine has cached. */
-#define WB_UNREAD_SHARE 0.66
+#define WB_UNCACHED_SHARE 0.66
 
 /** Properties of a service's engines at baseline pace. */
 typedef struct wb_choice_setup_t {
     double tokens_per_ms; /**< prefill speed */
     double step_ms;       /**< duration of a decoding step, in which each stream gets a token */
-    double piece_tokens;  /**< max prompt tokens that one step prefills */
+    double chunk_tokens;  /**< max prompt tokens that one step prefills */
     double event_tokens;  /**< tokens of one event of a stream */
-    gboolean by_pace;     /**< consider engine paces and streams; FALSE: all engines count alike */
+    gboolean use_pace;    /**< consider engine paces and streams; FALSE: all engines count alike */
 } wb_choice_setup_t;
 
 /** A request to be sent. */
@@ -48,16 +48,16 @@
 
 /** An eligible engine. */
 typedef struct wb_choice_engine_t {
-    double pace;           /**< current slowdown relative to baseline: 2 takes twice as long */
-    double slots;          /**< requests that can run at once */
-    double running;        /**< requests running and waiting, by this gateway's own count. Counts
-                              shared between gateways are half a second old and the same for all:
-                              all gateways would choose the same engine until the next update */
-    double unread_tokens;  /**< tokens of this prompt that aren't in the engine's prefix cache */
-    double backlog_tokens; /**< prompt tokens sent by this node and not known to be prefilled */
-    double backlog_ms;     /**< time to prefill the backlog of all nodes */
-    double reading_share;  /**< share of its time spent on prefill, with the load of all nodes */
-    double penalty_ms;     /**< cost of failures, another zone, draining; added to the estimate */
+    double pace;            /**< current slowdown relative to baseline: 2 takes twice as long */
+    double slots;           /**< requests that can run at once */
+    double running;         /**< requests running and waiting, by this gateway's own count. Counts
+                               shared between gateways are half a second old and the same for all:
+                               all gateways would choose the same engine until the next update */
+    double uncached_tokens; /**< tokens of this prompt that aren't in the engine's prefix cache */
+    double backlog_tokens;  /**< prompt tokens sent by this node and not known to be prefilled */
+    double backlog_ms;      /**< time to prefill the backlog of all nodes */
+    double reading_share;   /**< share of its time spent on prefill, with the load of all nodes */
+    double penalty_ms;      /**< cost of failures, another zone, draining; added to the estimate */
 } wb_choice_engine_t;
 
 /** Prediction for a request at an engine. */
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_limiter.c
@@ -1,11 +1,11 @@
 /* Sliding-window rate limiter for requests to an engine, and rendezvous hashing. */
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-int64_t wb_send_gate_opens_ms(const wb_send_gate_t *limiter, unsigned share, int64_t window_ms,
-                              unsigned ahead, int64_t now_ms) {
+int64_t wb_send_limiter_next_ms(const wb_send_limiter_t *limiter, unsigned share, int64_t window_ms,
+                                unsigned ahead, int64_t now_ms) {
     if (share == 0) {
         return G_MAXINT64;
     }
@@ -20,7 +20,7 @@
     return next_ms + (int64_t)(ahead / share) * window_ms;
 }
 
-void wb_send_gate_note(wb_send_gate_t *limiter, int64_t window_ms, int64_t now_ms) {
+void wb_send_limiter_record(wb_send_limiter_t *limiter, int64_t window_ms, int64_t now_ms) {
     if (limiter->sent_ms == NULL) {
         limiter->sent_ms = g_array_new(FALSE, FALSE, sizeof(int64_t));
     }
@@ -31,14 +31,14 @@
     g_array_append_val(limiter->sent_ms, now_ms);
 }
 
-void wb_send_gate_clear(wb_send_gate_t *limiter) {
+void wb_send_limiter_clear(wb_send_limiter_t *limiter) {
     if (limiter->sent_ms != NULL) {
         g_array_unref(limiter->sent_ms);
     }
     limiter->sent_ms = NULL;
 }
 
-unsigned wb_dealt_share(unsigned units, unsigned nodes, unsigned rank) {
+unsigned wb_rendezvous_share(unsigned units, unsigned nodes, unsigned rank) {
     return nodes > 0 ? units / nodes + (rank < units % nodes) : 0;
 }
 
@@ -46,7 +46,7 @@
     return XXH64(node, strlen(node), seed);
 }
 
-unsigned wb_dealt_rank(const char *subject, const char *own, GHashTable *nodes) {
+unsigned wb_rendezvous_rank(const char *subject, const char *own, GHashTable *nodes) {
     uint64_t seed = XXH64(subject, strlen(subject), 0);
     uint64_t own_hash = rendezvous_hash(own, seed);
     unsigned preceding = 0;
--- a/src/dispatch/told_state.c
+++ b/src/dispatch/state_headers.c
@@ -1,5 +1,5 @@
 /* Parser of the engine state headers. */
-#include "dispatch/told_state.h"
+#include "dispatch/state_headers.h"
 
 #include <string.h>
 
@@ -31,16 +31,17 @@
     return *end == '\0' && *number <= max;
 }
 
-static void parse_limit(const wb_http_head_t *head, const char *name, wb_told_state_t *state) {
+static void parse_limit(const wb_http_head_t *head, const char *name, wb_state_headers_t *state) {
     const char *text = NULL;
     unsigned count = count_header(head, name, &text);
-    state->limit_named = count > 0;
-    state->limit_known =
-        count == 1 && parse_number(text, WB_TOLD_LIMIT_MOST_PER_S, &state->limit_per_s);
-    state->refused += state->limit_named && !state->limit_known;
+    state->limit_present = count > 0;
+    state->limit_valid =
+        count == 1 && parse_number(text, WB_STATE_MAX_LIMIT_PER_S, &state->limit_per_s);
+    state->refused += state->limit_present && !state->limit_valid;
 }
 
-static void parse_draining(const wb_http_head_t *head, const char *name, wb_told_state_t *state) {
+static void parse_draining(const wb_http_head_t *head, const char *name,
+                           wb_state_headers_t *state) {
     const char *text = NULL;
     unsigned count = count_header(head, name, &text);
     if (count == 0) {
@@ -50,24 +51,24 @@
     state->refused += count > 1 || (strcmp(text, "1") != 0 && strcmp(text, "0") != 0);
 }
 
-static void parse_backoff(const wb_http_head_t *head, wb_told_state_t *state) {
+static void parse_backoff(const wb_http_head_t *head, wb_state_headers_t *state) {
     const char *text = NULL;
     unsigned count = count_header(head, RETRY_AFTER, &text);
     double backoff_s;
     if (head->status != UNAVAILABLE_STATUS || count == 0) {
         return;
     }
-    if (count == 1 && parse_number(text, (double)WB_TOLD_REST_MOST_MS / 1000, &backoff_s)) {
+    if (count == 1 && parse_number(text, (double)WB_STATE_MAX_BACKOFF_MS / 1000, &backoff_s)) {
         state->rest_ms = (int64_t)(backoff_s * 1000);
     } else {
         state->refused++;
     }
 }
 
-wb_told_state_t wb_told_state_read(const wb_http_head_t *head, const wb_dialect_t *dialect) {
-    wb_told_state_t state = {0};
+wb_state_headers_t wb_state_headers_parse(const wb_http_head_t *head, const wb_dialect_t *dialect) {
+    wb_state_headers_t state = {0};
     parse_limit(head, dialect->engine_limit, &state);
-    parse_draining(head, dialect->engine_leaving, &state);
+    parse_draining(head, dialect->engine_draining, &state);
     parse_backoff(head, &state);
     return state;
 }
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -18,8 +18,8 @@
 
 #include "control/controller.h"
 
-#include "pace/pace_book.h"
-#include "quota/quota_book.h"
+#include "pace/pace_aggregate.h"
+#include "quota/quota_ledger.h"
 
 #include "wickbridge/lease.h"
 #include "wickbridge/link.h"
@@ -31,7 +31,7 @@
     int64_t version;
     char *address;           /* for links from other nodes; NULL: not in the row */
     double processor_share;  /* in cores; 0: not in the row */
-    unsigned format_version; /* newest WB_WIRE_FORM that the node reads */
+    unsigned format_version; /* newest WB_WIRE_FORMAT_VERSION that the node reads */
 } wb_node_row_t;
 
 typedef struct wb_announcement_t wb_announcement_t;
@@ -88,7 +88,7 @@
     wb_link_listener_t *link_listener;
     wb_link_counters_t link_counters;
     GHashTable *gateways;      /* wb_link_t -> wb_gateway_t: links that other nodes opened */
-    GArray *placements;        /* of wb_wire_placement_entry, queued in node_tell.c */
+    GArray *placements;        /* of wb_wire_placement_entry, queued in node_broadcast.c */
     GArray *placement_starts;  /* of uint64_t: start times of their engines; 0: not known */
     uint64_t placements_token; /* lease token under which they were decided */
     wb_timer_t *placements_timer;
@@ -97,7 +97,7 @@
     int64_t digest_polled_ms;  /* when a differing digest last made this node poll the store */
     int64_t share_ticked_ms;   /* time of the previous tick; 0: none */
     unsigned share_nodes;      /* nodes that the retry slack is divided among; 0: no share now */
-    wb_quota_book_t *quota_book;
+    wb_quota_ledger_t *quota_book;
     uint64_t quota_token;  /* of the lease under which this node is the aggregator; 0: it isn't */
     GByteArray *quota_row; /* the shares last sent, as encoded for the lease row */
     int64_t quota_row_until_ms; /* when shares read from the lease row expire; 0: none in force */
@@ -105,7 +105,7 @@
     int64_t quota_logged_ms;
     int64_t quota_received_ms; /* when shares were last received */
     int64_t quota_reported_ms; /* when use was last reported, to this or another node */
-    wb_pace_book_t *pace_book;
+    wb_pace_aggregate_t *pace_book;
     gboolean pace_aggregator; /* as of the last tick */
     int64_t pace_logged_ms;
     int64_t pace_sent_ms;         /* when this node last sent engine loads */
@@ -120,7 +120,7 @@
     gboolean demand_sent; /* the last demand message was not empty */
     int64_t demand_sent_ms;
     int64_t link_opened_ms;
-    /* Store updates from the holder to gateways: node_news.c. */
+    /* Store updates from the holder to gateways: node_store_updates.c. */
     GArray *update_rows; /* of wb_wire_table_row, not sent yet */
     gsize update_bytes;
     gboolean update_overflow; /* too many bytes to send: gateways poll the store instead */
@@ -169,7 +169,7 @@
 
 /* node_directory.c */
 wb_directory_t *wb_edge_node_directory_create(wb_edge_node_t *node);
-/** As wb_table_watch_events_t.on_large for engines. @param context the node */
+/** As wb_table_watch_events_t.on_row_limit for engines. @param context the node */
 void wb_edge_node_directory_on_large(void *context);
 /** Select the readers of a large table; as a subscriber, keep a link to a relay. */
 void wb_edge_node_tick_directory(wb_edge_node_t *node, int64_t now_ms);
@@ -195,7 +195,7 @@
 void wb_edge_node_relay_row(wb_edge_node_t *node, const wb_table_row_t *row);
 /** Add to a gateway's subscription and send it the rows. */
 void wb_edge_node_relay_subscribe(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
-                                  const wb_wire_engines_want *want);
+                                  const wb_wire_engine_subscribe *want);
 /** Send subscribers the queued changes, or an empty message as a heartbeat. */
 void wb_edge_node_tick_relay(wb_edge_node_t *node, int64_t now_ms);
 
@@ -234,7 +234,7 @@
 void wb_edge_node_tick_lease(wb_edge_node_t *node, int64_t now_ms);
 /** @return TRUE while the lease is held at this moment. @param context the node */
 gboolean wb_edge_node_may_act(void *context);
-/** As wb_lease_ask_order. @param context the node */
+/** As wb_lease_authorize_order. @param context the node */
 int64_t wb_edge_node_authorize_order(const char *engine, void *context);
 /** As wb_lease_blocked_ms. @param context the node */
 int64_t wb_edge_node_blocked_ms(const char *engine, void *context);
@@ -302,7 +302,7 @@
 /** Read the entries from the lease row. */
 void wb_edge_node_poison_read(wb_edge_node_t *node, XDR *stream);
 
-/* node_states.c */
+/* node_engine_states.c */
 /** Send changed engine-reported state to the aggregator, or from it to all gateways. */
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms);
 /** Merge engine-reported state received from another node. */
@@ -310,7 +310,7 @@
 /** An engine reported new state in its response to the controller. @param context the node */
 void wb_edge_node_engine_reported(wb_engine_t *engine, void *context);
 
-/* node_tell.c */
+/* node_broadcast.c */
 /** Send a message to all gateways of format version 2 or later. */
 void wb_edge_node_broadcast_v2(wb_edge_node_t *node, const wb_wire_message *message);
 /** Send a message to all gateways. Placement messages are batched for some ms; the order of
@@ -341,7 +341,8 @@
 /** Send demand, quota use and engine use to the controller, or apply them here if it is this node.
  */
 void wb_edge_node_send_demand(wb_edge_node_t *node);
-/** As wb_edge_t.on_need. Demand is sent once per loop round, after its requests were read.
+/** As wb_edge_t.on_pending_demand. Demand is sent once per loop round, after its requests were
+ * read.
  * @param context the node */
 void wb_edge_node_demand_pending(void *context);
 /** Keep one link to the node that the lease row names, unless it is this node. */
@@ -353,14 +354,15 @@
 /** As wb_edge_t.controller_view. @param context the node */
 wb_controller_view_t wb_edge_node_controller_view(void *context);
 
-/* node_news.c */
+/* node_store_updates.c */
 /* A gateway that received no store update for so long polls the store itself. */
 #define WB_UPDATE_LIFE_MS 1200
 /** @return the watch of a table; NULL: there is none
  * @param table a wb_table_name_t, possibly from a message and out of range */
 wb_table_watch_t *wb_edge_node_watch(const wb_edge_node_t *node, unsigned table);
 /** @return how often this node polls a table, which depends on whether it holds the lease */
-wb_table_pace_t wb_edge_node_poll_policy(const wb_edge_node_t *node, wb_table_name_t table);
+wb_table_watch_intervals_t wb_edge_node_poll_policy(const wb_edge_node_t *node,
+                                                    wb_table_name_t table);
 /** Set the poll policies of all tables, after the lease, the settings or the store's availability
  * changed. */
 void wb_edge_node_set_poll_policies(wb_edge_node_t *node);
@@ -374,9 +376,9 @@
 /** As the lease holder, send the store update when it is due. */
 void wb_edge_node_tick_updates(wb_edge_node_t *node, int64_t now_ms);
 /** Apply a store update from the lease holder. */
-void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_news *update);
+void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_update *update);
 /** Apply the lease row of a store update, from a holder that this node has no link to yet. */
-void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *update);
+void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_update *update);
 /** @return TRUE while store updates arrive in time, or this node holds the lease */
 gboolean wb_edge_node_has_recent_updates(const wb_edge_node_t *node);
 
--- a/src/edge/node_tell.c
+++ b/src/edge/node_broadcast.c
@@ -23,7 +23,7 @@
     gpointer gateway;
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, &link, &gateway)) {
-        const GByteArray *encoded = wb_link_form(link) >= 2 ? with_extensions : frame;
+        const GByteArray *encoded = wb_link_format_version(link) >= 2 ? with_extensions : frame;
         if (((const wb_gateway_t *)gateway)->subscription != NULL || encoded == NULL)
             continue; /* a subscription link: that gateway has another link for updates */
         if (wb_link_unsent(link) > UNSENT_MAX_BYTES)
@@ -46,15 +46,15 @@
 
 /* @param extensions NULL: none */
 static void message_send(wb_edge_node_t *node, const wb_wire_message *message,
-                         const wb_wire_parts *extensions) {
+                         const wb_wire_extensions *extensions) {
     g_autoptr(GByteArray) frame = g_byte_array_new();
     g_autoptr(GByteArray) with_extensions = g_byte_array_new();
     wb_error_t error;
     if (g_hash_table_size(node->gateways) == 0)
         return;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS ||
-        (extensions != NULL &&
-         wb_message_encode_parts(message, extensions, with_extensions, &error) != APR_SUCCESS)) {
+        (extensions != NULL && wb_message_encode_with_extensions(
+                                   message, extensions, with_extensions, &error) != APR_SUCCESS)) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
                  wb_message_kind_name(message->kind), wb_event_text(error.message));
         return;
@@ -80,12 +80,13 @@
     placement->token = node->placements_token;
     placement->entries.entries_len = node->placements->len;
     placement->entries.entries_val = (wb_wire_placement_entry *)(void *)node->placements->data;
-    wb_wire_parts extensions = {0};
+    wb_wire_extensions extensions = {0};
     wb_wire_starts starts = {
         {node->placement_starts->len, (uint64_t *)(void *)node->placement_starts->data}};
-    wb_parts_add(&extensions, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+    wb_extensions_add(&extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+                      &starts);
     message_send(node, &message, &extensions);
-    wb_parts_clear(&extensions);
+    wb_extensions_clear(&extensions);
     g_array_set_size(node->placement_starts, 0);
     g_array_set_size(node->placements, 0);
 }
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -24,7 +24,7 @@
 void wb_edge_node_check_lease(wb_edge_node_t *node) {
     gboolean held = wb_lease_is_held(node->lease, wb_clock_ms());
     uint64_t token = wb_lease_token(node->lease);
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (held != node->lease_held) {
         node->lease_held = held;
         wb_edge_node_set_poll_policies(node);
@@ -36,16 +36,16 @@
             node->edge.metrics.lease_takeovers++;
             /* Until now the previous holder's reads were enough; placement decisions need this
              * node's own. */
-            wb_table_watch_look(node->engines_watch);
-            wb_table_watch_look(node->catalog_watch);
+            wb_table_watch_poll_soon(node->engines_watch);
+            wb_table_watch_poll_soon(node->catalog_watch);
         }
     }
     /* A lapsed lease stops orders at once. The controller's view of the engines stays valid until
      * another node has held the lease. */
     if (held)
-        wb_controller_set_token(node->controller, token, wb_lease_predecessor(node->lease));
+        wb_controller_set_lease(node->controller, token, wb_lease_predecessor(node->lease));
     else if (known != NULL && known->token != token)
-        wb_controller_set_token(node->controller, 0, NULL);
+        wb_controller_set_lease(node->controller, 0, NULL);
 }
 
 static void lease_write_done(const wb_table_answer_t *answer, void *context) {
@@ -56,7 +56,7 @@
         wb_lease_on_written(node->lease, answer->version, now_ms);
         break;
     case WB_TABLE_UNKNOWN:
-        wb_lease_on_unknown(node->lease, now_ms);
+        wb_lease_on_write_unknown(node->lease, now_ms);
         break;
     default:
         wb_lease_on_not_written(node->lease, now_ms);
@@ -107,15 +107,16 @@
 
 /* Writes the format version of this build. Returns bytes written; 0: it doesn't fit. */
 static u_int extensions_write(char *bytes, u_int room) {
-    wb_wire_parts extensions = {0};
-    wb_wire_writer writer = {WB_WIRE_FORM};
+    wb_wire_extensions extensions = {0};
+    wb_wire_writer writer = {WB_WIRE_FORMAT_VERSION};
     XDR stream;
-    wb_parts_add(&extensions, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+    wb_extensions_add(&extensions, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer,
+                      &writer);
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
-    gboolean encoded = xdr_wb_wire_parts(&stream, &extensions);
+    gboolean encoded = xdr_wb_wire_extensions(&stream, &extensions);
     u_int length = encoded ? xdr_getpos(&stream) : 0;
     xdr_destroy(&stream);
-    wb_parts_clear(&extensions);
+    wb_extensions_clear(&extensions);
     return length;
 }
 
@@ -158,7 +159,7 @@
 /* Don't take over before the store has answered a read that began after the holder's last update:
  * if the store is unavailable, the holder has lost it as well. */
 static gboolean store_confirmed_since_update(const wb_edge_node_t *node) {
-    return wb_lease_is_own(node->lease) || wb_lease_known(node->lease) == NULL ||
+    return wb_lease_is_own(node->lease) || wb_lease_known_row(node->lease) == NULL ||
            wb_table_watch_known_ms(node->nodes_watch) >= node->update_received_ms;
 }
 
@@ -180,8 +181,8 @@
     }
     gboolean strong = own >= STRONG_PROCESSOR_RATIO * strongest;
     int64_t candidates = strong ? strong_count : (int64_t)node->edge.node_count;
-    wb_lease_set_spread(node->lease, strong ? 0 : TAKEOVER_WEAK_DELAY_MS,
-                        MAX(TAKEOVER_SPREAD_MS, TAKEOVER_GAP_MS * candidates));
+    wb_lease_set_takeover_delay(node->lease, strong ? 0 : TAKEOVER_WEAK_DELAY_MS,
+                                MAX(TAKEOVER_SPREAD_MS, TAKEOVER_GAP_MS * candidates));
 }
 
 void wb_edge_node_tick_lease(wb_edge_node_t *node, int64_t now_ms) {
@@ -205,7 +206,7 @@
 int64_t wb_edge_node_authorize_order(const char *engine, void *context) {
     wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
-    int64_t wait_ms = wb_lease_ask_order(node->lease, engine, now_ms);
+    int64_t wait_ms = wb_lease_authorize_order(node->lease, engine, now_ms);
     if (wait_ms < 0) {
         /* The engine may be ordered only once the row names it, so write the row without waiting
          * for the next tick. */
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -21,9 +21,9 @@
     if (born_ms == engine->state->born_ms) {
         return TRUE;
     }
-    node->edge.metrics.news_of_other_starts++;
+    node->edge.metrics.updates_of_other_starts++;
     if (born_ms > engine->state->born_ms) {
-        wb_table_watch_look(node->engines_watch);
+        wb_table_watch_poll_soon(node->engines_watch);
     }
     return FALSE;
 }
@@ -33,13 +33,14 @@
     wb_edge_t *edge = &node->edge;
     int64_t row_after_ms = 2 * edge->settings.engine_heartbeat_ms;
     if (entry->ready_in_ms > 0) {
-        wb_exchanges_expect(edge, engine->state->service, entry->model, entry->ready_in_ms);
+        wb_exchanges_expect_model(edge, engine->state->service, entry->model, entry->ready_in_ms);
         return;
     }
     if (entry->held)
-        wb_exchanges_no_longer_expect(edge, engine->state->service, entry->model);
-    wb_engine_note(engine, entry->model, entry->adapter, entry->held, wb_clock_ms(), row_after_ms,
-                   row_after_ms + (int64_t)(edge->settings.store_look_s * 1000));
+        wb_exchanges_model_loaded(edge, engine->state->service, entry->model);
+    wb_engine_apply_placement(engine, entry->model, entry->adapter, entry->held, wb_clock_ms(),
+                              row_after_ms,
+                              row_after_ms + (int64_t)(edge->settings.store_look_s * 1000));
     wb_event("placement-news", ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
              wb_event_text(entry->engine), wb_event_text(entry->model),
              wb_event_text(entry->adapter), entry->held ? "true" : "false");
@@ -48,18 +49,19 @@
 /* Applies a placement update. @param extensions of its message; NULL: it comes from this
  * node's own controller */
 static void placements_take(wb_edge_node_t *node, const wb_wire_placement *placement,
-                            const wb_wire_parts *extensions) {
+                            const wb_wire_extensions *extensions) {
     wb_edge_t *edge = &node->edge;
     wb_wire_starts starts = {{0, NULL}};
     if (extensions != NULL) {
-        wb_parts_read(extensions, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+        wb_extensions_read(extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+                           &starts);
     }
     for (guint i = 0; i < placement->entries.entries_len; i++) {
         const wb_wire_placement_entry *entry = &placement->entries.entries_val[i];
         wb_engine_t *engine = wb_fleet_find(edge->fleet, entry->engine);
         if (engine == NULL) {
             if (!wb_edge_node_directory_placement(node, entry)) {
-                wb_table_watch_look(node->engines_watch);
+                wb_table_watch_poll_soon(node->engines_watch);
             }
             continue;
         }
@@ -75,7 +77,7 @@
 static void load_plan_take(wb_edge_node_t *node, const wb_wire_load_plan *plan) {
     for (guint i = 0; i < plan->entries.entries_len; i++) {
         const wb_wire_load_plan_entry *entry = &plan->entries.entries_val[i];
-        wb_exchanges_expect(&node->edge, plan->service, entry->model, entry->ready_in_ms);
+        wb_exchanges_expect_model(&node->edge, plan->service, entry->model, entry->ready_in_ms);
     }
 }
 
@@ -99,7 +101,7 @@
     wb_wire_message message = {.kind = WB_WIRE_HELLO};
     message.wb_wire_message_u.hello = (wb_wire_hello){.cluster = EDGE_CLUSTER,
                                                       .node = (char *)node->edge.settings.id,
-                                                      .incarnation = WB_WIRE_FORM,
+                                                      .incarnation = WB_WIRE_FORMAT_VERSION,
                                                       .address = "",
                                                       .zone = ""};
     wb_link_send(link, &message);
@@ -107,7 +109,8 @@
 
 void wb_edge_node_handshake_take(wb_link_t *link, const wb_wire_hello *hello) {
     if (strcmp(hello->cluster, EDGE_CLUSTER) == 0) {
-        wb_link_set_form(link, (unsigned)CLAMP(hello->incarnation, 1, WB_WIRE_FORM));
+        wb_link_set_format_version(link,
+                                   (unsigned)CLAMP(hello->incarnation, 1, WB_WIRE_FORMAT_VERSION));
     }
 }
 
@@ -124,11 +127,11 @@
     wb_edge_node_t *node = context;
     if (message->kind == WB_WIRE_HELLO)
         wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
-    if (message->kind == WB_WIRE_ENGINES_WANT)
+    if (message->kind == WB_WIRE_ENGINE_SUBSCRIBE)
         wb_edge_node_relay_subscribe(node, link, g_hash_table_lookup(node->gateways, link),
-                                     &message->wb_wire_message_u.engines_want);
-    if (message->kind == WB_WIRE_STORE_NEWS)
-        wb_edge_node_take_announcement(node, &message->wb_wire_message_u.store_news);
+                                     &message->wb_wire_message_u.engine_subscribe);
+    if (message->kind == WB_WIRE_STORE_UPDATE)
+        wb_edge_node_take_announcement(node, &message->wb_wire_message_u.store_update);
     if (message->kind == WB_WIRE_POISON)
         wb_edge_node_poison_take(node, &message->wb_wire_message_u.poison);
     if (message->kind == WB_WIRE_ENGINE_STATES)
@@ -141,7 +144,7 @@
         gateway->name = g_strdup(demand->node);
     gateway->received_ms = wb_clock_ms();
     gateway->unresponsive = FALSE;
-    wb_controller_take_demand(node->controller, demand);
+    wb_controller_on_demand(node->controller, demand);
     wb_edge_node_quota_take_report(node, demand);
     wb_edge_node_pace_take_report(node, demand);
 }
@@ -162,7 +165,7 @@
     if (!to_self && !node->controller_link_open)
         return;
     wb_wire_message message;
-    wb_demand_message(node->edge.demand, node->edge.fleet, node->edge.settings.id, &message);
+    wb_demand_build_message(node->edge.demand, node->edge.fleet, node->edge.settings.id, &message);
     wb_wire_demand *demand = &message.wb_wire_message_u.demand;
     gboolean report_due = wb_edge_node_quota_report_due(node, wb_clock_ms());
     wb_edge_node_quota_report(node, demand);
@@ -177,7 +180,7 @@
     node->demand_sent = !empty;
     node->quota_reported_ms = node->demand_sent_ms;
     if (to_self) {
-        wb_controller_take_demand(node->controller, demand);
+        wb_controller_on_demand(node->controller, demand);
         wb_edge_node_quota_take_report(node, demand);
         wb_edge_node_pace_take_report(node, demand);
     } else
@@ -205,7 +208,7 @@
     node->demand_sent = TRUE;
     node->states_sent = FALSE;
     node->link_opened_ms = wb_clock_ms();
-    wb_quota_gate_set_reached(node->edge.quota, TRUE);
+    wb_quota_limiter_set_connected(node->edge.quota, TRUE);
     wb_event("controller-reached", ",\"address\":\"%s\"", node->controller_address);
     wb_edge_node_pace_link_open(node);
     wb_edge_node_send_demand(node);
@@ -216,7 +219,7 @@
     if (message->kind == WB_WIRE_HELLO)
         wb_edge_node_handshake_take(link, &message->wb_wire_message_u.hello);
     else if (message->kind == WB_WIRE_PLACEMENT)
-        placements_take(context, &message->wb_wire_message_u.placement, wb_link_parts(link));
+        placements_take(context, &message->wb_wire_message_u.placement, wb_link_extensions(link));
     else if (message->kind == WB_WIRE_LOAD_PLAN)
         load_plan_take(context, &message->wb_wire_message_u.load_plan);
     else if (message->kind == WB_WIRE_POISON)
@@ -227,8 +230,8 @@
         wb_edge_node_pace_take_loads(context, &message->wb_wire_message_u.engine_loads);
     else if (message->kind == WB_WIRE_ENGINE_STATES)
         wb_edge_node_states_take(context, &message->wb_wire_message_u.engine_states);
-    else if (message->kind == WB_WIRE_STORE_NEWS)
-        wb_edge_node_take_update(context, &message->wb_wire_message_u.store_news);
+    else if (message->kind == WB_WIRE_STORE_UPDATE)
+        wb_edge_node_take_update(context, &message->wb_wire_message_u.store_update);
 }
 
 static void controller_close(wb_link_t *link, const char *reason, void *context) {
@@ -239,7 +242,7 @@
     node->controller_link = NULL;
     /* The holder's last lease update may have been lost with the link. */
     if (node->controller_link_open)
-        wb_table_watch_look(node->nodes_watch);
+        wb_table_watch_poll_soon(node->nodes_watch);
     node->controller_link_open = FALSE;
     node->link_retry_ms = wb_clock_ms() + LINK_RETRY_MS;
 }
@@ -256,7 +259,7 @@
 }
 
 void wb_edge_node_tick_link(wb_edge_node_t *node, int64_t now_ms) {
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     gboolean wanted =
         known != NULL && !known->released && strcmp(known->holder, node->edge.settings.id) != 0;
     if (node->controller_link != NULL &&
--- a/src/edge/node_poison.c
+++ b/src/edge/node_poison.c
@@ -1,7 +1,7 @@
 /* Poison requests (those that crash engines): shares them between nodes and keeps them over
  * restarts.
  * A node that sees an engine crash under a request sends the entry to the aggregator. That sends
- * entries of WB_POISON_TOLD_ENGINES engines and more to all gateways, and the lease holder appends
+ * entries of WB_POISON_SYNC_ENGINES engines and more to all gateways, and the lease holder appends
  * them to the lease row: they survive the loss of all nodes, at no additional store call, as the
  * lease is renewed anyway. A new aggregator receives all entries from every gateway, so none are
  * lost while the store is unavailable.
@@ -43,7 +43,7 @@
 static wb_wire_poison entries_collect(const wb_edge_node_t *node, uint64_t since,
                                       guint min_engines) {
     int64_t now_ms = wb_clock_ms();
-    const wb_list_t *entries = wb_poison_book_entries(node->edge.poison);
+    const wb_list_t *entries = wb_poison_registry_entries(node->edge.poison);
     wb_wire_poison wire = {{0, calloc(MAX(entries->len, 1), sizeof(wb_wire_poison_entry))}};
     WB_LIST_EACH(item, entries) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
@@ -69,9 +69,9 @@
 
 /* Sends the changes since the last call: to all gateways, or to the aggregator. */
 static void changes_send(wb_edge_node_t *node) {
-    uint64_t version = wb_poison_book_version(node->edge.poison);
+    uint64_t version = wb_poison_registry_version(node->edge.poison);
     if (wb_edge_node_is_aggregator(node)) {
-        entries_send(node, NULL, node->poison_sent_version, WB_POISON_TOLD_ENGINES);
+        entries_send(node, NULL, node->poison_sent_version, WB_POISON_SYNC_ENGINES);
     } else if (node->controller_link_open) {
         entries_send(node, node->controller_link, node->poison_sent_version, 1);
     } else {
@@ -91,7 +91,7 @@
 
 void wb_edge_node_poison_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
     if (wb_edge_node_is_aggregator(node)) {
-        entries_send(node, link, 0, WB_POISON_TOLD_ENGINES);
+        entries_send(node, link, 0, WB_POISON_SYNC_ENGINES);
     }
 }
 
@@ -102,7 +102,7 @@
         changes_send(node);
     }
     node->poison_aggregator = aggregator;
-    node->edge.tries_poison = aggregator;
+    node->edge.runs_poison_trials = aggregator;
 }
 
 /* Returns TRUE when an entry was new or changed. */
@@ -110,7 +110,7 @@
     gboolean changed = FALSE;
     for (guint i = 0; i < poison->entries.entries_len; i++) {
         wb_poison_entry_t entry = entry_from_wire(&poison->entries.entries_val[i], now_ms);
-        changed = wb_poison_book_merge(node->edge.poison, &entry) || changed;
+        changed = wb_poison_registry_merge(node->edge.poison, &entry) || changed;
     }
     return changed;
 }
@@ -119,10 +119,11 @@
  */
 static gboolean served_clear(wb_edge_node_t *node, int64_t now_ms) {
     gboolean cleared = FALSE;
-    WB_LIST_EACH(item, wb_poison_book_entries(node->edge.poison)) {
+    WB_LIST_EACH(item, wb_poison_registry_entries(node->edge.poison)) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
         if (wb_served_set_has(node->edge.served, &entry->digest, now_ms)) {
-            cleared = wb_poison_book_forgive(node->edge.poison, &entry->digest) || cleared;
+            cleared =
+                wb_poison_registry_clear_crashes(node->edge.poison, &entry->digest) || cleared;
         }
     }
     return cleared;
@@ -138,13 +139,13 @@
         changes_send(node);
     } else if (node->controller_link_open) {
         /* The aggregator has just sent these entries. */
-        node->poison_sent_version = wb_poison_book_version(node->edge.poison);
+        node->poison_sent_version = wb_poison_registry_version(node->edge.poison);
     }
     wb_exchanges_refuse_poison(&node->edge);
 }
 
 u_int wb_edge_node_poison_write(const wb_edge_node_t *node, char *bytes, u_int room) {
-    wb_wire_poison wire = entries_collect(node, 0, WB_POISON_TOLD_ENGINES);
+    wb_wire_poison wire = entries_collect(node, 0, WB_POISON_SYNC_ENGINES);
     XDR stream;
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
     gboolean encoded = xdr_wb_wire_poison(&stream, &wire);
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -1,5 +1,5 @@
 /* Cluster-wide limits of tenants: exchange of use and shares between gateways and the aggregator.
- * The aggregator maintains the ledger (quota_book.h). It is the node that the lease row names,
+ * The aggregator maintains the ledger (quota_ledger.h). It is the node that the lease row names,
  * since every gateway has a link to it; it need not hold the lease at the moment, so limits stay in
  * force while the store is unavailable.
  * Times are in ms; shares are sent in millionths. Malformed shares in the lease row are logged and
@@ -22,7 +22,7 @@
 
 /* Returns the token of the lease if its row names this node, or 0. */
 static uint64_t own_token(const wb_edge_node_t *node) {
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (known == NULL || known->released || strcmp(known->holder, node->edge.settings.id) != 0) {
         return 0;
     }
@@ -30,15 +30,15 @@
 }
 
 void wb_edge_node_quota_set_limits(wb_edge_node_t *node) {
-    wb_quota_book_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
+    wb_quota_ledger_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
 }
 
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand) {
-    GArray *uses = wb_quota_gate_take_uses(node->edge.quota);
+    GArray *uses = wb_quota_limiter_take_usage(node->edge.quota);
     demand->tenants.tenants_len = uses->len;
     demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_use));
     for (guint i = 0; i < uses->len; i++) {
-        const wb_quota_use_t *use = &g_array_index(uses, wb_quota_use_t, i);
+        const wb_quota_usage_t *use = &g_array_index(uses, wb_quota_usage_t, i);
         demand->tenants.tenants_val[i] =
             (wb_wire_tenant_use){strdup(use->tenant), use->kind, (u_int)use->requests,
                                  (uint64_t)use->asked, (int64_t)use->admitted};
@@ -48,18 +48,18 @@
 
 void wb_edge_node_quota_take_report(wb_edge_node_t *node, const wb_wire_demand *demand) {
     int64_t now_ms = wb_clock_ms();
-    wb_quota_book_node_reached(node->quota_book, demand->node);
+    wb_quota_ledger_node_connected(node->quota_book, demand->node);
     for (guint i = 0; i < demand->tenants.tenants_len; i++) {
         const wb_wire_tenant_use *wire = &demand->tenants.tenants_val[i];
-        wb_quota_use_t use = {wire->tenant, wire->kind, (double)wire->asked, (double)wire->requests,
-                              (double)wire->admitted};
-        wb_quota_book_report(node->quota_book, demand->node, &use, now_ms);
+        wb_quota_usage_t use = {wire->tenant, wire->kind, (double)wire->asked,
+                                (double)wire->requests, (double)wire->admitted};
+        wb_quota_ledger_report(node->quota_book, demand->node, &use, now_ms);
     }
 }
 
 void wb_edge_node_quota_gateway_lost(wb_edge_node_t *node, const wb_gateway_t *gateway) {
     if (gateway != NULL && gateway->name != NULL) {
-        wb_quota_book_node_lost(node->quota_book, gateway->name, wb_clock_ms());
+        wb_quota_ledger_node_lost(node->quota_book, gateway->name, wb_clock_ms());
     }
 }
 
@@ -94,8 +94,8 @@
             (wb_quota_share_t){entry->tenant, entry->kind, entry->share_ppm / PARTS_PER_MILLION};
     }
     node->quota_received_ms = wb_clock_ms();
-    wb_quota_gate_tell(node->edge.quota, shares, quota->tenants.tenants_len,
-                       node->quota_received_ms);
+    wb_quota_limiter_set_shares(node->edge.quota, shares, quota->tenants.tenants_len,
+                                node->quota_received_ms);
 }
 
 /* Logs the shares of throttled tenants and the values behind them, at most once per interval. */
@@ -106,7 +106,7 @@
     for (guint i = 0; i < shares->len; i++) {
         const wb_quota_share_t *share = &g_array_index(shares, wb_quota_share_t, i);
         wb_quota_state_t state = {0};
-        wb_quota_book_state(node->quota_book, share->tenant, now_ms, &state);
+        wb_quota_ledger_state(node->quota_book, share->tenant, now_ms, &state);
         node->quota_logged_ms = now_ms;
         wb_event("quota-share",
                  ",\"tenant\":\"%s\",\"kind\":\"%08x\",\"share\":%.3f,\"level\":%.0f,\"asked_per_"
@@ -168,7 +168,7 @@
     node->quota_row_until_ms = 0;
     if (!received_since) {
         g_byte_array_set_size(node->quota_row, 0);
-        wb_quota_gate_tell(node->edge.quota, NULL, 0, now_ms);
+        wb_quota_limiter_set_shares(node->edge.quota, NULL, 0, now_ms);
     }
 }
 
@@ -202,10 +202,10 @@
 static void ledger_reset(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer id;
-    wb_quota_book_clear(node->quota_book, now_ms);
+    wb_quota_ledger_clear(node->quota_book, now_ms);
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        wb_quota_book_expect(node->quota_book, id, now_ms);
+        wb_quota_ledger_expect_node(node->quota_book, id, now_ms);
     }
 }
 
@@ -216,14 +216,14 @@
         node->quota_token = token;
         ledger_reset(node, now_ms);
     }
-    wb_quota_gate_set_reached(node->edge.quota, ledger_is_reachable(node, now_ms));
+    wb_quota_limiter_set_connected(node->edge.quota, ledger_is_reachable(node, now_ms));
     if (token == 0 || !has_tenants(node)) {
         return;
     }
     unresponsive_check(node, now_ms);
-    wb_quota_book_set_sole(node->quota_book, node->lease_held);
+    wb_quota_ledger_set_sole(node->quota_book, node->lease_held);
     gboolean changed;
-    const GArray *shares = wb_quota_book_shares(node->quota_book, now_ms, &changed);
+    const GArray *shares = wb_quota_ledger_shares(node->quota_book, now_ms, &changed);
     /* A lease holder need not send unchanged shares: its store updates show that it is reachable.
      */
     gboolean due = !node->lease_held && now_ms - node->quota_sent_ms >= SEND_INTERVAL_MAX_MS;
--- a/src/edge/node_reach.c
+++ b/src/edge/node_reach.c
@@ -28,7 +28,7 @@
  * from before the link was lost may be read a little later and doesn't count. */
 static gboolean unreached_holder_renews(const wb_edge_node_t *node) {
     int64_t renewal_ms = node->edge.settings.lease_renew_ms;
-    return wb_lease_changed_ms(node->lease) >
+    return wb_lease_row_changed_ms(node->lease) >
            node->unreached_since_ms + UNREACHED_GRACE_MS + renewal_ms;
 }
 
@@ -50,20 +50,20 @@
     int64_t now_ms = wb_clock_ms();
     if (wb_edge_node_has_recent_updates(node) || node->unreached_since_ms == 0 ||
         now_ms - node->unreached_since_ms < UNREACHED_GRACE_MS) {
-        return (wb_controller_view_t){WB_CONTROLLER_REACHED, 0};
+        return (wb_controller_view_t){WB_CONTROLLER_REACHABLE, 0};
     }
     /* The holder is connected but may not send orders: the store is unavailable for it too, so no
      * other node is better. */
     gboolean store_unreachable = store_is_unreachable(node);
     if (node->controller_link_open && store_unreachable) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, STORE_UNAVAILABLE_RETRY_MS};
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHABLE, STORE_UNAVAILABLE_RETRY_MS};
     }
     int64_t takeover_ms = wb_lease_takeover_at_ms(node->lease);
     gboolean overdue = takeover_ms != 0 && now_ms > takeover_ms + TAKEOVER_OVERDUE_MS;
     if (store_unreachable || overdue || unreached_holder_renews(node)) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, OTHER_NODE_RETRY_MS};
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHABLE, OTHER_NODE_RETRY_MS};
     }
-    return (wb_controller_view_t){WB_CONTROLLER_AWAITED,
+    return (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING,
                                   MAX(takeover_ms - now_ms, 0) + TAKEOVER_SLACK_MS};
 }
 
@@ -76,7 +76,7 @@
         return;
     }
     node->late_update_ms = node->update_received_ms;
-    wb_table_watch_look(node->nodes_watch);
+    wb_table_watch_poll_soon(node->nodes_watch);
 }
 
 void wb_edge_node_tick_reach(wb_edge_node_t *node, int64_t now_ms) {
@@ -85,10 +85,10 @@
         node->controller_link_open && now_ms - node->link_opened_ms < WB_UPDATE_LIFE_MS;
     if (wb_edge_node_has_recent_updates(node) || just_opened) {
         node->unreached_since_ms = 0;
-        node->reach_notified = WB_CONTROLLER_REACHED;
+        node->reach_notified = WB_CONTROLLER_REACHABLE;
         return;
     }
-    const wb_lease_row_t *lease = wb_lease_known(node->lease);
+    const wb_lease_row_t *lease = wb_lease_known_row(node->lease);
     uint64_t token = lease != NULL ? lease->token : 0;
     if (node->unreached_since_ms == 0 || node->unreached_token != token) {
         /* A new holder gets its own time to become reachable. */
@@ -100,11 +100,11 @@
         return;
     }
     node->reach_notified = view.reach;
-    wb_exchanges_reconsider(&node->edge);
-    if (view.reach == WB_CONTROLLER_REACHED) {
+    wb_exchanges_update_waits(&node->edge);
+    if (view.reach == WB_CONTROLLER_REACHABLE) {
         return; /* a new holder was found and may be reachable soon */
     }
     wb_event("controller-missing", ",\"for_ms\":%lld,\"reach\":\"%s\",\"expected_in_ms\":%lld",
              (long long)(now_ms - node->unreached_since_ms), reach_name(view.reach),
-             (long long)view.back_in_ms);
+             (long long)view.available_in_ms);
 }
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -69,11 +69,11 @@
 }
 
 static void engine_update_send(wb_edge_node_t *node, wb_link_t *link,
-                               wb_subscription_t *subscription, const wb_wire_engines_want *want,
-                               const GArray *holds) {
+                               wb_subscription_t *subscription,
+                               const wb_wire_engine_subscribe *want, const GArray *holds) {
     int64_t now_ms = wb_clock_ms();
-    wb_wire_message message = {.kind = WB_WIRE_ENGINES_SHOW};
-    wb_wire_engines_show *show = &message.wb_wire_message_u.engines_show;
+    wb_wire_message message = {.kind = WB_WIRE_ENGINE_UPDATE};
+    wb_wire_engine_update *show = &message.wb_wire_message_u.engine_update;
     show->whole = wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->engines_watch);
     show->age_ms = table_age_ms(node, now_ms);
     if (want != NULL) {
@@ -129,7 +129,7 @@
 }
 
 void wb_edge_node_relay_subscribe(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
-                                  const wb_wire_engines_want *want) {
+                                  const wb_wire_engine_subscribe *want) {
     int64_t now_ms = wb_clock_ms();
     g_autoptr(GArray) holds = g_array_new(FALSE, FALSE, sizeof(wb_wire_placement_entry));
     if (gateway->subscription == NULL) {
@@ -140,7 +140,7 @@
         known_row_add(node, subscription, &want->known.known_val[i]);
     }
     for (guint i = 0; i < want->wants.wants_len; i++) {
-        const wb_wire_engine_want *selector = &want->wants.wants_val[i];
+        const wb_wire_engine_selector *selector = &want->wants.wants_val[i];
         g_autoptr(GPtrArray) engines =
             wb_engine_subset(wb_fleet_service(node->edge.fleet, selector->service), selector->model,
                              subscription->zone, now_ms);
@@ -150,7 +150,7 @@
             holds_append(holds, engine, selector->model);
         }
     }
-    node->edge.metrics.directory_answers++;
+    node->edge.metrics.subscriptions_answered++;
     engine_update_send(node, link, subscription, want, holds);
 }
 
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -16,9 +16,9 @@
 
 /* Polls the other tables at once when one answers again; they are polled rarely while they fail. */
 static void tables_retry(wb_edge_node_t *node) {
-    wb_table_watch_wake(node->catalog_watch);
-    wb_table_watch_wake(node->engines_watch);
-    wb_table_watch_wake(node->nodes_watch);
+    wb_table_watch_retry_now(node->catalog_watch);
+    wb_table_watch_retry_now(node->engines_watch);
+    wb_table_watch_retry_now(node->nodes_watch);
     if (!node->node_row_written)
         node->node_row_due_ms = 0;
 }
@@ -38,7 +38,7 @@
     if (table == WB_TABLE_NODES) {
         wb_edge_node_set_poll_policies(node);
         if (succeeded)
-            wb_lease_store_back(node->lease, wb_clock_ms());
+            wb_lease_on_store_recovered(node->lease, wb_clock_ms());
     }
     if (succeeded)
         tables_retry(node);
@@ -81,7 +81,7 @@
         return;
     }
     catalog_take(node, catalog);
-    wb_exchanges_check_keys(&node->edge);
+    wb_exchanges_recheck_keys(&node->edge);
     wb_exchanges_retry_waiting(&node->edge);
 }
 
@@ -102,18 +102,19 @@
 
 /* Reads the extensions of the lease row, which builds before format version 2 don't write. */
 static void lease_extensions_read(wb_edge_node_t *node, XDR *stream) {
-    wb_wire_parts extensions = {0};
+    wb_wire_extensions extensions = {0};
     wb_wire_writer writer = {1};
-    if (!xdr_wb_wire_parts(stream, &extensions)) {
+    if (!xdr_wb_wire_extensions(stream, &extensions)) {
         wb_event("lease-parts-refused", "%s", "");
     } else {
-        wb_parts_read(&extensions, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+        wb_extensions_read(&extensions, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer,
+                           &writer);
     }
     if (writer.form != node->lease_format_version) {
-        wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORM);
+        wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORMAT_VERSION);
     }
     node->lease_format_version = writer.form;
-    wb_parts_clear(&extensions);
+    wb_extensions_clear(&extensions);
 }
 
 void wb_edge_node_take_lease_row(wb_edge_node_t *node, const wb_table_row_t *row) {
@@ -227,7 +228,7 @@
     if (answer->outcome == WB_TABLE_DONE) {
         if (node->node_row_creating) {
             node->node_row_created = TRUE;
-            wb_table_watch_hurry(node->nodes_watch);
+            wb_table_watch_expedite(node->nodes_watch);
         }
         node->node_row_written = TRUE;
         node->node_row_retry_ms = 0;
@@ -248,9 +249,9 @@
 static void node_row_write(wb_edge_node_t *node) {
     const wb_node_row_t *known = g_hash_table_lookup(node->nodes, node->edge.settings.id);
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, node->edge.settings.id, NULL);
-    g_autofree char *value = g_strdup_printf("%s %llu %.3f %d", wb_edge_node_address(node),
-                                             (unsigned long long)++node->node_row_writes,
-                                             node->edge.settings.processor_share, WB_WIRE_FORM);
+    g_autofree char *value = g_strdup_printf(
+        "%s %llu %.3f %d", wb_edge_node_address(node), (unsigned long long)++node->node_row_writes,
+        node->edge.settings.processor_share, WB_WIRE_FORMAT_VERSION);
     node->node_row_writing = TRUE;
     node->node_row_creating = known == NULL;
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
@@ -310,15 +311,16 @@
                                        .on_batch = wb_edge_node_engine_batch,
                                        .on_call = store_call_done,
                                        .context = node,
-                                       .on_large = wb_edge_node_directory_on_large};
+                                       .on_row_limit = wb_edge_node_directory_on_large};
     wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_call_done, node};
-    wb_table_pace_t policy = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
+    wb_table_watch_intervals_t policy = wb_edge_node_poll_policy(node, WB_TABLE_CATALOG);
     node->catalog_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &policy, &catalog);
     policy = wb_edge_node_poll_policy(node, WB_TABLE_ENGINES);
     node->engines_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_ENGINES, &policy, &engines);
-    wb_table_watch_limit(node->engines_watch, (unsigned)node->edge.settings.engine_rows_most);
+    wb_table_watch_set_row_limit(node->engines_watch,
+                                 (unsigned)node->edge.settings.engine_rows_most);
     policy = wb_edge_node_poll_policy(node, WB_TABLE_NODES);
     node->nodes_watch = wb_table_watch_create(loop, node->table, WB_TABLE_NODES, &policy, &nodes);
 }
