--- a/src/edge/node_news.c
+++ b/src/edge/node_store_updates.c
@@ -61,54 +61,55 @@
     }
 }
 
-wb_table_pace_t wb_edge_node_poll_policy(const wb_edge_node_t *node, wb_table_name_t table) {
+wb_table_watch_intervals_t wb_edge_node_poll_policy(const wb_edge_node_t *node,
+                                                    wb_table_name_t table) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     int64_t safety_ms = (int64_t)(settings->store_look_s * 1000);
     int64_t long_safety_ms = SAFETY_MULTIPLE * safety_ms;
     int64_t node_life_ms = (int64_t)(settings->node_life_s * 1000);
     int64_t node_ms = (int64_t)(NODE_POLL_SHARE * (double)node_life_ms);
-    int64_t trust_ms;
+    int64_t peer_read_valid_ms;
     int64_t hold_ms;
     int64_t pause_ms;
     int64_t retry_ms =
         node->store_unavailable[WB_TABLE_NODES] ? RETRY_OTHERS_LOST_MS : RETRY_OTHERS_MS;
     switch (table) {
     case WB_TABLE_CATALOG:
-        trust_ms = (int64_t)(FRESH_SHARE * (double)settings->catalog_ms);
-        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)trust_ms)
+        peer_read_valid_ms = (int64_t)(FRESH_SHARE * (double)settings->catalog_ms);
+        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
                                    : settings->catalog_ms;
         pause_ms = node->lease_held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_POLLS;
-        return (wb_table_pace_t){.wait_ms = hold_ms,
-                                 .pause_ms = pause_ms,
-                                 .trust_ms = trust_ms,
-                                 .look_ms = pause_ms,
-                                 .safety_ms = long_safety_ms,
-                                 .retry_ms = retry_ms,
-                                 .read_trust_ms =
-                                     (int64_t)(FULL_READ_FRESH_SHARE * (double)trust_ms)};
+        return (wb_table_watch_intervals_t){
+            .wait_ms = hold_ms,
+            .pause_ms = pause_ms,
+            .peer_read_valid_ms = peer_read_valid_ms,
+            .look_ms = pause_ms,
+            .safety_ms = long_safety_ms,
+            .retry_ms = retry_ms,
+            .full_read_valid_ms = (int64_t)(FULL_READ_FRESH_SHARE * (double)peer_read_valid_ms)};
     case WB_TABLE_ENGINES:
-        trust_ms = (int64_t)(FRESH_SHARE * (double)settings->drain_ms);
-        hold_ms =
-            node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
+        peer_read_valid_ms = (int64_t)(FRESH_SHARE * (double)settings->drain_ms);
+        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
+                                   : ENGINES_WAIT_MS;
         pause_ms = node->lease_held
                        ? hold_ms
                        : MAX(settings->engine_poll_ms, settings->drain_ms / POLLS_PER_DRAIN);
-        return (wb_table_pace_t){.wait_ms = hold_ms,
-                                 .pause_ms = pause_ms,
-                                 .trust_ms = trust_ms,
-                                 .look_ms = settings->drain_ms / POLLS_PER_DRAIN,
-                                 .safety_ms = safety_ms,
-                                 .retry_ms = retry_ms,
-                                 .read_trust_ms =
-                                     (int64_t)(FULL_READ_FRESH_SHARE * (double)trust_ms)};
+        return (wb_table_watch_intervals_t){
+            .wait_ms = hold_ms,
+            .pause_ms = pause_ms,
+            .peer_read_valid_ms = peer_read_valid_ms,
+            .look_ms = settings->drain_ms / POLLS_PER_DRAIN,
+            .safety_ms = safety_ms,
+            .retry_ms = retry_ms,
+            .full_read_valid_ms = (int64_t)(FULL_READ_FRESH_SHARE * (double)peer_read_valid_ms)};
     default:
         /* Only this table shows who holds the lease, so it is polled from the start. */
-        return (wb_table_pace_t){.wait_ms = MIN(NODES_WAIT_MS, node_ms),
-                                 .pause_ms = MIN(NODES_PAUSE_MS, node_ms),
-                                 .trust_ms = NODES_FRESH_MS,
-                                 .look_ms = NODES_CHANGE_MS,
-                                 .safety_ms = MIN(long_safety_ms, node_life_ms),
-                                 .retry_ms = RETRY_NODES_MS};
+        return (wb_table_watch_intervals_t){.wait_ms = MIN(NODES_WAIT_MS, node_ms),
+                                            .pause_ms = MIN(NODES_PAUSE_MS, node_ms),
+                                            .peer_read_valid_ms = NODES_FRESH_MS,
+                                            .look_ms = NODES_CHANGE_MS,
+                                            .safety_ms = MIN(long_safety_ms, node_life_ms),
+                                            .retry_ms = RETRY_NODES_MS};
     }
 }
 
@@ -156,7 +157,7 @@
  * the newest row: engine and node rows change all the time in ways that gateways need not know at
  * once. */
 static void update_send(wb_edge_node_t *node, int64_t now_ms) {
-    const wb_lease_row_t *lease = wb_lease_known(node->lease);
+    const wb_lease_row_t *lease = wb_lease_known_row(node->lease);
     if (lease == NULL)
         return;
     wb_wire_table_view views[] = {
@@ -168,8 +169,8 @@
         {WB_UPDATE_NODE_IDS, wb_equal_share_digest(node->edge.share),
          age_ms(node->nodes_watch, now_ms)}, /* must be last: left out unless it is due */
     };
-    wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
-    wb_wire_store_news *update = &message.wb_wire_message_u.store_news;
+    wb_wire_message message = {.kind = WB_WIRE_STORE_UPDATE};
+    wb_wire_store_update *update = &message.wb_wire_message_u.store_update;
     update->views.views_len = G_N_ELEMENTS(views) - !wb_edge_node_share_digest_is_due(node, now_ms);
     update->views.views_val = views;
     wb_lease_row_t lease_copy = wb_edge_node_lease_without_grants(lease);
@@ -187,8 +188,8 @@
 
 void wb_edge_node_set_poll_policies(wb_edge_node_t *node) {
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
-        wb_table_pace_t policy = wb_edge_node_poll_policy(node, table);
-        wb_table_watch_set_pace(wb_edge_node_watch(node, table), &policy);
+        wb_table_watch_intervals_t policy = wb_edge_node_poll_policy(node, table);
+        wb_table_watch_set_intervals(wb_edge_node_watch(node, table), &policy);
     }
 }
 
@@ -225,9 +226,9 @@
         return; /* the relay sends the age of its rows */
     int64_t known_ms = now_ms - (int64_t)view->age_ms;
     if (view->table != WB_TABLE_ENGINES)
-        wb_table_watch_vouch(watch, (int64_t)view->newest, known_ms);
+        wb_table_watch_note_peer_read(watch, (int64_t)view->newest, known_ms);
     else if (engines_match_holder(node, view->newest))
-        wb_table_watch_vouch(watch, 0, known_ms);
+        wb_table_watch_note_peer_read(watch, 0, known_ms);
 }
 
 static void row_take(wb_edge_node_t *node, const wb_wire_table_row *wire) {
@@ -242,22 +243,22 @@
         wb_fleet_find(node->edge.fleet, wire->key) == NULL)
         return; /* not needed by the clients of this node */
     if (watch != NULL)
-        wb_table_watch_take(watch, &row);
+        wb_table_watch_apply_row(watch, &row);
 }
 
-void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *update) {
+void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_update *update) {
     wb_lease_row_t lease = wb_edge_node_lease_from_wire(&update->lease);
     wb_lease_on_row(node->lease, &lease, (int64_t)update->lease_version, wb_clock_ms());
 }
 
-void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_news *update) {
+void wb_edge_node_take_update(wb_edge_node_t *node, const wb_wire_store_update *update) {
     int64_t now_ms = wb_clock_ms();
     node->update_received_ms = now_ms;
     wb_edge_node_take_announcement(node, update);
     for (guint i = 0; i < update->rows.rows_len; i++)
         row_take(node, &update->rows.rows_val[i]);
     if (update->look)
-        wb_table_watch_look(node->engines_watch);
+        wb_table_watch_poll_soon(node->engines_watch);
     for (guint i = 0; i < update->views.views_len; i++)
         view_take(node, &update->views.views_val[i], now_ms);
 }
@@ -269,6 +270,6 @@
 
 void wb_edge_node_expedite_engines(wb_edge_node_t *node) {
     if (!wb_edge_node_has_recent_updates(node)) {
-        wb_table_watch_hurry(node->engines_watch);
+        wb_table_watch_expedite(node->engines_watch);
     }
 }
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -105,7 +105,7 @@
     if (inventory != NULL && inventory->fence == call->fence && outcome == WB_ORDER_STALE)
         outcome = WB_ORDER_REFUSED; /* 409 for this order: the model is being unloaded */
     if (outcome != WB_ORDER_TAKEN)
-        wb_log_info(WB_PART_ENGINE,
+        wb_log_info(WB_LOG_ENGINE,
                     "Engine %s did not accept order %" G_GUINT64_FORMAT ": status %u %s.",
                     call->engine, (guint64)call->fence, result->status, result->reason);
     if (!client->closed)
@@ -174,7 +174,7 @@
 static void follow_failed(follow_t *follow) {
     wb_engine_client_t *client = follow->client;
     if (++follow->failures == UNREACHABLE_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s is unreachable.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s is unreachable.", follow->engine);
         client->events.on_reachable(follow->engine, FALSE, client->events.context);
     }
     follow->calling = TRUE;
@@ -185,7 +185,7 @@
 static void follow_succeeded(follow_t *follow, wb_inventory_t *inventory) {
     wb_engine_client_t *client = follow->client;
     if (follow->failures >= UNREACHABLE_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s is reachable again.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s is reachable again.", follow->engine);
         client->events.on_reachable(follow->engine, TRUE, client->events.context);
     }
     follow->failures = 0;
--- a/src/pace/pace_book.c
+++ b/src/pace/pace_aggregate.c
@@ -1,5 +1,5 @@
 /* Aggregate of gateways' reports about engines. */
-#include "pace/pace_book.h"
+#include "pace/pace_aggregate.h"
 
 #include "wickbridge/engine_pace.h"
 #include "quota/token_bucket.h"
@@ -33,7 +33,7 @@
     int64_t reported_ms;
 } wb_aggregate_engine_t;
 
-struct wb_pace_book_t {
+struct wb_pace_aggregate_t {
     double token_ms;
     GHashTable *engines; /* id -> wb_book_engine_t */
 };
@@ -48,18 +48,18 @@
     g_free(engine);
 }
 
-wb_pace_book_t *wb_pace_book_create(double token_ms) {
-    wb_pace_book_t *aggregate = g_new0(wb_pace_book_t, 1);
+wb_pace_aggregate_t *wb_pace_aggregate_create(double token_ms) {
+    wb_pace_aggregate_t *aggregate = g_new0(wb_pace_aggregate_t, 1);
     aggregate->token_ms = token_ms;
     aggregate->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
     return aggregate;
 }
 
-void wb_pace_book_set_token_ms(wb_pace_book_t *aggregate, double token_ms) {
+void wb_pace_aggregate_set_token_ms(wb_pace_aggregate_t *aggregate, double token_ms) {
     aggregate->token_ms = token_ms;
 }
 
-void wb_pace_book_free(wb_pace_book_t *aggregate) {
+void wb_pace_aggregate_free(wb_pace_aggregate_t *aggregate) {
     g_hash_table_unref(aggregate->engines);
     g_free(aggregate);
 }
@@ -69,14 +69,15 @@
     return MAX(engine->backlog_ms - (double)(now_ms - engine->backlog_at_ms), 0);
 }
 
-static void backlog_add(const wb_pace_book_t *aggregate, wb_aggregate_engine_t *engine,
+static void backlog_add(const wb_pace_aggregate_t *aggregate, wb_aggregate_engine_t *engine,
                         double tokens, int64_t now_ms) {
-    double prefill_ms = tokens * aggregate->token_ms * wb_engine_pace_usual(&engine->pace, now_ms);
+    double prefill_ms =
+        tokens * aggregate->token_ms * wb_engine_pace_intrinsic_factor(&engine->pace, now_ms);
     engine->backlog_ms = MIN(current_backlog(engine, now_ms) + prefill_ms, BACKLOG_MAX_MS);
     engine->backlog_at_ms = now_ms;
 }
 
-static wb_aggregate_engine_t *engine_get(wb_pace_book_t *aggregate, const char *id) {
+static wb_aggregate_engine_t *engine_get(wb_pace_aggregate_t *aggregate, const char *id) {
     wb_aggregate_engine_t *engine = g_hash_table_lookup(aggregate->engines, id);
     if (engine == NULL) {
         engine = g_new0(wb_aggregate_engine_t, 1);
@@ -87,13 +88,13 @@
     return engine;
 }
 
-void wb_pace_book_report(wb_pace_book_t *aggregate, const wb_pace_report_t *reports, size_t count,
-                         int64_t now_ms) {
+void wb_pace_aggregate_report(wb_pace_aggregate_t *aggregate, const wb_pace_report_t *reports,
+                              size_t count, int64_t now_ms) {
     for (size_t i = 0; i < count; i++) {
         const wb_pace_report_t *report = &reports[i];
         wb_aggregate_engine_t *engine = engine_get(aggregate, report->engine);
         engine->reported_ms = now_ms;
-        wb_engine_pace_told(&engine->pace, report->pace_percent, now_ms);
+        wb_engine_pace_add(&engine->pace, report->pace_percent, now_ms);
         if (report->tokens > 0) {
             wb_decayed_rate_add(&engine->tokens, report->tokens, TOKENS_TIME_S, now_ms);
             backlog_add(aggregate, engine, report->tokens, now_ms);
@@ -101,14 +102,15 @@
     }
 }
 
-unsigned wb_pace_book_pace(const wb_pace_book_t *aggregate, const char *id, int64_t now_ms) {
+unsigned wb_pace_aggregate_pace(const wb_pace_aggregate_t *aggregate, const char *id,
+                                int64_t now_ms) {
     const wb_aggregate_engine_t *engine = g_hash_table_lookup(aggregate->engines, id);
-    return engine != NULL ? wb_engine_pace_own(&engine->pace, now_ms) : 0;
+    return engine != NULL ? wb_engine_pace_intrinsic(&engine->pace, now_ms) : 0;
 }
 
 static wb_engine_load_t current_load(const wb_aggregate_engine_t *engine, int64_t now_ms) {
     wb_engine_load_t load = engine->sent;
-    load.pace_percent = wb_engine_pace_own(&engine->pace, now_ms);
+    load.pace_percent = wb_engine_pace_intrinsic(&engine->pace, now_ms);
     load.backlog_ms = (unsigned)current_backlog(engine, now_ms);
     load.tokens_per_s = (unsigned)wb_decayed_rate_read(&engine->tokens, TOKENS_TIME_S, now_ms);
     return load;
@@ -139,7 +141,7 @@
     return a->steps > b->steps ? -1 : a->steps < b->steps;
 }
 
-GArray *wb_pace_book_changes(wb_pace_book_t *aggregate, size_t max, int64_t now_ms) {
+GArray *wb_pace_aggregate_changes(wb_pace_aggregate_t *aggregate, size_t max, int64_t now_ms) {
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(wb_change_t));
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(wb_engine_load_t));
     GHashTableIter iter;
@@ -162,8 +164,8 @@
     return loads;
 }
 
-const char *wb_pace_book_furthest_behind(const wb_pace_book_t *aggregate, int64_t now_ms,
-                                         double *backlog_ms) {
+const char *wb_pace_aggregate_max_backlog(const wb_pace_aggregate_t *aggregate, int64_t now_ms,
+                                          double *backlog_ms) {
     const char *max_engine = NULL;
     *backlog_ms = 0;
     GHashTableIter iter;
@@ -180,7 +182,7 @@
     return max_engine;
 }
 
-GArray *wb_pace_book_told(const wb_pace_book_t *aggregate) {
+GArray *wb_pace_aggregate_snapshot(const wb_pace_aggregate_t *aggregate) {
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(wb_engine_load_t));
     GHashTableIter iter;
     gpointer value;
@@ -194,7 +196,7 @@
     return loads;
 }
 
-void wb_pace_book_tell_all(wb_pace_book_t *aggregate) {
+void wb_pace_aggregate_resend_all(wb_pace_aggregate_t *aggregate) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, aggregate->engines);
@@ -209,10 +211,10 @@
            ENGINE_EXPIRY_MS;
 }
 
-void wb_pace_book_forget(wb_pace_book_t *aggregate, const char *engine) {
+void wb_pace_aggregate_remove(wb_pace_aggregate_t *aggregate, const char *engine) {
     g_hash_table_remove(aggregate->engines, engine);
 }
 
-void wb_pace_book_sweep(wb_pace_book_t *aggregate, int64_t now_ms) {
+void wb_pace_aggregate_sweep(wb_pace_aggregate_t *aggregate, int64_t now_ms) {
     g_hash_table_foreach_remove(aggregate->engines, engine_is_expired, &now_ms);
 }
--- a/src/poison/poison_book.c
+++ b/src/poison/poison_registry.c
@@ -1,5 +1,5 @@
 /* Registry of requests that crash engines. */
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -7,17 +7,17 @@
 /* Trials up to which the delay between trials grows: 4^8 minutes are 45 days. */
 #define TRIALS_MAX 8
 
-struct wb_poison_book_t {
+struct wb_poison_registry_t {
     wb_poison_options_t options;
     wb_list_t entries; /* of wb_poison_entry_t, newest first */
     uint64_t version;
     int64_t next_trial_ms;
 };
 
-wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options) {
-    wb_poison_book_t *registry = g_new0(wb_poison_book_t, 1);
+wb_poison_registry_t *wb_poison_registry_create(const wb_poison_options_t *options) {
+    wb_poison_registry_t *registry = g_new0(wb_poison_registry_t, 1);
     registry->options.retention_ms =
-        options->retention_ms > 0 ? options->retention_ms : WB_POISON_KEPT_MS;
+        options->retention_ms > 0 ? options->retention_ms : WB_POISON_RETENTION_MS;
     registry->options.trial_ms = options->trial_ms > 0 ? options->trial_ms : WB_POISON_TRIAL_MS;
     wb_list_init(&registry->entries);
     registry->version = 1;
@@ -28,12 +28,12 @@
     return WB_LIST_OF(item, wb_poison_entry_t, item);
 }
 
-static void entry_remove(wb_poison_book_t *registry, wb_poison_entry_t *entry) {
+static void entry_remove(wb_poison_registry_t *registry, wb_poison_entry_t *entry) {
     wb_list_remove(&registry->entries, &entry->item);
     g_free(entry);
 }
 
-void wb_poison_book_free(wb_poison_book_t *registry) {
+void wb_poison_registry_free(wb_poison_registry_t *registry) {
     wb_list_item_t *item;
     while ((item = wb_list_pop(&registry->entries)) != NULL) {
         g_free(entry_of(item));
@@ -53,11 +53,11 @@
     return count;
 }
 
-static void entry_mark_changed(wb_poison_book_t *registry, wb_poison_entry_t *entry) {
+static void entry_mark_changed(wb_poison_registry_t *registry, wb_poison_entry_t *entry) {
     entry->changed = ++registry->version;
 }
 
-static wb_poison_entry_t *entry_find(const wb_poison_book_t *registry,
+static wb_poison_entry_t *entry_find(const wb_poison_registry_t *registry,
                                      const wb_request_digest_t *digest) {
     WB_LIST_EACH(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
@@ -69,7 +69,7 @@
 }
 
 /* Returns the entry to evict: the one with the fewest engines, of those the first to expire. */
-static wb_poison_entry_t *entry_evictable(const wb_poison_book_t *registry) {
+static wb_poison_entry_t *entry_evictable(const wb_poison_registry_t *registry) {
     wb_poison_entry_t *evictable = NULL;
     WB_LIST_EACH(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
@@ -83,8 +83,8 @@
     return evictable;
 }
 
-static wb_poison_entry_t *entry_add(wb_poison_book_t *registry, const wb_request_digest_t *digest,
-                                    uint32_t body_bytes) {
+static wb_poison_entry_t *entry_add(wb_poison_registry_t *registry,
+                                    const wb_request_digest_t *digest, uint32_t body_bytes) {
     if (registry->entries.len >= WB_POISON_ENTRIES) {
         entry_remove(registry, entry_evictable(registry));
     }
@@ -141,8 +141,9 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_note(wb_poison_book_t *registry, const wb_request_digest_t *digest,
-                             uint32_t body_bytes, uint64_t engine, int64_t now_ms) {
+gboolean wb_poison_registry_add_crash(wb_poison_registry_t *registry,
+                                      const wb_request_digest_t *digest, uint32_t body_bytes,
+                                      uint64_t engine, int64_t now_ms) {
     wb_poison_entry_t *entry = entry_find(registry, digest);
     if (entry == NULL) {
         entry = entry_add(registry, digest, body_bytes);
@@ -155,7 +156,8 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_forgive(wb_poison_book_t *registry, const wb_request_digest_t *digest) {
+gboolean wb_poison_registry_clear_crashes(wb_poison_registry_t *registry,
+                                          const wb_request_digest_t *digest) {
     wb_poison_entry_t *entry = entry_find(registry, digest);
     if (entry == NULL || wb_poison_entry_engines(entry) == 0) {
         return FALSE;
@@ -165,7 +167,8 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_merge(wb_poison_book_t *registry, const wb_poison_entry_t *received) {
+gboolean wb_poison_registry_merge(wb_poison_registry_t *registry,
+                                  const wb_poison_entry_t *received) {
     wb_poison_entry_t *entry = entry_find(registry, &received->digest);
     if (entry == NULL) {
         entry = entry_add(registry, &received->digest, received->body_bytes);
@@ -182,7 +185,7 @@
     return changed;
 }
 
-gboolean wb_poison_book_has_length(const wb_poison_book_t *registry, uint32_t body_bytes) {
+gboolean wb_poison_registry_has_length(const wb_poison_registry_t *registry, uint32_t body_bytes) {
     WB_LIST_EACH(item, &registry->entries) {
         if (entry_of(item)->body_bytes == body_bytes) {
             return TRUE;
@@ -191,8 +194,8 @@
     return FALSE;
 }
 
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *registry,
-                                             const wb_request_digest_t *digest) {
+const wb_poison_entry_t *wb_poison_registry_find(const wb_poison_registry_t *registry,
+                                                 const wb_request_digest_t *digest) {
     return entry_find(registry, digest);
 }
 
@@ -204,7 +207,7 @@
     return engines >= WB_POISON_ENGINES ? WB_POISON_REFUSED : WB_POISON_SUSPECT;
 }
 
-unsigned wb_poison_book_count(const wb_poison_book_t *registry, wb_poison_state_t state) {
+unsigned wb_poison_registry_count(const wb_poison_registry_t *registry, wb_poison_state_t state) {
     unsigned count = 0;
     WB_LIST_EACH(item, &registry->entries) {
         count += wb_poison_entry_state(entry_of(item)) == state;
@@ -212,11 +215,11 @@
     return count;
 }
 
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *registry) {
+const wb_list_t *wb_poison_registry_entries(const wb_poison_registry_t *registry) {
     return &registry->entries;
 }
 
-uint64_t wb_poison_book_version(const wb_poison_book_t *registry) {
+uint64_t wb_poison_registry_version(const wb_poison_registry_t *registry) {
     return registry->version;
 }
 
@@ -233,7 +236,8 @@
 }
 
 /* Returns TRUE when another refused request may have caused this one's crashes. */
-static gboolean entry_overlaps(const wb_poison_book_t *registry, const wb_poison_entry_t *entry) {
+static gboolean entry_overlaps(const wb_poison_registry_t *registry,
+                               const wb_poison_entry_t *entry) {
     WB_LIST_EACH(item, &registry->entries) {
         const wb_poison_entry_t *other = entry_of(item);
         if (other != entry && wb_poison_entry_state(other) == WB_POISON_REFUSED &&
@@ -245,23 +249,25 @@
 }
 
 /* Returns the time from which the request may be run as a trial. */
-static int64_t trial_next_ms(const wb_poison_book_t *registry, const wb_poison_entry_t *entry) {
+static int64_t trial_next_ms(const wb_poison_registry_t *registry, const wb_poison_entry_t *entry) {
     int64_t delay_ms = registry->options.trial_ms;
     if (entry->trials == 0) {
-        gboolean overlaps = delay_ms > WB_POISON_TIED_TRIAL_MS && entry_overlaps(registry, entry);
+        gboolean overlaps =
+            delay_ms > WB_POISON_OVERLAP_TRIAL_MS && entry_overlaps(registry, entry);
         /* Neither time lies before the last crash. Late reports of other nodes make the crash look
          * more recent than it was, so the earlier of the two is used. */
         int64_t crashed_ms = entry->until_ms - registry->options.retention_ms;
-        return MIN(crashed_ms, entry->asked_ms) + (overlaps ? WB_POISON_TIED_TRIAL_MS : delay_ms);
+        return MIN(crashed_ms, entry->asked_ms) +
+               (overlaps ? WB_POISON_OVERLAP_TRIAL_MS : delay_ms);
     }
     for (guint i = 0; i < entry->trials; i++) {
-        delay_ms *= WB_POISON_TRIAL_TIMES;
+        delay_ms *= WB_POISON_TRIAL_FACTOR;
     }
     return entry->tried_ms + delay_ms;
 }
 
-gboolean wb_poison_book_take_trial(wb_poison_book_t *registry, const wb_request_digest_t *digest,
-                                   int64_t now_ms) {
+gboolean wb_poison_registry_take_trial(wb_poison_registry_t *registry,
+                                       const wb_request_digest_t *digest, int64_t now_ms) {
     wb_poison_entry_t *entry = entry_find(registry, digest);
     if (wb_poison_entry_state(entry) != WB_POISON_REFUSED) {
         return FALSE;
@@ -274,7 +280,7 @@
     }
     entry->tried_ms = now_ms;
     entry->trials = MIN(entry->trials + 1, TRIALS_MAX);
-    registry->next_trial_ms = now_ms + WB_POISON_TRIAL_APART_MS;
+    registry->next_trial_ms = now_ms + WB_POISON_TRIAL_SPACING_MS;
     return TRUE;
 }
 
@@ -295,7 +301,7 @@
     entry->until_ms += retention_ms;
 }
 
-void wb_poison_book_sweep(wb_poison_book_t *registry, int64_t now_ms) {
+void wb_poison_registry_sweep(wb_poison_registry_t *registry, int64_t now_ms) {
     WB_LIST_EACH_SAFE(item, &registry->entries) {
         wb_poison_entry_t *entry = entry_of(item);
         if (now_ms < entry->until_ms) {
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_registry.h
@@ -1,5 +1,5 @@
 /**
- * @file poison_book.h
+ * @file poison_registry.h
  * @brief Registry of requests that crash the engines that run them.
  *
  * A poison request (also: query of death) crashes each engine that runs it, and with it all other
@@ -22,8 +22,8 @@
  * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors. Crash detection
  * and messages are handled elsewhere.
  */
-#ifndef WICKBRIDGE_POISON_BOOK_H
-#define WICKBRIDGE_POISON_BOOK_H
+#ifndef WICKBRIDGE_POISON_REGISTRY_H
+#define WICKBRIDGE_POISON_REGISTRY_H
 
 #include "poison/request_digest.h"
 
@@ -36,24 +36,24 @@
 #define WB_POISON_ENGINES 3
 /** Crashed engines from which an entry is sent to other nodes. With one, each crash would send all
  * requests that ran on the engine, and only a repetition concerns other nodes. */
-#define WB_POISON_TOLD_ENGINES 2
+#define WB_POISON_SYNC_ENGINES 2
 /** Max engines stored for a request. */
 #define WB_POISON_ENGINES_KEPT 8
 /** Max requests in a registry: those of two crashed engines with all slots in use. */
 #define WB_POISON_ENTRIES 128
 /** Default retention of crashes. After it the request runs again, which costs an engine if it still
  * crashes them. */
-#define WB_POISON_KEPT_MS (10 * 60 * 1000)
+#define WB_POISON_RETENTION_MS (10 * 60 * 1000)
 /** Default time from the last crash to the first trial of a refused request. Each further trial
- * waits WB_POISON_TRIAL_TIMES times as long. */
+ * waits WB_POISON_TRIAL_FACTOR times as long. */
 #define WB_POISON_TRIAL_MS (60 * 1000)
-#define WB_POISON_TRIAL_TIMES 4
+#define WB_POISON_TRIAL_FACTOR 4
 /** Shorter time to the first trial of a request that shares most of its engines with another
  * refused one: one of the two is probably harmless, and possibly a frequent request. */
-#define WB_POISON_TIED_TRIAL_MS (5 * 1000)
+#define WB_POISON_OVERLAP_TRIAL_MS (5 * 1000)
 /** Min time between trials, so that the next one doesn't crash the engine that still runs the last
  * one. */
-#define WB_POISON_TRIAL_APART_MS (2 * 1000)
+#define WB_POISON_TRIAL_SPACING_MS (2 * 1000)
 
 /** A request under which engines crashed. */
 typedef struct wb_poison_entry_t {
@@ -77,53 +77,55 @@
     WB_POISON_REFUSED
 } wb_poison_state_t;
 
-typedef struct wb_poison_book_t wb_poison_book_t;
+typedef struct wb_poison_registry_t wb_poison_registry_t;
 
 typedef struct wb_poison_options_t {
-    int64_t retention_ms; /**< 0: WB_POISON_KEPT_MS */
+    int64_t retention_ms; /**< 0: WB_POISON_RETENTION_MS */
     int64_t trial_ms;     /**< 0: WB_POISON_TRIAL_MS */
 } wb_poison_options_t;
 
-wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options);
-void wb_poison_book_free(wb_poison_book_t *registry);
+wb_poison_registry_t *wb_poison_registry_create(const wb_poison_options_t *options);
+void wb_poison_registry_free(wb_poison_registry_t *registry);
 
 /** @return the identity of an engine in registries; the same on every node */
 uint64_t wb_poison_engine_hash(const char *engine_id);
 
 /** Record that an engine crashed while it ran a request. @return TRUE when that is new */
-gboolean wb_poison_book_note(wb_poison_book_t *registry, const wb_request_digest_t *digest,
-                             uint32_t body_bytes, uint64_t engine, int64_t now_ms);
+gboolean wb_poison_registry_add_crash(wb_poison_registry_t *registry,
+                                      const wb_request_digest_t *digest, uint32_t body_bytes,
+                                      uint64_t engine, int64_t now_ms);
 /** An engine answered a request completely: clear its crashes. @return TRUE when it had any */
-gboolean wb_poison_book_forgive(wb_poison_book_t *registry, const wb_request_digest_t *digest);
+gboolean wb_poison_registry_clear_crashes(wb_poison_registry_t *registry,
+                                          const wb_request_digest_t *digest);
 /** Merge another node's entry. @return TRUE when it held anything new */
-gboolean wb_poison_book_merge(wb_poison_book_t *registry, const wb_poison_entry_t *entry);
+gboolean wb_poison_registry_merge(wb_poison_registry_t *registry, const wb_poison_entry_t *entry);
 
 /** @return TRUE when a request with a body of this length has an entry; else its digest needn't be
  * computed */
-gboolean wb_poison_book_has_length(const wb_poison_book_t *registry, uint32_t body_bytes);
+gboolean wb_poison_registry_has_length(const wb_poison_registry_t *registry, uint32_t body_bytes);
 /** @return the request's entry, or NULL; valid until the registry changes */
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *registry,
-                                             const wb_request_digest_t *digest);
+const wb_poison_entry_t *wb_poison_registry_find(const wb_poison_registry_t *registry,
+                                                 const wb_request_digest_t *digest);
 /** @return number of crashed engines that aren't cleared */
 guint wb_poison_entry_engines(const wb_poison_entry_t *entry);
 /** @param entry NULL: WB_POISON_NONE */
 wb_poison_state_t wb_poison_entry_state(const wb_poison_entry_t *entry);
 /** @return all entries, linked by `item`; owned by the registry */
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *registry);
+const wb_list_t *wb_poison_registry_entries(const wb_poison_registry_t *registry);
 /** @return number of requests in a state */
-unsigned wb_poison_book_count(const wb_poison_book_t *registry, wb_poison_state_t state);
+unsigned wb_poison_registry_count(const wb_poison_registry_t *registry, wb_poison_state_t state);
 /** @return a number that grows with each change */
-uint64_t wb_poison_book_version(const wb_poison_book_t *registry);
+uint64_t wb_poison_registry_version(const wb_poison_registry_t *registry);
 
 /**
  * Ask whether to run a refused request that has arrived as a trial. Only the one node that runs
  * trials may call this.
  * @return TRUE: send the request to an engine, once
  */
-gboolean wb_poison_book_take_trial(wb_poison_book_t *registry, const wb_request_digest_t *digest,
-                                   int64_t now_ms);
+gboolean wb_poison_registry_take_trial(wb_poison_registry_t *registry,
+                                       const wb_request_digest_t *digest, int64_t now_ms);
 /** Drop expired entries. An expired refused request is kept as a suspect, one crash short of
  * refusal. */
-void wb_poison_book_sweep(wb_poison_book_t *registry, int64_t now_ms);
+void wb_poison_registry_sweep(wb_poison_registry_t *registry, int64_t now_ms);
 
 #endif
--- a/src/poison/request_digest.h
+++ b/src/poison/request_digest.h
@@ -36,10 +36,10 @@
 wb_request_digest_t wb_request_digest(const wb_request_content_t *content);
 
 /** @param text out: hexadecimal digits. @return text */
-const char *wb_request_digest_write(const wb_request_digest_t *digest,
-                                    char text[WB_REQUEST_DIGEST_TEXT_BYTES]);
+const char *wb_request_digest_format(const wb_request_digest_t *digest,
+                                     char text[WB_REQUEST_DIGEST_TEXT_BYTES]);
 /** Parse the text form. @return FALSE when the text isn't a digest */
-gboolean wb_request_digest_read(const char *text, wb_request_digest_t *digest);
+gboolean wb_request_digest_parse(const char *text, wb_request_digest_t *digest);
 gboolean wb_request_digest_equal(const wb_request_digest_t *left, const wb_request_digest_t *right);
 
 #endif
--- a/src/poison/served_set.h
+++ b/src/poison/served_set.h
@@ -7,7 +7,7 @@
  * time, which a poison request never does. So no crashes are recorded against a recently served
  * request.
  *
- * Memory is bounded by WB_SERVED_PLACES slots of 16 bytes. The slot is chosen by the digest; a new
+ * Memory is bounded by WB_SERVED_SLOTS slots of 16 bytes. The slot is chosen by the digest; a new
  * entry overwrites the one in its slot.
  *
  * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors.
@@ -20,7 +20,7 @@
 #include <stdint.h>
 
 /** Number of slots. A frequent request renews its entry before others overwrite it. */
-#define WB_SERVED_PLACES 1024
+#define WB_SERVED_SLOTS 1024
 /** Lifetime of an entry. It delays the detection of a request that begins to crash engines. */
 #define WB_SERVED_MS 60000
 /** Requests with larger bodies aren't recorded: they rarely repeat, and the digest costs time. */
--- a/src/quota/equal_share.c
+++ b/src/quota/equal_share.c
@@ -5,7 +5,7 @@
 #include <xxhash.h>
 
 /* Longest time from a change of the list until no node uses the list before it. */
-#define SETTLE_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS)
+#define SETTLE_MS (WB_SHARE_VALID_MS + WB_SHARE_DELAY_MS)
 
 /* A node, by its id. */
 typedef struct wb_shared_node_t {
@@ -67,18 +67,18 @@
     share->digest -= id_digest(id);
 }
 
-void wb_equal_share_known(wb_equal_share_t *share, int64_t as_of_ms) {
+void wb_equal_share_set_as_of(wb_equal_share_t *share, int64_t as_of_ms) {
     share->as_of_ms = MAX(share->as_of_ms, as_of_ms);
 }
 
-void wb_equal_share_restart(wb_equal_share_t *share, int64_t now_ms) {
+void wb_equal_share_after_pause(wb_equal_share_t *share, int64_t now_ms) {
     wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
     if (own != NULL) {
         own->since_ms = now_ms;
     }
 }
 
-void wb_equal_share_begin_first(wb_equal_share_t *share, int64_t now_ms) {
+void wb_equal_share_set_first_process(wb_equal_share_t *share, int64_t now_ms) {
     wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
     share->is_first = TRUE;
     if (own != NULL && own->listed && g_hash_table_size(share->nodes) == 1) {
@@ -124,7 +124,7 @@
 }
 
 static gboolean list_is_valid(const wb_equal_share_t *share, int64_t now_ms) {
-    return share->as_of_ms != 0 && now_ms - share->as_of_ms < WB_SHARE_TRUST_MS;
+    return share->as_of_ms != 0 && now_ms - share->as_of_ms < WB_SHARE_VALID_MS;
 }
 
 static unsigned count_nodes(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
@@ -161,8 +161,8 @@
     return preceding;
 }
 
-double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
-                           int64_t now_ms) {
+double wb_equal_share_amount(const wb_equal_share_t *share, double whole, int64_t window_ms,
+                             int64_t now_ms) {
     unsigned nodes = wb_equal_share_nodes(share, window_ms, now_ms);
     if (nodes == 0) {
         return 0;
--- a/src/quota/equal_share.h
+++ b/src/quota/equal_share.h
@@ -7,7 +7,7 @@
  * all implemented here:
  *
  * - A node has a share only while its list of nodes, which must include itself, is at most
- *   WB_SHARE_TRUST_MS old.
+ *   WB_SHARE_VALID_MS old.
  * - A node has no share until it has been listed long enough that no node uses an older list, and
  *   one window longer. By then all other nodes count it, and whatever they used from larger shares,
  *   or an earlier process used on this machine, has left the window.
@@ -27,7 +27,7 @@
 #include <stdint.h>
 
 /** Validity of the list of nodes. It is normally refreshed every second. */
-#define WB_SHARE_TRUST_MS 4000
+#define WB_SHARE_VALID_MS 4000
 /** Longest time that another node's report of the list may be in transit: then a broken link is
  * closed. */
 #define WB_SHARE_DELAY_MS 3000
@@ -45,16 +45,16 @@
 /** A node is no longer listed; no effect if it wasn't. */
 void wb_equal_share_remove(wb_equal_share_t *share, const char *id, int64_t now_ms);
 /** The list of nodes is complete as of this time; an earlier time than before has no effect. */
-void wb_equal_share_known(wb_equal_share_t *share, int64_t as_of_ms);
+void wb_equal_share_set_as_of(wb_equal_share_t *share, int64_t as_of_ms);
 /** This process was paused, so the age of what it receives is unknown: it waits as after a start.
  */
-void wb_equal_share_restart(wb_equal_share_t *share, int64_t now_ms);
+void wb_equal_share_after_pause(wb_equal_share_t *share, int64_t now_ms);
 /**
  * This process has written the first row that its machine ever had, and has read it back: no
  * earlier process used anything. If no other node is listed, no node has: it gets the whole at
  * once.
  */
-void wb_equal_share_begin_first(wb_equal_share_t *share, int64_t now_ms);
+void wb_equal_share_set_first_process(wb_equal_share_t *share, int64_t now_ms);
 /** Drop removed nodes that no node counts any more. */
 void wb_equal_share_sweep(wb_equal_share_t *share, int64_t now_ms);
 /** @return a digest of the listed ids that doesn't depend on their order */
@@ -72,8 +72,8 @@
  * @return units for this node. With more nodes than units the units aren't split: one each goes to
  * as many nodes, ordered by the hashes of their ids
  */
-double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
-                           int64_t now_ms);
+double wb_equal_share_amount(const wb_equal_share_t *share, double whole, int64_t window_ms,
+                             int64_t now_ms);
 /**
  * Like wb_equal_share_nodes, for budgets of which a part is reserved for nodes that don't know of
  * each other yet: this node only waits until the usage of an earlier process on its machine has
--- a/src/quota/quota_book.c
+++ b/src/quota/quota_ledger.c
@@ -1,5 +1,5 @@
 /* Ledger of tenants' limits. */
-#include "quota/quota_book.h"
+#include "quota/quota_ledger.h"
 
 #include "quota/token_bucket.h"
 
@@ -36,7 +36,7 @@
 
 typedef struct wb_quota_entry_t {
     char *tenant;
-    GHashTable *classes; /* wb_quota_kind_t -> wb_class_demand_t */
+    GHashTable *classes; /* wb_quota_class_t -> wb_class_demand_t */
     double rate_per_s;
     double burst;
     wb_token_bucket_t bucket;
@@ -55,7 +55,7 @@
     gboolean reported;       /* has reported to this ledger, or was connected to it */
 } wb_quota_node_t;
 
-struct wb_quota_book_t {
+struct wb_quota_ledger_t {
     GHashTable *entries;           /* tenant -> wb_quota_entry_t; only tenants with a limit */
     GHashTable *nodes;             /* node -> wb_quota_node_t */
     unsigned disconnected_count;   /* disconnected nodes */
@@ -80,8 +80,8 @@
     g_free(node);
 }
 
-wb_quota_book_t *wb_quota_book_create(void) {
-    wb_quota_book_t *ledger = g_new0(wb_quota_book_t, 1);
+wb_quota_ledger_t *wb_quota_ledger_create(void) {
+    wb_quota_ledger_t *ledger = g_new0(wb_quota_ledger_t, 1);
     ledger->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     ledger->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_free);
     ledger->shares = g_array_new(FALSE, FALSE, sizeof(wb_quota_share_t));
@@ -89,14 +89,14 @@
     return ledger;
 }
 
-void wb_quota_book_free(wb_quota_book_t *ledger) {
+void wb_quota_ledger_free(wb_quota_ledger_t *ledger) {
     g_hash_table_unref(ledger->entries);
     g_hash_table_unref(ledger->nodes);
     g_array_unref(ledger->shares);
     g_free(ledger);
 }
 
-static void apply_limit(wb_quota_book_t *ledger, const wb_tenant_t *tenant, int64_t now_ms) {
+static void apply_limit(wb_quota_ledger_t *ledger, const wb_tenant_t *tenant, int64_t now_ms) {
     wb_quota_entry_t *entry = g_hash_table_lookup(ledger->entries, tenant->name);
     if (entry == NULL) {
         entry = g_new0(wb_quota_entry_t, 1);
@@ -111,8 +111,8 @@
     entry->burst = tenant->burst;
 }
 
-void wb_quota_book_set_tenants(wb_quota_book_t *ledger, const wb_tenants_t *tenants,
-                               int64_t now_ms) {
+void wb_quota_ledger_set_tenants(wb_quota_ledger_t *ledger, const wb_tenants_t *tenants,
+                                 int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_array_set_size(ledger->shares, 0); /* its names belong to the entries */
@@ -137,7 +137,7 @@
     }
 }
 
-static wb_quota_node_t *node_get(wb_quota_book_t *ledger, const char *name) {
+static wb_quota_node_t *node_get(wb_quota_ledger_t *ledger, const char *name) {
     wb_quota_node_t *node = g_hash_table_lookup(ledger->nodes, name);
     if (node == NULL) {
         node = g_new0(wb_quota_node_t, 1);
@@ -154,7 +154,7 @@
                                 entry->burst, now_ms);
 }
 
-static void class_add_usage(wb_quota_entry_t *entry, const wb_quota_use_t *use, int64_t now_ms) {
+static void class_add_usage(wb_quota_entry_t *entry, const wb_quota_usage_t *use, int64_t now_ms) {
     wb_class_demand_t *demand = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(use->kind));
     if (demand == NULL) {
         demand = g_new0(wb_class_demand_t, 1);
@@ -167,8 +167,8 @@
     wb_decayed_rate_add(&demand->requests, use->requests, COST_TIME_S, now_ms);
 }
 
-void wb_quota_book_report(wb_quota_book_t *ledger, const char *node_name, const wb_quota_use_t *use,
-                          int64_t now_ms) {
+void wb_quota_ledger_report(wb_quota_ledger_t *ledger, const char *node_name,
+                            const wb_quota_usage_t *use, int64_t now_ms) {
     const char *tenant = use->tenant;
     double asked = use->asked;
     double admitted = use->admitted;
@@ -191,7 +191,7 @@
     wb_decayed_rate_add(rate, admitted, ADMITTED_TIME_S, now_ms);
 }
 
-void wb_quota_book_node_reached(wb_quota_book_t *ledger, const char *name) {
+void wb_quota_ledger_node_connected(wb_quota_ledger_t *ledger, const char *name) {
     wb_quota_node_t *node = node_get(ledger, name);
     if (node->disconnected_ms != 0) {
         node->disconnected_ms = 0;
@@ -200,7 +200,7 @@
     node->reported = TRUE;
 }
 
-void wb_quota_book_expect(wb_quota_book_t *ledger, const char *name, int64_t now_ms) {
+void wb_quota_ledger_expect_node(wb_quota_ledger_t *ledger, const char *name, int64_t now_ms) {
     wb_quota_node_t *node = node_get(ledger, name);
     if (!node->reported && node->disconnected_ms == 0) {
         node->disconnected_ms = now_ms;
@@ -208,12 +208,12 @@
     }
 }
 
-void wb_quota_book_set_sole(wb_quota_book_t *ledger, gboolean sole) {
+void wb_quota_ledger_set_sole(wb_quota_ledger_t *ledger, gboolean sole) {
     ledger->sole = sole;
 }
 
 /* Computes what a node may admit of each tenant's limit while disconnected: see quota_limiter.c. */
-static void assume_usage(const wb_quota_book_t *ledger, wb_quota_node_t *node, int64_t now_ms) {
+static void assume_usage(const wb_quota_ledger_t *ledger, wb_quota_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer tenant;
     gpointer rate;
@@ -226,15 +226,15 @@
             /* The same as in quota_limiter.c: a node with little demand may use part of an equal
              * share. */
             double nodes = MAX(g_hash_table_size(ledger->nodes), 1);
-            per_s = MAX(WB_QUOTA_UNREACHED_TIMES * per_s,
-                        WB_QUOTA_UNREACHED_PART * entry->rate_per_s / nodes);
-            entry->bucket.level -= WB_QUOTA_UNREACHED_DEPTH_S * per_s;
+            per_s = MAX(WB_QUOTA_OFFLINE_FACTOR * per_s,
+                        WB_QUOTA_OFFLINE_SHARE * entry->rate_per_s / nodes);
+            entry->bucket.level -= WB_QUOTA_OFFLINE_DEPTH_S * per_s;
         }
         g_hash_table_insert(node->assumed, g_strdup(tenant), g_memdup2(&per_s, sizeof(per_s)));
     }
 }
 
-void wb_quota_book_node_lost(wb_quota_book_t *ledger, const char *name, int64_t now_ms) {
+void wb_quota_ledger_node_lost(wb_quota_ledger_t *ledger, const char *name, int64_t now_ms) {
     wb_quota_node_t *node = g_hash_table_lookup(ledger->nodes, name);
     if (node != NULL && node->disconnected_ms == 0) {
         node->disconnected_ms = now_ms;
@@ -243,7 +243,7 @@
     }
 }
 
-void wb_quota_book_clear(wb_quota_book_t *ledger, int64_t now_ms) {
+void wb_quota_ledger_clear(wb_quota_ledger_t *ledger, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_remove_all(ledger->nodes);
@@ -264,7 +264,7 @@
 
 /* Deducts an equal share of each limit for nodes that never reported or, unless this is the only
  * ledger, for all disconnected nodes. */
-static void assume_equal_shares(wb_quota_book_t *ledger) {
+static void assume_equal_shares(wb_quota_ledger_t *ledger) {
     unsigned deducted = ledger->sole ? ledger->never_reported_count : ledger->disconnected_count;
     double nodes = MAX(g_hash_table_size(ledger->nodes), 1);
     GHashTableIter iter;
@@ -280,7 +280,7 @@
 
 /* Sums up what disconnected nodes may admit, as of when each was disconnected, and drops those that
  * have expired. */
-static void sum_assumed_usage(wb_quota_book_t *ledger, int64_t now_ms) {
+static void sum_assumed_usage(wb_quota_ledger_t *ledger, int64_t now_ms) {
     GHashTableIter entries;
     GHashTableIter nodes;
     gpointer value;
@@ -333,7 +333,8 @@
                                   requests > 0 ? units / requests : 0, 1};
         g_array_append_val(claims, claim);
     }
-    wb_quota_order_share((wb_quota_claim_t *)(void *)claims->data, claims->len, sustainable_per_s);
+    wb_quota_order_allocate((wb_quota_claim_t *)(void *)claims->data, claims->len,
+                            sustainable_per_s);
     for (guint i = 0; i < claims->len; i++) {
         const wb_quota_claim_t *claim = &g_array_index(claims, wb_quota_claim_t, i);
         wb_class_demand_t *demand =
@@ -360,12 +361,12 @@
 }
 
 /* Appends the shares of a throttled tenant. Returns TRUE when a share must be sent at once. */
-static gboolean append_shares(wb_quota_book_t *ledger, wb_quota_entry_t *entry) {
+static gboolean append_shares(wb_quota_ledger_t *ledger, wb_quota_entry_t *entry) {
     gboolean differs = has_changed(entry->share, entry->sent_share);
     if (entry->share >= 1) {
         return differs;
     }
-    wb_quota_share_t share = {entry->tenant, WB_QUOTA_OTHER_KINDS, entry->share};
+    wb_quota_share_t share = {entry->tenant, WB_QUOTA_OTHER_CLASSES, entry->share};
     g_array_append_val(ledger->shares, share);
     GHashTableIter iter;
     gpointer key;
@@ -373,7 +374,7 @@
     g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const wb_class_demand_t *demand = value;
-        if (GPOINTER_TO_UINT(key) != WB_QUOTA_OTHER_KINDS) {
+        if (GPOINTER_TO_UINT(key) != WB_QUOTA_OTHER_CLASSES) {
             wb_quota_share_t class_share = {entry->tenant, GPOINTER_TO_UINT(key), demand->share};
             g_array_append_val(ledger->shares, class_share);
             differs |= has_changed(demand->share, demand->sent_share);
@@ -393,7 +394,7 @@
     }
 }
 
-const GArray *wb_quota_book_shares(wb_quota_book_t *ledger, int64_t now_ms, gboolean *changed) {
+const GArray *wb_quota_ledger_shares(wb_quota_ledger_t *ledger, int64_t now_ms, gboolean *changed) {
     GHashTableIter iter;
     gpointer value;
     gboolean differs = FALSE;
@@ -419,8 +420,8 @@
     return ledger->shares;
 }
 
-gboolean wb_quota_book_state(const wb_quota_book_t *ledger, const char *tenant, int64_t now_ms,
-                             wb_quota_state_t *state) {
+gboolean wb_quota_ledger_state(const wb_quota_ledger_t *ledger, const char *tenant, int64_t now_ms,
+                               wb_quota_state_t *state) {
     const wb_quota_entry_t *entry = g_hash_table_lookup(ledger->entries, tenant);
     if (entry == NULL) {
         return FALSE;
--- a/src/quota/quota_book.h
+++ b/src/quota/quota_ledger.h
@@ -1,5 +1,5 @@
 /**
- * @file quota_book.h
+ * @file quota_ledger.h
  * @brief Ledger of what all gateways admit of each tenant's limit. It decides which share of a
  * tenant's requests they may admit.
  *
@@ -21,14 +21,14 @@
  * time is passed in. No errors: reports about tenants without a limit are ignored. Messages and the
  * admission of single requests are handled elsewhere.
  */
-#ifndef WICKBRIDGE_QUOTA_BOOK_H
-#define WICKBRIDGE_QUOTA_BOOK_H
+#ifndef WICKBRIDGE_QUOTA_LEDGER_H
+#define WICKBRIDGE_QUOTA_LEDGER_H
 
 #include "quota/quota_share.h"
 
 #include "wickbridge/tenant.h"
 
-typedef struct wb_quota_book_t wb_quota_book_t;
+typedef struct wb_quota_ledger_t wb_quota_ledger_t;
 
 /** State of a tenant, for operators. */
 typedef struct wb_quota_state_t {
@@ -39,26 +39,26 @@
     double share;          /**< of the requested units to admit; 1: not throttled */
 } wb_quota_state_t;
 
-wb_quota_book_t *wb_quota_book_create(void);
-void wb_quota_book_free(wb_quota_book_t *ledger);
+wb_quota_ledger_t *wb_quota_ledger_create(void);
+void wb_quota_ledger_free(wb_quota_ledger_t *ledger);
 
 /** Apply the limits of a new configuration. @param tenants NULL: there are none */
-void wb_quota_book_set_tenants(wb_quota_book_t *ledger, const wb_tenants_t *tenants,
-                               int64_t now_ms);
+void wb_quota_ledger_set_tenants(wb_quota_ledger_t *ledger, const wb_tenants_t *tenants,
+                                 int64_t now_ms);
 
 /** A node has reported its usage of one traffic class since its last report. */
-void wb_quota_book_report(wb_quota_book_t *ledger, const char *node, const wb_quota_use_t *use,
-                          int64_t now_ms);
+void wb_quota_ledger_report(wb_quota_ledger_t *ledger, const char *node,
+                            const wb_quota_usage_t *use, int64_t now_ms);
 /** A node is connected (again): nothing is deducted for it any more. */
-void wb_quota_book_node_reached(wb_quota_book_t *ledger, const char *node);
+void wb_quota_ledger_node_connected(wb_quota_ledger_t *ledger, const char *node);
 /** A node is disconnected, but may go on admitting requests. */
-void wb_quota_book_node_lost(wb_quota_book_t *ledger, const char *node, int64_t now_ms);
+void wb_quota_ledger_node_lost(wb_quota_ledger_t *ledger, const char *node, int64_t now_ms);
 /** A node exists: until it reports, it counts as disconnected. */
-void wb_quota_book_expect(wb_quota_book_t *ledger, const char *node, int64_t now_ms);
+void wb_quota_ledger_expect_node(wb_quota_ledger_t *ledger, const char *node, int64_t now_ms);
 /** @param sole whether this is certainly the only ledger; else nodes may report to another one */
-void wb_quota_book_set_sole(wb_quota_book_t *ledger, gboolean sole);
+void wb_quota_ledger_set_sole(wb_quota_ledger_t *ledger, gboolean sole);
 /** Start again with empty buckets: another node has kept the ledger in the meantime. */
-void wb_quota_book_clear(wb_quota_book_t *ledger, int64_t now_ms);
+void wb_quota_ledger_clear(wb_quota_ledger_t *ledger, int64_t now_ms);
 
 /**
  * Compute the shares of throttled tenants.
@@ -66,10 +66,10 @@
  * because a repetition is due; they then count as sent
  * @return wb_quota_share_t of all throttled tenants; owned by the ledger, valid until the next call
  */
-const GArray *wb_quota_book_shares(wb_quota_book_t *ledger, int64_t now_ms, gboolean *changed);
+const GArray *wb_quota_ledger_shares(wb_quota_ledger_t *ledger, int64_t now_ms, gboolean *changed);
 
 /** @return FALSE when the tenant is unknown or has no limit */
-gboolean wb_quota_book_state(const wb_quota_book_t *ledger, const char *tenant, int64_t now_ms,
-                             wb_quota_state_t *state);
+gboolean wb_quota_ledger_state(const wb_quota_ledger_t *ledger, const char *tenant, int64_t now_ms,
+                               wb_quota_state_t *state);
 
 #endif
--- a/src/quota/quota_gate.c
+++ b/src/quota/quota_limiter.c
@@ -1,5 +1,5 @@
 /* Admission of requests within their tenants' limits. */
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #include "quota/token_bucket.h"
 
@@ -24,7 +24,7 @@
 
 typedef struct wb_gate_entry_t {
     char *tenant;
-    GHashTable *classes; /* wb_quota_kind_t -> wb_gate_class_t */
+    GHashTable *classes; /* wb_quota_class_t -> wb_gate_class_t */
     wb_decayed_rate_t demand;
     double share;                   /* of classes without a share of their own; 1: not throttled */
     double previous_share;          /* before the latest shares were received */
@@ -34,7 +34,7 @@
     int64_t used_ms;
 } wb_gate_entry_t;
 
-struct wb_quota_gate_t {
+struct wb_quota_limiter_t {
     GHashTable *entries; /* tenant -> wb_gate_entry_t */
     gboolean reached;
     int64_t told_ms;
@@ -47,18 +47,18 @@
     g_free(entry);
 }
 
-wb_quota_gate_t *wb_quota_gate_create(void) {
-    wb_quota_gate_t *limiter = g_new0(wb_quota_gate_t, 1);
+wb_quota_limiter_t *wb_quota_limiter_create(void) {
+    wb_quota_limiter_t *limiter = g_new0(wb_quota_limiter_t, 1);
     limiter->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     return limiter;
 }
 
-void wb_quota_gate_free(wb_quota_gate_t *limiter) {
+void wb_quota_limiter_free(wb_quota_limiter_t *limiter) {
     g_hash_table_unref(limiter->entries);
     g_free(limiter);
 }
 
-static wb_gate_entry_t *entry_get(wb_quota_gate_t *limiter, const char *tenant) {
+static wb_gate_entry_t *entry_get(wb_quota_limiter_t *limiter, const char *tenant) {
     wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry == NULL) {
         entry = g_new0(wb_gate_entry_t, 1);
@@ -72,7 +72,7 @@
     return entry;
 }
 
-static wb_gate_class_t *class_get(wb_gate_entry_t *entry, wb_quota_kind_t kind) {
+static wb_gate_class_t *class_get(wb_gate_entry_t *entry, wb_quota_class_t kind) {
     wb_gate_class_t *traffic = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(kind));
     if (traffic == NULL) {
         traffic = g_new0(wb_gate_class_t, 1);
@@ -94,7 +94,7 @@
  * so that admitted costs add up to the share. The initial credit is random: otherwise each of many
  * nodes would admit its first request, which is too much in total. */
 static void admit_throttled(wb_gate_class_t *traffic, double cost, int64_t now_ms,
-                            wb_quota_verdict_t *verdict) {
+                            wb_quota_decision_t *verdict) {
     if (traffic->credit_unset) {
         traffic->credit_unset = FALSE;
         traffic->credit = -cost * g_random_double();
@@ -112,15 +112,15 @@
 
 /* Depth of the local bucket; at least one unit. */
 static double local_depth(const wb_gate_entry_t *entry) {
-    return MAX(WB_QUOTA_UNREACHED_DEPTH_S * entry->local_rate_per_s, 1);
+    return MAX(WB_QUOTA_OFFLINE_DEPTH_S * entry->local_rate_per_s, 1);
 }
 
 /* Initializes a tenant's local bucket, at its first request after the ledger became unreachable. */
 static void local_start(wb_gate_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
                         double demand_per_s, double cost, int64_t now_ms) {
-    double equal_per_s = nodes > 0 ? WB_QUOTA_UNREACHED_PART * tenant->rate_per_s / nodes : 0;
+    double equal_per_s = nodes > 0 ? WB_QUOTA_OFFLINE_SHARE * tenant->rate_per_s / nodes : 0;
     double allowed_per_s =
-        entry->share < 1 ? entry->share * demand_per_s : WB_QUOTA_UNREACHED_TIMES * demand_per_s;
+        entry->share < 1 ? entry->share * demand_per_s : WB_QUOTA_OFFLINE_FACTOR * demand_per_s;
     entry->local_rate_per_s = MAX(allowed_per_s, entry->share * equal_per_s);
     entry->local_bucket.at_ms = now_ms;
     entry->local_bucket.level =
@@ -129,7 +129,7 @@
 }
 
 static void admit_locally(wb_gate_entry_t *entry, double cost, int64_t now_ms,
-                          wb_quota_verdict_t *verdict) {
+                          wb_quota_decision_t *verdict) {
     double level = wb_token_bucket_fill(&entry->local_bucket, entry->local_rate_per_s,
                                         local_depth(entry), now_ms);
     verdict->admitted = level > 0;
@@ -140,10 +140,10 @@
     verdict->retry_ms = retry_ms(-level, entry->local_rate_per_s);
 }
 
-wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *limiter, const wb_tenant_t *tenant,
-                                     wb_quota_kind_t kind, double cost, unsigned nodes,
-                                     int64_t now_ms) {
-    wb_quota_verdict_t verdict = {
+wb_quota_decision_t wb_quota_limiter_admit(wb_quota_limiter_t *limiter, const wb_tenant_t *tenant,
+                                           wb_quota_class_t kind, double cost, unsigned nodes,
+                                           int64_t now_ms) {
+    wb_quota_decision_t verdict = {
         .admitted = TRUE, .share = 1, .reached = limiter->reached, .told_ms = limiter->told_ms};
     if (tenant->rate_per_s <= 0) {
         return verdict;
@@ -171,8 +171,8 @@
     return verdict;
 }
 
-void wb_quota_gate_adjust(wb_quota_gate_t *limiter, const char *tenant, wb_quota_kind_t kind,
-                          double cost) {
+void wb_quota_limiter_adjust(wb_quota_limiter_t *limiter, const char *tenant, wb_quota_class_t kind,
+                             double cost) {
     wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry != NULL) {
         class_get(entry, kind)->admitted += cost;
@@ -192,7 +192,7 @@
     }
 }
 
-void wb_quota_gate_set_reached(wb_quota_gate_t *limiter, gboolean reached) {
+void wb_quota_limiter_set_connected(wb_quota_limiter_t *limiter, gboolean reached) {
     if (limiter->reached == reached) {
         return;
     }
@@ -224,8 +224,8 @@
     }
 }
 
-void wb_quota_gate_tell(wb_quota_gate_t *limiter, const wb_quota_share_t *shares, size_t count,
-                        int64_t now_ms) {
+void wb_quota_limiter_set_shares(wb_quota_limiter_t *limiter, const wb_quota_share_t *shares,
+                                 size_t count, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     limiter->told_ms = now_ms;
@@ -238,7 +238,7 @@
     for (size_t i = 0; i < count; i++) {
         wb_gate_entry_t *entry = entry_get(limiter, shares[i].tenant);
         entry->used_ms = now_ms;
-        if (shares[i].kind == WB_QUOTA_OTHER_KINDS) {
+        if (shares[i].kind == WB_QUOTA_OTHER_CLASSES) {
             share_set(entry, shares[i].share);
         } else {
             class_get(entry, shares[i].kind)->share = CLAMP(shares[i].share, 0, 1);
@@ -256,15 +256,15 @@
         if (traffic->asked == 0 && traffic->admitted == 0) {
             continue;
         }
-        wb_quota_use_t class_usage = {entry->tenant, GPOINTER_TO_UINT(key), traffic->asked,
-                                      traffic->requests, traffic->admitted};
+        wb_quota_usage_t class_usage = {entry->tenant, GPOINTER_TO_UINT(key), traffic->asked,
+                                        traffic->requests, traffic->admitted};
         g_array_append_val(usage, class_usage);
     }
     usage_reset(entry);
 }
 
-GArray *wb_quota_gate_take_uses(wb_quota_gate_t *limiter) {
-    GArray *usage = g_array_new(FALSE, FALSE, sizeof(wb_quota_use_t));
+GArray *wb_quota_limiter_take_usage(wb_quota_limiter_t *limiter) {
+    GArray *usage = g_array_new(FALSE, FALSE, sizeof(wb_quota_usage_t));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, limiter->entries);
@@ -287,7 +287,7 @@
     return FALSE;
 }
 
-void wb_quota_gate_sweep(wb_quota_gate_t *limiter, int64_t now_ms) {
+void wb_quota_limiter_sweep(wb_quota_limiter_t *limiter, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, limiter->entries);
--- a/src/quota/quota_gate.h
+++ b/src/quota/quota_limiter.h
@@ -1,5 +1,5 @@
 /**
- * @file quota_gate.h
+ * @file quota_limiter.h
  * @brief Admits a gateway's requests within their tenants' limits, which apply to all nodes
  * together.
  *
@@ -17,51 +17,51 @@
  * Costs are in units (wb_tenant_cost), times monotonic and in milliseconds. Pure: the time is
  * passed in. No errors.
  */
-#ifndef WICKBRIDGE_QUOTA_GATE_H
-#define WICKBRIDGE_QUOTA_GATE_H
+#ifndef WICKBRIDGE_QUOTA_LIMITER_H
+#define WICKBRIDGE_QUOTA_LIMITER_H
 
 #include "quota/quota_share.h"
 
 #include "wickbridge/tenant.h"
 
-typedef struct wb_quota_gate_t wb_quota_gate_t;
+typedef struct wb_quota_limiter_t wb_quota_limiter_t;
 
-typedef struct wb_quota_verdict_t {
+typedef struct wb_quota_decision_t {
     gboolean admitted;
     int64_t retry_ms; /**< if refused: time after which a request of this cost would be admitted at
                        * the recent demand */
     double share;     /**< share in force for the request's traffic class; 1: not throttled */
     gboolean reached; /**< the ledger is reachable */
     int64_t told_ms;  /**< when the shares were received; 0: never */
-} wb_quota_verdict_t;
+} wb_quota_decision_t;
 
-wb_quota_gate_t *wb_quota_gate_create(void);
-void wb_quota_gate_free(wb_quota_gate_t *limiter);
+wb_quota_limiter_t *wb_quota_limiter_create(void);
+void wb_quota_limiter_free(wb_quota_limiter_t *limiter);
 
 /**
  * Decide whether to admit a request, and count it.
- * @param kind  traffic class by wb_quota_kind; WB_QUOTA_OTHER_KINDS when classes aren't used
+ * @param kind  traffic class by wb_quota_class; WB_QUOTA_OTHER_CLASSES when classes aren't used
  * @param cost  by wb_tenant_cost
  * @param nodes number of nodes that share the limit; 0: unknown yet
  */
-wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *limiter, const wb_tenant_t *tenant,
-                                     wb_quota_kind_t kind, double cost, unsigned nodes,
-                                     int64_t now_ms);
+wb_quota_decision_t wb_quota_limiter_admit(wb_quota_limiter_t *limiter, const wb_tenant_t *tenant,
+                                           wb_quota_class_t kind, double cost, unsigned nodes,
+                                           int64_t now_ms);
 /**
  * Correct the cost of an admitted request that ran more than once, or not at all.
  * @param cost units beyond those admitted; negative: units given back
  */
-void wb_quota_gate_adjust(wb_quota_gate_t *limiter, const char *tenant, wb_quota_kind_t kind,
-                          double cost);
+void wb_quota_limiter_adjust(wb_quota_limiter_t *limiter, const char *tenant, wb_quota_class_t kind,
+                             double cost);
 /** Set whether the ledger is reachable. */
-void wb_quota_gate_set_reached(wb_quota_gate_t *limiter, gboolean reached);
+void wb_quota_limiter_set_connected(wb_quota_limiter_t *limiter, gboolean reached);
 /** Set the shares of all throttled tenants; a tenant that isn't listed isn't throttled. */
-void wb_quota_gate_tell(wb_quota_gate_t *limiter, const wb_quota_share_t *shares, size_t count,
-                        int64_t now_ms);
-/** @return wb_quota_use_t of the usage since the last call; to be freed with g_array_unref, the
+void wb_quota_limiter_set_shares(wb_quota_limiter_t *limiter, const wb_quota_share_t *shares,
+                                 size_t count, int64_t now_ms);
+/** @return wb_quota_usage_t of the usage since the last call; to be freed with g_array_unref, the
  * tenants' names belong to the limiter */
-GArray *wb_quota_gate_take_uses(wb_quota_gate_t *limiter);
+GArray *wb_quota_limiter_take_usage(wb_quota_limiter_t *limiter);
 /** Drop tenants without recent requests. */
-void wb_quota_gate_sweep(wb_quota_gate_t *limiter, int64_t now_ms);
+void wb_quota_limiter_sweep(wb_quota_limiter_t *limiter, int64_t now_ms);
 
 #endif
--- a/src/quota/quota_order.c
+++ b/src/quota/quota_order.c
@@ -12,16 +12,16 @@
 #define PRIORITY_BITS 8
 #define PRIORITY_MAX 254
 
-wb_quota_kind_t wb_quota_kind(const char *service, int priority) {
+wb_quota_class_t wb_quota_class(const char *service, int priority) {
     uint32_t service_hash = XXH32(service, strlen(service), 0) << PRIORITY_BITS;
     return service_hash | (uint32_t)(CLAMP(priority, 0, PRIORITY_MAX) + 1);
 }
 
-static uint32_t service_of(wb_quota_kind_t kind) {
+static uint32_t service_of(wb_quota_class_t kind) {
     return kind >> PRIORITY_BITS;
 }
 
-static unsigned priority_of(wb_quota_kind_t kind) {
+static unsigned priority_of(wb_quota_class_t kind) {
     return kind & ((1U << PRIORITY_BITS) - 1);
 }
 
@@ -72,7 +72,7 @@
     return end;
 }
 
-void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double available_per_s) {
+void wb_quota_order_allocate(wb_quota_claim_t *claims, size_t count, double available_per_s) {
     g_autoptr(GArray) ordered = g_array_new(FALSE, FALSE, sizeof(wb_ordered_claim_t));
     double asked_per_s = 0;
     for (size_t i = 0; i < count; i++) {
--- a/src/quota/quota_order.h
+++ b/src/quota/quota_order.h
@@ -20,27 +20,27 @@
 #include <stdint.h>
 
 /** Traffic class: a hash of the service and a priority. */
-typedef uint32_t wb_quota_kind_t;
+typedef uint32_t wb_quota_class_t;
 
 /** Stands for all classes that aren't listed. */
-#define WB_QUOTA_OTHER_KINDS 0
+#define WB_QUOTA_OTHER_CLASSES 0
 
 /** Demand of a traffic class. */
 typedef struct wb_quota_claim_t {
-    wb_quota_kind_t kind;
+    wb_quota_class_t kind;
     double asked_per_s; /**< units a second requested */
     double cost;        /**< mean units of a request */
     double share;       /**< out: share of the requested units to admit, 0 to 1 */
 } wb_quota_claim_t;
 
 /** @param priority 0 is the most urgent; 254 and above form one class */
-wb_quota_kind_t wb_quota_kind(const char *service, int priority);
+wb_quota_class_t wb_quota_class(const char *service, int priority);
 
 /**
  * Set the share of each claim.
  * @param available_per_s units a second to allocate. The allocated units add up to it, or all
  * shares are 1
  */
-void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double available_per_s);
+void wb_quota_order_allocate(wb_quota_claim_t *claims, size_t count, double available_per_s);
 
 #endif
--- a/src/quota/quota_share.h
+++ b/src/quota/quota_share.h
@@ -12,28 +12,28 @@
 
 /** While the ledger is unreachable, a node admits an unthrottled tenant up to this multiple of its
  * recent demand there. */
-#define WB_QUOTA_UNREACHED_TIMES 1.5
+#define WB_QUOTA_OFFLINE_FACTOR 1.5
 /** Or up to this share of an equal share of the tenant's limit, if that is more. All nodes may be
  * disconnected at once, and their allowances together must not exceed the limit. */
-#define WB_QUOTA_UNREACHED_PART 0.15
+#define WB_QUOTA_OFFLINE_SHARE 0.15
 /** Depth of the tenant's local token bucket meanwhile, in seconds of its local rate. */
-#define WB_QUOTA_UNREACHED_DEPTH_S 1.0
+#define WB_QUOTA_OFFLINE_DEPTH_S 1.0
 
 /** Share of a throttled tenant's requests to admit. A throttled tenant has one for
- * WB_QUOTA_OTHER_KINDS, and one for each traffic class with a share of its own. */
+ * WB_QUOTA_OTHER_CLASSES, and one for each traffic class with a share of its own. */
 typedef struct wb_quota_share_t {
     const char *tenant; /**< borrowed */
-    wb_quota_kind_t kind;
+    wb_quota_class_t kind;
     double share; /**< of the units requested, 0 to 1 */
 } wb_quota_share_t;
 
 /** Usage of a tenant's traffic class at a gateway since its last report. */
-typedef struct wb_quota_use_t {
+typedef struct wb_quota_usage_t {
     const char *tenant; /**< borrowed */
-    wb_quota_kind_t kind;
+    wb_quota_class_t kind;
     double asked;    /**< units requested */
     double requests; /**< requests that asked for them */
     double admitted; /**< units admitted; negative when more was given back than admitted */
-} wb_quota_use_t;
+} wb_quota_usage_t;
 
 #endif
--- a/src/request/api_key.h
+++ b/src/request/api_key.h
@@ -14,7 +14,7 @@
 typedef enum wb_api_key_state_t {
     WB_API_KEY_ABSENT,    /**< no header for it */
     WB_API_KEY_MALFORMED, /**< repeated header, other scheme, empty, too long or not printable */
-    WB_API_KEY_GIVEN      /**< one well-formed key, which need not belong to a tenant */
+    WB_API_KEY_PRESENT    /**< one well-formed key, which need not belong to a tenant */
 } wb_api_key_state_t;
 
 typedef struct wb_api_key_t {
@@ -26,6 +26,6 @@
 
 /** @return TRUE for a client's header that must not be forwarded to engines when tenants are
  * configured */
-gboolean wb_api_key_is_private(const wb_dialect_t *dialect, const char *header);
+gboolean wb_api_key_strips_header(const wb_dialect_t *dialect, const char *header);
 
 #endif
--- a/src/request/crash_watch.h
+++ b/src/request/crash_watch.h
@@ -28,14 +28,14 @@
 #include <glib.h>
 
 /** A request that an engine aborted: the connection ended before the answer was complete. */
-typedef struct wb_broken_request_t {
+typedef struct wb_aborted_request_t {
     wb_request_digest_t digest;
     uint32_t body_bytes;
-} wb_broken_request_t;
+} wb_aborted_request_t;
 
 typedef struct wb_crash_watch_events_t {
     /** An engine has ended.
-     * @param requests array of wb_broken_request_t, maybe with duplicates; owned by the watch.
+     * @param requests array of wb_aborted_request_t, maybe with duplicates; owned by the watch.
      * Requests whose abort is noticed later are reported by a further call. */
     void (*on_crashed)(const char *engine_id, const GArray *requests, void *context);
     void *context;
@@ -56,10 +56,10 @@
 
 /** An engine closed the connection of a request before its answer was complete.
  * @param engine_id here and below: the engine's incarnation */
-void wb_crash_watch_broken(wb_crash_watch_t *watch, const char *engine_id, const char *address,
-                           const wb_broken_request_t *request);
+void wb_crash_watch_note_aborted(wb_crash_watch_t *watch, const char *engine_id,
+                                 const char *address, const wb_aborted_request_t *request);
 /** The row of an engine was removed that had not announced that it is draining. */
-void wb_crash_watch_row_gone(wb_crash_watch_t *watch, const char *engine_id);
+void wb_crash_watch_row_removed(wb_crash_watch_t *watch, const char *engine_id);
 /** An engine announces itself at an address: any other engine that had the address has ended. */
 void wb_crash_watch_address_taken(wb_crash_watch_t *watch, const char *engine_id,
                                   const char *address);
--- a/src/request/event_stream.h
+++ b/src/request/event_stream.h
@@ -11,7 +11,7 @@
 
 /** @return length of the complete events at the start, up to and including the last blank line; 0
  * when there is none */
-size_t wb_events_whole(const char *text, size_t length);
+size_t wb_events_complete_length(const char *text, size_t length);
 /** @param text complete events
  * @return the id of the last event that has one, to be freed with g_free; NULL when none has */
 char *wb_events_last_id(const char *text, size_t length);
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -1,5 +1,5 @@
 /* A client's request: its attempts at engines, and the answers of this node itself. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include "dispatch/admission.h"
 
@@ -73,7 +73,7 @@
     exchange->engine->running--;
     if (exchange->engine->running == 0)
         exchange->engine->unheard_since_ms = 0;
-    wb_demand_running(exchange->edge->demand, exchange, FALSE);
+    wb_demand_set_running(exchange->edge->demand, exchange, FALSE);
 }
 
 static void attempt_stop(wb_exchange_t *exchange) {
@@ -83,7 +83,7 @@
 }
 
 static void exchange_free(wb_exchange_t *exchange) {
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     attempt_stop(exchange);
     wb_exchange_clear_timer(&exchange->due_timer);
     wb_engine_unref(exchange->engine);
@@ -101,11 +101,11 @@
     g_free(exchange);
 }
 
-wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t outcome,
+wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_outcome_t outcome,
                                       unsigned status) {
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     wb_exchange_settle_quota(exchange);
-    wb_exchange_note_end(exchange, outcome, status);
+    wb_exchange_record_outcome(exchange, outcome, status);
     wb_http_connection_t *connection = exchange->connection;
     wb_http_connection_set_request(connection, NULL);
     exchange_free(exchange);
@@ -116,19 +116,19 @@
     g_snprintf(headers, size, "Retry-After: %.2f\r\n", (double)after_ms / 1000.0);
 }
 
-static int64_t refusal_retry_after_ms(wb_exchange_t *exchange, wb_ending_t outcome) {
+static int64_t refusal_retry_after_ms(wb_exchange_t *exchange, wb_outcome_t outcome) {
     switch (outcome) {
-    case WB_ENDING_POISON:
+    case WB_OUTCOME_POISON:
         return wb_exchange_poison_left_ms(exchange);
-    case WB_ENDING_NO_ROOM:
+    case WB_OUTCOME_OVERLOADED:
         return exchange->overload_retry_ms;
     default:
-        return wb_exchange_come_back_ms(exchange);
+        return wb_exchange_retry_after_ms(exchange);
     }
 }
 
 /* Ends the exchange with an answer of this node. */
-static void exchange_refuse(wb_exchange_t *exchange, wb_ending_t outcome, unsigned status) {
+static void exchange_refuse(wb_exchange_t *exchange, wb_outcome_t outcome, unsigned status) {
     if (exchange->answer_begun) {
         wb_http_connection_abort(wb_exchange_end(exchange, outcome, 0));
         return;
@@ -141,9 +141,9 @@
         int64_t retry_after_ms = refusal_retry_after_ms(exchange, outcome);
         retry_after_write(headers, sizeof(headers), retry_after_ms);
         /* No controller receives the demand now: keep it for the next one. */
-        if (outcome == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
-            wb_demand_promised(exchange->edge->demand, exchange,
-                               wb_clock_ms() + retry_after_ms + RETRY_GRACE_MS);
+        if (outcome == WB_OUTCOME_MODEL_NOT_LOADED && wb_exchange_lacks_controller(exchange)) {
+            wb_demand_expect_retry(exchange->edge->demand, exchange,
+                                   wb_clock_ms() + retry_after_ms + RETRY_GRACE_MS);
         }
     }
     if (status == 401) {
@@ -154,11 +154,11 @@
     wb_http_connection_answer(connection, status, wb_http_reason(status), headers, NULL, 0);
 }
 
-void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t outcome) {
-    unsigned ran_status = outcome == WB_ENDING_TIMED_OUT ? 504 : 502;
+void wb_exchange_give_up(wb_exchange_t *exchange, wb_outcome_t outcome) {
+    unsigned ran_status = outcome == WB_OUTCOME_TIMED_OUT ? 504 : 502;
     attempt_stop(exchange);
     exchange_refuse(exchange, outcome,
-                    exchange->runs == 0 ? wb_ending_status(outcome) : ran_status);
+                    exchange->runs == 0 ? wb_outcome_status(outcome) : ran_status);
 }
 
 /* Counts a failure of an engine, and avoids the engine for some time. */
@@ -167,7 +167,7 @@
     int64_t avoid_ms = AVOID_MS << MIN(engine->failures - 1, 4);
     avoid_ms = MIN(avoid_ms, AVOID_MAX_MS);
     engine->avoid_until_ms = wb_clock_ms() + avoid_ms;
-    wb_upstreams_drop(engine);
+    wb_upstreams_close_idle(engine);
     wb_event("engine-avoided",
              ",\"engine\":\"%s\",\"id\":\"%s\",\"reason\":\"%s\",\"failures\":%u,\"for_ms\":%lld",
              engine->state->id, wb_event_text(request_id), reason, engine->failures,
@@ -182,29 +182,29 @@
            wb_clock_ms() - exchange->sent_ms > SILENT_ENGINE_MS;
 }
 
-void wb_exchange_gone(wb_exchange_t *exchange) {
+void wb_exchange_client_gone(wb_exchange_t *exchange) {
     if (engine_is_silent(exchange))
         engine_failed(exchange->engine, "silent", exchange->id);
-    wb_exchange_end(exchange, WB_ENDING_CALLER_GONE, 0);
+    wb_exchange_end(exchange, WB_OUTCOME_CLIENT_GONE, 0);
 }
 
 static void due_expired(void *context) {
     wb_exchange_t *exchange = context;
     exchange->due_timer = NULL;
     int64_t now_ms = wb_clock_ms();
-    if (wb_list_is_linked(&exchange->waiting) && now_ms < exchange->hold_until_ms) {
-        wb_exchange_give_up(exchange,
-                            exchange->model != NULL ? WB_ENDING_NOT_LOADED : WB_ENDING_NO_ENGINE);
+    if (wb_list_is_linked(&exchange->waiting) && now_ms < exchange->answer_due_ms) {
+        wb_exchange_give_up(exchange, exchange->model != NULL ? WB_OUTCOME_MODEL_NOT_LOADED
+                                                              : WB_OUTCOME_NO_ENGINE);
         return;
     }
     if (engine_is_silent(exchange))
         engine_failed(exchange->engine, "silent", exchange->id);
-    wb_exchange_give_up(exchange, WB_ENDING_TIMED_OUT);
+    wb_exchange_give_up(exchange, WB_OUTCOME_TIMED_OUT);
 }
 
-void wb_exchange_arm_hold(wb_exchange_t *exchange) {
+void wb_exchange_arm_timeout(wb_exchange_t *exchange) {
     wb_exchange_clear_timer(&exchange->due_timer);
-    int64_t due_ms = exchange->hold_until_ms;
+    int64_t due_ms = exchange->answer_due_ms;
     if (wb_list_is_linked(&exchange->waiting))
         due_ms = MIN(due_ms, exchange->wait_until_ms);
     exchange->due_timer =
@@ -243,7 +243,7 @@
 static void exchange_send(wb_exchange_t *exchange, wb_engine_t *engine) {
     wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     wb_tried_engine_t tried = {g_strdup(engine->state->id), 0};
     g_array_append_val(exchange->tried, tried);
     wb_engine_ref(engine);
@@ -253,7 +253,7 @@
     exchange->sends++;
     exchange->runs++;
     exchange->limit_counted = engine->limit.named;
-    wb_engine_limit_note(&engine->limit, now_ms);
+    wb_engine_limit_record(&engine->limit, now_ms);
     edge->metrics.sends++;
     if (wb_attempt_start(exchange, engine) == NULL) {
         wb_attempt_failure_t failure = {.reason = "no-connection"};
@@ -263,15 +263,15 @@
     exchange->running_counted = TRUE;
     engine->running++;
     if (now_ms < engine->cold_until_ms) {
-        wb_send_gate_note(&engine->cold_gate, WB_COLD_WINDOW_MS, now_ms);
-        edge->metrics.cold_sends++;
+        wb_send_limiter_record(&engine->cold_limiter, WB_COLD_WINDOW_MS, now_ms);
+        edge->metrics.cold_attempts++;
     }
-    exchange->prefill_counted = wb_balancer_unread_tokens(engine, exchange, now_ms);
+    exchange->prefill_counted = wb_balancer_prefill_tokens(engine, exchange, now_ms);
     engine->prefill_tokens += exchange->prefill_counted;
     engine->tokens_sent += (double)exchange->prefill_counted;
-    wb_balancer_note_read(engine, exchange, now_ms);
-    wb_demand_running(edge->demand, exchange, TRUE);
-    wb_exchange_arm_hold(exchange);
+    wb_balancer_note_prefilled(engine, exchange, now_ms);
+    wb_demand_set_running(edge->demand, exchange, TRUE);
+    wb_exchange_arm_timeout(exchange);
     silence_arm(exchange);
 }
 
@@ -279,13 +279,13 @@
  * first attempt may be refused. */
 static gboolean is_admitted(wb_exchange_t *exchange, int64_t now_ms) {
     const wb_edge_t *edge = exchange->edge;
-    if (edge->settings.admission == 0 || !edge->loads_known || exchange->sends > 0) {
+    if (edge->settings.admission == 0 || !edge->shared_loads_valid || exchange->sends > 0) {
         return TRUE;
     }
     wb_choice_request_t request = wb_balancer_request(exchange, now_ms);
     const wb_choice_estimate_t *estimate = &exchange->decision.estimate;
-    double chance = wb_admission_refusal_chance(&request, estimate, exchange->priority,
-                                                (double)wb_exchange_patience_ms(exchange));
+    double chance = wb_admission_refusal_probability(
+        &request, estimate, exchange->priority, (double)wb_exchange_client_timeout_ms(exchange));
     if (chance <= 0 || g_random_double() >= chance) {
         return TRUE;
     }
@@ -298,11 +298,11 @@
     /* Checked before each attempt: else all copies of a poison request that wait for a model would
      * be sent to one more engine once it is loaded. */
     if (!wb_exchange_may_send(exchange)) {
-        wb_exchange_give_up(exchange, WB_ENDING_POISON);
+        wb_exchange_give_up(exchange, WB_OUTCOME_POISON);
         return;
     }
-    if (now_ms >= exchange->hold_until_ms) {
-        wb_exchange_give_up(exchange, WB_ENDING_TIMED_OUT);
+    if (now_ms >= exchange->answer_due_ms) {
+        wb_exchange_give_up(exchange, WB_OUTCOME_TIMED_OUT);
         return;
     }
     if (!wb_exchange_engines_known(exchange)) {
@@ -312,17 +312,17 @@
     wb_engine_t *engine = wb_balancer_choose(exchange->edge, exchange, now_ms, &exchange->decision);
     if (engine == NULL) {
         if (exchange->answer_begun && exchange->sends >= SENDS_MAX)
-            wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+            wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
         else
             wb_exchange_wait(exchange);
         return;
     }
     if (!is_admitted(exchange, now_ms)) {
-        wb_exchange_give_up(exchange, WB_ENDING_NO_ROOM);
+        wb_exchange_give_up(exchange, WB_OUTCOME_OVERLOADED);
         return;
     }
     if (!resend_allowed(exchange)) {
-        wb_exchange_give_up(exchange, WB_ENDING_NO_BUDGET);
+        wb_exchange_give_up(exchange, WB_OUTCOME_NO_RETRY_BUDGET);
         return;
     }
     exchange_send(exchange, engine);
@@ -362,10 +362,10 @@
     engine->rejected_until_ms = now_ms + REJECTED_AVOID_MS;
     if (exchange->reply.status != edge->dialect->wrong_engine_status) {
         int64_t delay_ms = (int64_t)REJECTED_RETRY_MS << MIN(exchange->rejections - 1, 4);
-        tried_last(exchange)->again_ms = now_ms + delay_ms;
+        tried_last(exchange)->eligible_at_ms = now_ms + delay_ms;
     }
     if (exchange->sends >= SENDS_MAX)
-        wb_exchange_give_up(exchange, WB_ENDING_REJECTED);
+        wb_exchange_give_up(exchange, WB_OUTCOME_REJECTED);
     else
         wb_exchange_dispatch(exchange);
 }
@@ -382,23 +382,23 @@
         wb_exchange_attempt_failed(exchange, &failure);
         return;
     }
-    wb_exchange_note_survived(exchange);
+    wb_exchange_note_completed(exchange);
     gboolean failed = reply->status >= 500;
     if (failed && resend_run(exchange))
         return;
     if (exchange->resuming && reply->status / 100 != 2) {
-        wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+        wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
         return;
     }
     wb_exchange_note_first_event(exchange);
-    wb_exchange_pass_whole(exchange);
+    wb_exchange_forward_answer(exchange);
 }
 
 /* The digest shows whether the same request is aborted at engine after engine. */
 static void attempt_failure_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (failure->sent) {
-        wb_request_digest_write(wb_exchange_digest(exchange), digest);
+        wb_request_digest_format(wb_exchange_digest(exchange), digest);
     }
     wb_event("send-broken",
              ",\"id\":\"%s\",\"engine\":\"%s\",\"reason\":\"%s\",\"sent\":%s,\"answer_begun\":%s,"
@@ -410,12 +410,12 @@
 
 /* The engine became unavailable while the connection was being established. */
 static void attempt_withdraw(wb_exchange_t *exchange) {
-    exchange->edge->metrics.sends_withdrawn++;
+    exchange->edge->metrics.attempts_withdrawn++;
     wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_text(exchange->id),
              exchange->engine->state->id);
     exchange->sends--;
     exchange->runs--;
-    tried_last(exchange)->again_ms = wb_clock_ms();
+    tried_last(exchange)->eligible_at_ms = wb_clock_ms();
     wb_exchange_dispatch(exchange);
 }
 
@@ -427,22 +427,22 @@
         return;
     }
     engine_failed(exchange->engine, failure->reason, exchange->id);
-    edge->metrics.broken_sends++;
+    edge->metrics.failed_attempts++;
     attempt_failure_log(exchange, failure);
-    if (failure->sent && failure->broke_off) {
-        wb_exchange_note_broken(exchange);
+    if (failure->sent && failure->engine_aborted) {
+        wb_exchange_note_aborted(exchange);
     }
     if (!failure->sent) {
         exchange->sends--;
         exchange->runs--;
         if (++exchange->connect_failures >= CONNECT_FAILURES_MAX)
-            wb_exchange_give_up(exchange, WB_ENDING_NO_ENGINE);
+            wb_exchange_give_up(exchange, WB_OUTCOME_NO_ENGINE);
         else
             wb_exchange_dispatch(exchange);
         return;
     }
     if (!resend_run(exchange))
-        wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+        wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
 }
 
 void wb_exchanges_engine_ended(wb_edge_t *edge, const wb_engine_t *engine) {
@@ -475,12 +475,12 @@
     g_hash_table_add(edge->open, exchange);
     edge->metrics.requests++;
     wb_http_connection_set_request(connection, exchange);
-    wb_ending_t outcome = wb_exchange_read(exchange);
-    if (outcome != WB_ENDING_COUNT) {
-        exchange_refuse(exchange, outcome, wb_ending_status(outcome));
+    wb_outcome_t outcome = wb_exchange_read(exchange);
+    if (outcome != WB_OUTCOME_COUNT) {
+        exchange_refuse(exchange, outcome, wb_outcome_status(outcome));
         return;
     }
     wb_exchange_count_request(exchange);
-    wb_demand_arrived(edge->demand, exchange);
+    wb_demand_note_arrival(edge->demand, exchange);
     wb_exchange_dispatch(exchange);
 }
--- a/src/request/exchange_budget.c
+++ b/src/request/exchange_budget.c
@@ -1,5 +1,5 @@
 /* Retry budgets: whether requests of a service may be sent again. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge) {
     return (int64_t)(edge->settings.retry_window_s * 1000);
@@ -18,12 +18,12 @@
  * just started knows neither what its predecessor has spent nor whether all other nodes count it
  * yet: until then its share is 0, and only the ratio of its own requests remains. */
 static double slack_share(const wb_edge_t *edge, int64_t now_ms) {
-    return wb_equal_share_part(edge->share, edge->settings.retry_slack,
-                               wb_edge_retry_window_ms(edge), now_ms);
+    return wb_equal_share_amount(edge->share, edge->settings.retry_slack,
+                                 wb_edge_retry_window_ms(edge), now_ms);
 }
 
 void wb_exchange_count_request(const wb_exchange_t *exchange) {
-    wb_retry_budget_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
+    wb_retry_budget_note_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
 }
 
 double wb_exchange_resends_left(const wb_exchange_t *exchange) {
--- a/src/request/exchange_inner.h
+++ b/src/request/exchange_internal.h
@@ -1,12 +1,12 @@
 /**
- * @file exchange_inner.h
+ * @file exchange_internal.h
  * @brief Private functions shared by the exchange*.c files, which implement a client's request.
  *
  * Names ending in _ms are milliseconds; functions return durations. Functions that may end the
  * exchange free it and say so: the caller must not use it afterwards. All run on the loop's thread.
  */
-#ifndef WICKBRIDGE_EXCHANGE_INNER_H
-#define WICKBRIDGE_EXCHANGE_INNER_H
+#ifndef WICKBRIDGE_EXCHANGE_INTERNAL_H
+#define WICKBRIDGE_EXCHANGE_INTERNAL_H
 
 #include "request/request_types.h"
 
@@ -15,9 +15,9 @@
 void wb_exchange_dispatch(wb_exchange_t *exchange);
 /** End it with an answer of this node: the outcome's own status if it certainly has not run, else
  * 502 or 504. If the answer has begun, the connection is aborted. It is freed. */
-void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t outcome);
+void wb_exchange_give_up(wb_exchange_t *exchange, wb_outcome_t outcome);
 /** Record the outcome and free the exchange. @return its connection, to send the answer on */
-wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t outcome,
+wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_outcome_t outcome,
                                       unsigned status);
 /** Cancel a timer if it is set, and clear it. */
 void wb_exchange_clear_timer(wb_timer_t **timer);
@@ -25,17 +25,17 @@
 /** The engine has prefilled the prompt, or won't: remove it from the engine's backlog. */
 void wb_exchange_release_prefill(wb_exchange_t *exchange);
 /** Arm the timer for the end of its wait if it waits, else for the time its answer is due. */
-void wb_exchange_arm_hold(wb_exchange_t *exchange);
+void wb_exchange_arm_timeout(wb_exchange_t *exchange);
 
 /* exchange_read.c */
-/** Find its route, service, model and times. @return WB_ENDING_COUNT, or why it can't be served */
-wb_ending_t wb_exchange_read(wb_exchange_t *exchange);
+/** Find its route, service, model and times. @return WB_OUTCOME_COUNT, or why it can't be served */
+wb_outcome_t wb_exchange_read(wb_exchange_t *exchange);
 /** @return the HTTP status of an outcome of a request that has not run */
-unsigned wb_ending_status(wb_ending_t outcome);
+unsigned wb_outcome_status(wb_outcome_t outcome);
 
 /* exchange_tenant.c */
-/** Find its tenant and priority. @return WB_ENDING_COUNT, or why it can't be served */
-wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange);
+/** Find its tenant and priority. @return WB_OUTCOME_COUNT, or why it can't be served */
+wb_outcome_t wb_exchange_read_tenant(wb_exchange_t *exchange);
 /** Charge its tenant's limit for one run. @return FALSE when the limit is used up */
 gboolean wb_exchange_charge_quota(wb_exchange_t *exchange);
 /** It has ended: refund the charge if it has not run, and charge each further run. */
@@ -51,16 +51,16 @@
 
 /* exchange_wait.c */
 /** @return the client timeout, from its arrival */
-int64_t wb_exchange_patience_ms(const wb_exchange_t *exchange);
+int64_t wb_exchange_client_timeout_ms(const wb_exchange_t *exchange);
 /** Let it wait for an engine or a load as long as that is useful; if it waits already, update that.
  */
 void wb_exchange_wait(wb_exchange_t *exchange);
 /** End its wait, if it waits. */
-void wb_exchange_leave_waiting(wb_exchange_t *exchange);
+void wb_exchange_stop_waiting(wb_exchange_t *exchange);
 /** @return TRUE while no controller is reachable */
-gboolean wb_exchange_nobody_decides(const wb_exchange_t *exchange);
+gboolean wb_exchange_lacks_controller(const wb_exchange_t *exchange);
 /** @return the Retry-After for its client */
-int64_t wb_exchange_come_back_ms(const wb_exchange_t *exchange);
+int64_t wb_exchange_retry_after_ms(const wb_exchange_t *exchange);
 
 /* exchange_poison.c */
 /** @return the digest of its content; computed on first use, as few requests need it */
@@ -74,9 +74,9 @@
 /** @return the time until its poison entry expires; at least 1 */
 int64_t wb_exchange_poison_left_ms(wb_exchange_t *exchange);
 /** Its engine aborted it, and may have crashed while running it. */
-void wb_exchange_note_broken(wb_exchange_t *exchange);
+void wb_exchange_note_aborted(wb_exchange_t *exchange);
 /** Its engine completed an answer, whatever its status: it didn't crash the engine. */
-void wb_exchange_note_survived(wb_exchange_t *exchange);
+void wb_exchange_note_completed(wb_exchange_t *exchange);
 
 /* exchange_wait.c */
 /** @return TRUE when the engines that can serve it are known here; else they have been requested */
@@ -88,10 +88,11 @@
 /** The engine has begun to answer: record the latency. Only the first call has an effect. */
 void wb_exchange_note_first_event(wb_exchange_t *exchange);
 /** Forward the engine's complete answer, or the rest of it. It is freed. */
-void wb_exchange_pass_whole(wb_exchange_t *exchange);
+void wb_exchange_forward_answer(wb_exchange_t *exchange);
 
-/* exchange_end.c */
+/* exchange_outcome.c */
 /** Record its outcome in the log, the metrics and the ring of ended requests. */
-void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status);
+void wb_exchange_record_outcome(const wb_exchange_t *exchange, wb_outcome_t outcome,
+                                unsigned status);
 
 #endif
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_outcome.c
@@ -1,17 +1,17 @@
 /* Records the outcome of requests in the log, the metrics and the ring of ended requests. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
-static const char *const outcome_names[WB_ENDING_COUNT] = {
+static const char *const outcome_names[WB_OUTCOME_COUNT] = {
     "served",        "engine-failed", "no-catalog",  "no-route", "bad-request",
     "unknown-model", "no-engine",     "not-loaded",  "rejected", "no-budget",
     "broken",        "timed-out",     "caller-gone", "stopping", "bad-key",
     "key-uncertain", "over-quota",    "poison",      "no-room"};
 
-const char *wb_ending_name(wb_ending_t outcome) {
+const char *wb_outcome_name(wb_outcome_t outcome) {
     return outcome_names[outcome];
 }
 
-static void ended_remember(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status,
+static void ended_remember(const wb_exchange_t *exchange, wb_outcome_t outcome, unsigned status,
                            const char *engine) {
     wb_edge_t *edge = exchange->edge;
     wb_ended_request_t *ended = &edge->ended[edge->ended_next++ % WB_ENDED_REQUESTS];
@@ -30,16 +30,17 @@
     ended->waited_ms = exchange->waited_ms;
 }
 
-void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t outcome, unsigned status) {
+void wb_exchange_record_outcome(const wb_exchange_t *exchange, wb_outcome_t outcome,
+                                unsigned status) {
     wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
     const char *engine = wb_exchange_last_engine(exchange);
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (exchange->digest_known) {
-        wb_request_digest_write(&exchange->digest, digest);
+        wb_request_digest_format(&exchange->digest, digest);
     }
     ended_remember(exchange, outcome, status, engine);
-    edge->metrics.endings[outcome]++;
+    edge->metrics.requests_by_outcome[outcome]++;
     edge->metrics.long_pauses += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
                                  exchange->max_pause_ms > exchange->route->target_gap_ms;
     wb_histogram_add(&edge->metrics.whole_ms, now_ms - exchange->began_ms);
@@ -63,6 +64,6 @@
         exchange->tenant != NULL ? wb_event_text(exchange->tenant->name) : "", exchange->quota_cost,
         digest, (long long)exchange->out_tokens, exchange->decision.engine.pace,
         exchange->decision.engine.running, exchange->decision.engine.reading_share,
-        exchange->decision.engine.unread_tokens, exchange->decision.estimate.first_ms,
+        exchange->decision.engine.uncached_tokens, exchange->decision.estimate.first_ms,
         exchange->sends > 0 ? (long long)(now_ms - exchange->sent_ms) : 0LL);
 }
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -24,7 +24,7 @@
 #include "wickbridge/edge.h"
 #include "wickbridge/event_log.h"
 #include "wickbridge/fleet.h"
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 #include "wickbridge/http_listener.h"
 #include "wickbridge/list.h"
 #include "wickbridge/message.h"
@@ -32,15 +32,15 @@
 
 #include "wickbridge/edge_metrics.h"
 #include "dispatch/engine_choice.h"
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 #include "dispatch/wait_scale.h"
 #include "request/api_key.h"
 #include "request/crash_watch.h"
 #include "request/retry_budget.h"
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 #include "poison/served_set.h"
 #include "quota/equal_share.h"
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 typedef struct wb_exchange_t wb_exchange_t;
 typedef struct wb_attempt_t wb_attempt_t;
@@ -71,16 +71,16 @@
 
 /** Whether the controller, which decides on model loads, receives this node's demand. */
 typedef enum wb_controller_reach_t {
-    WB_CONTROLLER_REACHED,  /* it is reachable, or this node is the controller */
-    WB_CONTROLLER_AWAITED,  /* there is none; the time of the next takeover is known */
-    WB_CONTROLLER_UNREACHED /* this node can't reach one, and doesn't know for how long */
+    WB_CONTROLLER_REACHABLE,        /* it is reachable, or this node is the controller */
+    WB_CONTROLLER_TAKEOVER_PENDING, /* there is none; the time of the next takeover is known */
+    WB_CONTROLLER_UNREACHABLE       /* this node can't reach one, and doesn't know for how long */
 } wb_controller_reach_t;
 
 typedef struct wb_controller_view_t {
     wb_controller_reach_t reach;
     /* Duration. When a takeover is pending: until a controller should be available. When it is
      * unreachable: the Retry-After for clients, which may then reach another node. */
-    int64_t back_in_ms;
+    int64_t available_in_ms;
 } wb_controller_view_t;
 
 /** Node state that all requests share. */
@@ -93,32 +93,32 @@
     GHashTable *regions;   /* zone -> region */
     GHashTable *budgets;   /* service -> wb_retry_budget_t */
     wb_demand_t *demand;
-    wb_quota_gate_t *quota;
-    wb_poison_book_t *poison; /* requests that crash engines */
+    wb_quota_limiter_t *quota;
+    wb_poison_registry_t *poison; /* requests that crash engines */
     wb_served_set_t *served;
     wb_crash_watch_t *crashes;
-    wb_length_guess_t *lengths;
+    wb_length_estimate_t *lengths;
     wb_wait_scale_t *wait_scale;
-    gboolean loads_known;  /* the reported loads of engines are recent enough to be used */
-    gboolean tries_poison; /* this node runs the periodic trials of refused requests */
+    gboolean shared_loads_valid; /* the reported loads of engines are recent enough to be used */
+    gboolean runs_poison_trials; /* this node runs the periodic trials of refused requests */
     wb_edge_metrics_t metrics;
-    GHashTable *expected;     /* SERVICE/MODEL -> int64_t *, time at which a load should be done */
-    wb_list_t state_news;     /* engines whose reported state is to be sent to other nodes; holds a
-                                 reference to each */
-    GHashTable *told_engines; /* set of engines that reported a limit or that they are draining;
-                                 holds a reference to each */
-    wb_list_t waiting;        /* exchanges that wait for an engine, oldest first */
-    GHashTable *open;         /* set of all exchanges */
+    GHashTable *expected;    /* SERVICE/MODEL -> int64_t *, time at which a load should be done */
+    wb_list_t state_updates; /* engines whose reported state is to be sent to other nodes; holds a
+                             reference to each */
+    GHashTable *reporting_engines; /* set of engines that reported a limit or that they are
+                                 draining; holds a reference to each */
+    wb_list_t waiting;             /* exchanges that wait for an engine, oldest first */
+    GHashTable *open;              /* set of all exchanges */
     wb_ended_request_t ended[WB_ENDED_REQUESTS]; /* a ring */
     unsigned ended_next;
     unsigned node_count;     /* nodes that the store lists; 0: not known yet */
     wb_equal_share_t *share; /* this node's equal share of budgets common to all nodes */
     int64_t drain_began_ms;  /* when a planned stop began; 0: none */
     /** Requests wait for a model that isn't loaded: send the pending demand to the controller. */
-    void (*on_need)(void *context);
-    void *need_context; /* passed to all callbacks */
+    void (*on_pending_demand)(void *context);
+    void *node_context; /* passed to all callbacks */
     /** The poison registry has changed: send the change to other nodes. */
-    void (*on_poison)(void *context);
+    void (*on_poison_changed)(void *context);
     /** Whether the controller is reachable; NULL: it always is. */
     wb_controller_view_t (*controller_view)(void *context);
     /** Whether this node knows the engines of a service that hold a model ("": any). If not, they
@@ -133,33 +133,33 @@
 };
 
 /** Why a request ended, for logs and metrics. */
-typedef enum wb_ending_t {
-    WB_ENDING_SERVED,        /* an engine's complete answer was forwarded */
-    WB_ENDING_ENGINE_FAILED, /* an engine's error response was forwarded */
-    WB_ENDING_NO_CATALOG,
-    WB_ENDING_NO_ROUTE,
-    WB_ENDING_BAD_REQUEST,
-    WB_ENDING_UNKNOWN_MODEL,
-    WB_ENDING_NO_ENGINE,  /* no engine was usable in time */
-    WB_ENDING_NOT_LOADED, /* its model could not be loaded in time */
-    WB_ENDING_REJECTED,   /* engines rejected it */
-    WB_ENDING_NO_BUDGET,  /* the retry budget allowed no further attempt */
-    WB_ENDING_BROKEN,     /* an engine aborted it, and it may not be sent again */
-    WB_ENDING_TIMED_OUT,  /* the route's timeout or the client's deadline passed */
-    WB_ENDING_CALLER_GONE,
-    WB_ENDING_STOPPING,      /* it arrived too late in a planned stop */
-    WB_ENDING_BAD_KEY,       /* its API key is missing or belongs to no tenant */
-    WB_ENDING_KEY_UNCERTAIN, /* no tenant has its key, but the catalog may be out of date */
-    WB_ENDING_OVER_QUOTA,    /* its tenant's limit is used up */
-    WB_ENDING_POISON,        /* it crashes the engines that run it */
-    WB_ENDING_NO_ROOM,       /* its model's engines are too far behind to answer in time */
-    WB_ENDING_COUNT
-} wb_ending_t;
+typedef enum wb_outcome_t {
+    WB_OUTCOME_SERVED,        /* an engine's complete answer was forwarded */
+    WB_OUTCOME_ENGINE_FAILED, /* an engine's error response was forwarded */
+    WB_OUTCOME_NO_CATALOG,
+    WB_OUTCOME_NO_ROUTE,
+    WB_OUTCOME_BAD_REQUEST,
+    WB_OUTCOME_UNKNOWN_MODEL,
+    WB_OUTCOME_NO_ENGINE,        /* no engine was usable in time */
+    WB_OUTCOME_MODEL_NOT_LOADED, /* its model could not be loaded in time */
+    WB_OUTCOME_REJECTED,         /* engines rejected it */
+    WB_OUTCOME_NO_RETRY_BUDGET,  /* the retry budget allowed no further attempt */
+    WB_OUTCOME_ENGINE_ABORTED,   /* an engine aborted it, and it may not be sent again */
+    WB_OUTCOME_TIMED_OUT,        /* the route's timeout or the client's deadline passed */
+    WB_OUTCOME_CLIENT_GONE,
+    WB_OUTCOME_STOPPING,       /* it arrived too late in a planned stop */
+    WB_OUTCOME_BAD_KEY,        /* its API key is missing or belongs to no tenant */
+    WB_OUTCOME_KEY_UNVERIFIED, /* no tenant has its key, but the catalog may be out of date */
+    WB_OUTCOME_OVER_QUOTA,     /* its tenant's limit is used up */
+    WB_OUTCOME_POISON,         /* it crashes the engines that run it */
+    WB_OUTCOME_OVERLOADED,     /* its model's engines are too far behind to answer in time */
+    WB_OUTCOME_COUNT
+} wb_outcome_t;
 
-G_STATIC_ASSERT(WB_ENDING_COUNT <= WB_ENDINGS_MAX);
+G_STATIC_ASSERT(WB_OUTCOME_COUNT <= WB_OUTCOMES_MAX);
 
 /** @return an outcome's name in logs and metrics; static */
-const char *wb_ending_name(wb_ending_t outcome);
+const char *wb_outcome_name(wb_outcome_t outcome);
 
 /** An engine's response, while it is read. */
 typedef struct wb_reply_t {
@@ -174,15 +174,15 @@
 /** An engine that a request was sent to. */
 typedef struct wb_tried_engine_t {
     char *id;
-    int64_t again_ms; /* from when it may be tried again; 0: never */
+    int64_t eligible_at_ms; /* from when it may be tried again; 0: never */
 } wb_tried_engine_t;
 
 /** The engine chosen for an attempt as it was known at that time, and the prediction made for it.
  */
-typedef struct wb_sending_t {
+typedef struct wb_dispatch_decision_t {
     wb_choice_engine_t engine;
     wb_choice_estimate_t estimate;
-} wb_sending_t;
+} wb_dispatch_decision_t;
 
 /** A client's request, from its arrival to its answer. */
 struct wb_exchange_t {
@@ -212,7 +212,7 @@
     int64_t out_tokens; /* expected tokens of its answer */
     int64_t began_ms;
     int64_t deadline_ms;   /* the client's deadline */
-    int64_t hold_until_ms; /* when the final answer is due: the deadline or the route's timeout */
+    int64_t answer_due_ms; /* when the final answer is due: the deadline or the route's timeout */
     int64_t wait_until_ms; /* when waiting for an engine ends */
     wb_timer_t *due_timer;
     wb_timer_t *silence_timer;
@@ -220,15 +220,15 @@
     gboolean awaits_load;   /* it waits for a model or adapter to be loaded */
     gboolean awaits_engine; /* it waits for an engine that becomes available */
     int64_t waiting_since_ms;
-    int64_t waited_ms;        /* duration, of all completed waits */
-    wb_attempt_t *attempt;    /* the current one, or NULL */
-    wb_engine_t *engine;      /* of the last attempt; a reference, or NULL */
-    int64_t sent_ms;          /* start of the last attempt */
-    int64_t written_ms;       /* when the request was written to the engine's connection */
-    wb_sending_t decision;    /* of the last attempt */
-    gboolean running_counted; /* the attempt is counted in engine->running */
-    gboolean limit_counted;   /* the attempt is counted against its engine's limit */
-    int64_t prefill_counted;  /* prompt tokens counted in engine->prefill_tokens */
+    int64_t waited_ms;               /* duration, of all completed waits */
+    wb_attempt_t *attempt;           /* the current one, or NULL */
+    wb_engine_t *engine;             /* of the last attempt; a reference, or NULL */
+    int64_t sent_ms;                 /* start of the last attempt */
+    int64_t written_ms;              /* when the request was written to the engine's connection */
+    wb_dispatch_decision_t decision; /* of the last attempt */
+    gboolean running_counted;        /* the attempt is counted in engine->running */
+    gboolean limit_counted;          /* the attempt is counted against its engine's limit */
+    int64_t prefill_counted;         /* prompt tokens counted in engine->prefill_tokens */
     wb_reply_t reply;
     gboolean paused; /* the client reads too slowly: reading from the engine is stopped */
     GArray *tried;   /* of wb_tried_engine_t, the last attempt last */
@@ -255,18 +255,18 @@
  * @param decision out: what was known of the engine, and the prediction
  * @return NULL when none is usable; owned by the fleet */
 wb_engine_t *wb_balancer_choose(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                int64_t now_ms, wb_sending_t *decision);
+                                int64_t now_ms, wb_dispatch_decision_t *decision);
 /** @return TRUE when the request may be served in any region, or an engine of its service is in an
  * allowed one */
-gboolean wb_balancer_has_home(const wb_edge_t *edge, const wb_exchange_t *exchange);
+gboolean wb_balancer_has_allowed_engine(const wb_edge_t *edge, const wb_exchange_t *exchange);
 /** When an engine that can serve a request next accepts one of this node. */
-typedef struct wb_opening_t {
+typedef struct wb_availability_t {
     int64_t at_ms;    /**< G_MAXINT64: none will, or it isn't known */
     gboolean is_cold; /**< the engine is cold; the model need not be loaded elsewhere */
-} wb_opening_t;
+} wb_availability_t;
 /** @return the earliest availability of an engine, behind requests that wait for it already */
-wb_opening_t wb_balancer_opening(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                 int64_t now_ms);
+wb_availability_t wb_balancer_next_available(const wb_edge_t *edge, const wb_exchange_t *exchange,
+                                             int64_t now_ms);
 /** Called when a connection is established: meanwhile the engine may have reported that it is
  * draining, a limit or a backoff. Counts the request against the engine's limit.
  * @return FALSE when the request must not be written */
@@ -276,35 +276,35 @@
 wb_choice_request_t wb_balancer_request(const wb_exchange_t *exchange, int64_t now_ms);
 /** @return prompt tokens of this request that the engine doesn't have cached, as far as this node
  * knows */
-int64_t wb_balancer_unread_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
-                                  int64_t now_ms);
+int64_t wb_balancer_prefill_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
+                                   int64_t now_ms);
 /** Mark the request's prompt as cached at the engine. */
-void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms);
+void wb_balancer_note_prefilled(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms);
 
 /* Requests: exchange.c and the other exchange_*.c files. */
 /** Start a request: it is dispatched, waits, or is answered. Takes ownership of head and body. */
 void wb_exchange_begin(wb_edge_t *edge, wb_http_connection_t *connection, wb_http_head_t *head,
                        GByteArray *body);
 /** The client disconnected. The exchange is freed. */
-void wb_exchange_gone(wb_exchange_t *exchange);
+void wb_exchange_client_gone(wb_exchange_t *exchange);
 /** The connection's output buffer was sent: resume reading from the engine. */
-void wb_exchange_drained(wb_exchange_t *exchange);
+void wb_exchange_output_drained(wb_exchange_t *exchange);
 /** Engines or their models have changed: dispatch all waiting requests again. */
 void wb_exchanges_retry_waiting(wb_edge_t *edge);
 
 /** A model is being loaded and should be ready after this duration: requests that wait for it wait
  * on, or are refused. */
-void wb_exchanges_expect(wb_edge_t *edge, const char *service, const char *model,
-                         unsigned ready_in_ms);
+void wb_exchanges_expect_model(wb_edge_t *edge, const char *service, const char *model,
+                               unsigned ready_in_ms);
 /** @return TRUE when a request waits for the model */
-gboolean wb_exchanges_wait_for(const wb_edge_t *edge, const char *model);
+gboolean wb_exchanges_any_waiting_for(const wb_edge_t *edge, const char *model);
 /** A new catalog is in force: refuse waiting requests whose API key it no longer has. */
-void wb_exchanges_check_keys(wb_edge_t *edge);
+void wb_exchanges_recheck_keys(wb_edge_t *edge);
 /** The reachability of the controller has changed: recompute how long requests wait, and refuse
  * those for which waiting is useless. */
-void wb_exchanges_reconsider(wb_edge_t *edge);
+void wb_exchanges_update_waits(wb_edge_t *edge);
 /** A model is loaded: drop the expected time of its load. */
-void wb_exchanges_no_longer_expect(wb_edge_t *edge, const char *service, const char *model);
+void wb_exchanges_model_loaded(wb_edge_t *edge, const char *service, const char *model);
 /** Refuse requests that are known poison, also those that wait or are at an engine that hasn't
  * begun to answer. */
 void wb_exchanges_refuse_poison(wb_edge_t *edge);
@@ -321,11 +321,11 @@
 /* Engine-reported state: engine_states.c. */
 /** An engine reported a limit or that it is draining, here or at another node: keep it in the set.
  */
-void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine);
+void wb_edge_track_reporting_engine(wb_edge_t *edge, wb_engine_t *engine);
 /** Send the engine's state to other nodes at the next tick. */
-void wb_edge_queue_state(wb_edge_t *edge, wb_engine_t *engine);
+void wb_edge_queue_state_update(wb_edge_t *edge, wb_engine_t *engine);
 /** Drop engines from the set that are removed, or have neither a limit nor are draining. */
-void wb_edge_told_engines_sweep(wb_edge_t *edge);
+void wb_edge_reporting_engines_sweep(wb_edge_t *edge);
 
 /** @return duration of the window in which the retry budget counts resends */
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge);
@@ -336,10 +336,10 @@
 void wb_exchange_attempt_done(wb_exchange_t *exchange);
 /** How an attempt failed. */
 typedef struct wb_attempt_failure_t {
-    gboolean sent;      /* FALSE: no byte of the request was sent */
-    gboolean broke_off; /* the connection ended before the answer was complete */
-    gboolean withdrawn; /* by this node, before a byte was sent: the engine isn't at fault */
-    const char *reason; /* for logs */
+    gboolean sent;           /* FALSE: no byte of the request was sent */
+    gboolean engine_aborted; /* the connection ended before the answer was complete */
+    gboolean withdrawn;      /* by this node, before a byte was sent: the engine isn't at fault */
+    const char *reason;      /* for logs */
 } wb_attempt_failure_t;
 void wb_exchange_attempt_failed(wb_exchange_t *exchange, const wb_attempt_failure_t *failure);
 
@@ -352,22 +352,22 @@
 /** Its engine is known to have ended: it fails as if the connection had been reset. */
 void wb_attempt_engine_ended(wb_attempt_t *attempt);
 /** Close an engine's idle connections. */
-void wb_upstreams_drop(wb_engine_t *engine);
+void wb_upstreams_close_idle(wb_engine_t *engine);
 /** Close idle connections that have expired, and those of engines that are draining or removed, or
  * whose zone is being evacuated. */
-void wb_upstreams_sweep(wb_edge_t *edge, int64_t now_ms);
+void wb_upstreams_sweep_idle(wb_edge_t *edge, int64_t now_ms);
 
 /* Demand by model: demand.c. */
 wb_demand_t *wb_demand_create(void);
-void wb_demand_arrived(wb_demand_t *demand, const wb_exchange_t *exchange);
-void wb_demand_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting);
+void wb_demand_note_arrival(wb_demand_t *demand, const wb_exchange_t *exchange);
+void wb_demand_set_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting);
 /** Its client was refused with a Retry-After: the model is in demand until then, though no request
  * waits for it. */
-void wb_demand_promised(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms);
-void wb_demand_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running);
+void wb_demand_expect_retry(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms);
+void wb_demand_set_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running);
 /** Fill in a message with all demand: requests that run or wait, and expected retries for models
  * that no engine holds. Resets the counts of arrivals. Free the message with wb_message_clear. */
-void wb_demand_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
-                       wb_wire_message *message);
+void wb_demand_build_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
+                             wb_wire_message *message);
 
 #endif
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -26,7 +26,7 @@
 wb_retry_budget_t *wb_retry_budget_create(double ratio, int64_t window_ms);
 void wb_retry_budget_free(wb_retry_budget_t *budget);
 /** Count a client's request; once for each request, not for its resends. */
-void wb_retry_budget_request(wb_retry_budget_t *budget, int64_t now_ms);
+void wb_retry_budget_note_request(wb_retry_budget_t *budget, int64_t now_ms);
 /**
  * Take one resend from the budget.
  * @param slack_share this node's share of the slack, in resends
