--- a/src/http/http_client.c
+++ b/src/http/http_client.c
@@ -1,4 +1,5 @@
-/* Makes HTTP calls on one thread through libcurl's multi interface. */
+/* HTTP client on libcurl's multi interface. One thread runs all calls; other threads queue starts
+ * and cancellations for it and wake it. */
 #include "wickbridge/http_client.h"
 
 #include <curl/curl.h>
@@ -9,7 +10,7 @@
 #define CONNECT_TIMEOUT_MS 1000
 #define RECEIVE_BUFFER_BYTES 4096L
 #define MAX_IDLE_CONNECTIONS 512
-#define MAX_PER_HOST 0 /* no limit */
+#define MAX_PER_HOST 0 /* 0: no limit */
 
 struct wb_http_client_t {
     CURLM *multi;
@@ -18,8 +19,8 @@
     GQueue starting;
     GQueue cancelling;
     gboolean stopping;
-    gint64 bytes;       /* sent and received; written on the thread only */
-    GHashTable *active; /* calls on the thread, only touched there */
+    gint64 bytes;       /* sent and received; written by the client's thread only */
+    GHashTable *active; /* set of running calls; used by the client's thread only */
     char *trust_file;
     char *certificate_file;
     char *key_file;
@@ -31,7 +32,7 @@
     CURL *easy;
     struct curl_slist *headers;
     char *body;
-    GString *answer;
+    GString *response;
     int64_t idle_timeout_us;
     int64_t last_activity_us;
     int64_t retry_after_ms;
@@ -54,11 +55,11 @@
     curl_easy_cleanup(call->easy);
     curl_slist_free_all(call->headers);
     g_free(call->body);
-    g_string_free(call->answer, TRUE);
+    g_string_free(call->response, TRUE);
     g_free(call);
 }
 
-static size_t data_write(char *data, size_t size, size_t count, void *context) {
+static size_t body_receive(char *data, size_t size, size_t count, void *context) {
     wb_http_call_t *call = context;
     size_t length = size * count;
     long status = 0;
@@ -68,12 +69,12 @@
     if (call->on_data != NULL && status == 200)
         call->on_data(data, length, call->context);
     else
-        g_string_append_len(call->answer, data, (gssize)length);
+        g_string_append_len(call->response, data, (gssize)length);
     return length;
 }
 
-/* Returns a header's value when the line has this name, else NULL. The line is not ended by zero.
- */
+/* Returns the value when the header line begins with `name` (with its colon), else NULL. The line
+ * is not zero-terminated. */
 static char *header_value(const char *line, size_t length, const char *name) {
     size_t name_length = strlen(name);
     if (length <= name_length || g_ascii_strncasecmp(line, name, name_length) != 0)
@@ -81,7 +82,7 @@
     return g_strstrip(g_strndup(line + name_length, length - name_length));
 }
 
-static size_t header_read(char *line, size_t size, size_t count, void *context) {
+static size_t header_receive(char *line, size_t size, size_t count, void *context) {
     wb_http_call_t *call = context;
     size_t length = size * count;
     call->last_activity_us = g_get_monotonic_time();
@@ -95,7 +96,8 @@
     return length;
 }
 
-/* No byte of the request can have arrived: the connection was never made. */
+/* Returns TRUE when no byte of the request can have reached the server: the connection was never
+ * established. */
 static gboolean call_was_not_sent(CURL *easy, CURLcode code) {
     if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
         code == CURLE_SSL_CONNECT_ERROR || code == CURLE_PEER_FAILED_VERIFICATION ||
@@ -106,7 +108,7 @@
     return code != CURLE_OK && pretransfer == 0;
 }
 
-static void bytes_count(wb_http_call_t *call) {
+static void transfer_bytes_add(wb_http_call_t *call) {
     long head = 0, request = 0;
     curl_off_t up = 0, down = 0;
     curl_easy_getinfo(call->easy, CURLINFO_HEADER_SIZE, &head);
@@ -123,8 +125,8 @@
 static void call_finish(wb_http_call_t *call, CURLcode code) {
     wb_http_result_t result = {WB_HTTP_BROKEN,
                                0,
-                               call->answer->str,
-                               call->answer->len,
+                               call->response->str,
+                               call->response->len,
                                call->retry_after_ms,
                                call->reason,
                                call->seed[0] != '\0' ? call->seed : NULL};
@@ -137,7 +139,7 @@
         result.outcome = WB_HTTP_NOT_SENT;
     if (call->reason[0] == '\0' && code != CURLE_OK)
         result.reason = curl_easy_strerror(code);
-    bytes_count(call);
+    transfer_bytes_add(call);
     curl_multi_remove_handle(call->client->multi, call->easy);
     g_hash_table_remove(call->client->active, call);
     call->on_done(&result, call->context);
@@ -153,7 +155,7 @@
     g_mutex_unlock(&client->lock);
 }
 
-static void queues_work(wb_http_client_t *client) {
+static void queues_process(wb_http_client_t *client) {
     GQueue starting, cancelling;
     queues_take(client, &starting, &cancelling);
     wb_http_call_t *call;
@@ -169,7 +171,7 @@
     }
 }
 
-static void idle_calls_break(wb_http_client_t *client) {
+static void idle_calls_abort(wb_http_client_t *client) {
     GHashTableIter iterator;
     gpointer key;
     int64_t now_us = g_get_monotonic_time();
@@ -185,7 +187,7 @@
         call_finish(call, CURLE_OPERATION_TIMEDOUT);
 }
 
-static void finished_calls_take(wb_http_client_t *client) {
+static void finished_calls_handle(wb_http_client_t *client) {
     CURLMsg *message;
     int left;
     while ((message = curl_multi_info_read(client->multi, &left)) != NULL) {
@@ -198,8 +200,8 @@
     }
 }
 
-static void all_calls_break(wb_http_client_t *client) {
-    queues_work(client);
+static void all_calls_abort(wb_http_client_t *client) {
+    queues_process(client);
     GHashTableIter iterator;
     gpointer key;
     for (;;) {
@@ -215,12 +217,12 @@
     int64_t next_idle_check_us = 0;
     for (;;) {
         int running = 0;
-        queues_work(client);
+        queues_process(client);
         curl_multi_perform(client->multi, &running);
-        finished_calls_take(client);
+        finished_calls_handle(client);
         int64_t now_us = g_get_monotonic_time();
         if (now_us >= next_idle_check_us) {
-            idle_calls_break(client);
+            idle_calls_abort(client);
             next_idle_check_us = now_us + 100 * 1000;
         }
         g_mutex_lock(&client->lock);
@@ -233,7 +235,7 @@
             curl_multi_poll(client->multi, NULL, 0,
                             g_hash_table_size(client->active) > 0 ? 100 : POLL_LIMIT_MS, NULL);
     }
-    all_calls_break(client);
+    all_calls_abort(client);
     return NULL;
 }
 
@@ -298,7 +300,8 @@
 
 static void call_set_tls(wb_http_call_t *call) {
     const wb_http_client_t *client = call->client;
-    /* Machines are known by IP numbers that come and go; what counts is who signed. */
+    /* Machines are reached by IP addresses, which change, so the host name isn't verified; the
+     * signing authority is. */
     curl_easy_setopt(call->easy, CURLOPT_SSL_VERIFYHOST, 0L);
     if (client->trust_file != NULL)
         curl_easy_setopt(call->easy, CURLOPT_CAINFO, client->trust_file);
@@ -313,7 +316,7 @@
     call->references = request->keep_handle ? 2 : 1;
     call->client = client;
     call->easy = curl_easy_init();
-    call->answer = g_string_new(NULL);
+    call->response = g_string_new(NULL);
     call->idle_timeout_us = request->idle_timeout_ms * 1000;
     call->retry_after_ms = -1;
     call->on_data = request->on_data;
@@ -328,12 +331,12 @@
     curl_easy_setopt(call->easy, CURLOPT_ERRORBUFFER, call->reason);
     curl_easy_setopt(call->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
     curl_easy_setopt(call->easy, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
-    curl_easy_setopt(call->easy, CURLOPT_WRITEFUNCTION, data_write);
+    curl_easy_setopt(call->easy, CURLOPT_WRITEFUNCTION, body_receive);
     curl_easy_setopt(call->easy, CURLOPT_WRITEDATA, call);
-    curl_easy_setopt(call->easy, CURLOPT_HEADERFUNCTION, header_read);
+    curl_easy_setopt(call->easy, CURLOPT_HEADERFUNCTION, header_receive);
     curl_easy_setopt(call->easy, CURLOPT_HEADERDATA, call);
-    /* libcurl sends a request again by itself when a kept connection turns out to be dead; a
-     * fresh connection is never retried. */
+    /* libcurl repeats a request by itself when a reused connection turns out to be dead. It never
+     * repeats one on a new connection. */
     curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, request->send_once ? 1L : 0L);
     call_set_headers(call, request);
     call_set_body(call, request);
@@ -354,7 +357,7 @@
     curl_multi_wakeup(client->multi);
 }
 
-/* A call whose end is handed to a loop. */
+/* A call whose result is delivered on a loop's thread. */
 typedef struct wb_http_fetch_t {
     wb_loop_t *loop;
     wb_http_done_fn on_done;
--- a/src/http/http_listener.c
+++ b/src/http/http_listener.c
@@ -1,4 +1,5 @@
-/* HTTP/1.1 server connections on a loop. */
+/* HTTP/1.1 server on a loop: parses requests, frames responses, and closes connections that are
+ * idle or too slow. */
 #include "wickbridge/http_listener.h"
 
 #include "wickbridge/tcp_stream.h"
@@ -24,18 +25,18 @@
     wb_http_listener_t *listener;
     wb_tcp_stream_t *stream;
     wb_http_reader_t *reader;
-    GByteArray *pending; /* bytes of later requests */
+    GByteArray *pending; /* received and not yet parsed */
     GByteArray *body;
     void *request;
-    gboolean running; /* a request was handed over and isn't answered */
+    gboolean running; /* the handler has a request that isn't answered yet */
     gboolean keep_alive;
-    gboolean without_chunks; /* an HTTP/1.0 caller: a streamed answer ends with the connection */
+    gboolean without_chunks; /* HTTP/1.0 client: the close ends a streamed response */
     gboolean is_head;        /* the running request's method is HEAD */
-    gboolean advancing;
+    gboolean advancing;      /* connection_advance runs, and frees the connection if it is closed */
     gboolean closed;
-    unsigned refusal; /* status to refuse the present request with, 0: none */
-    int64_t began_ms; /* first byte of the present request */
-    int64_t active_ms;
+    unsigned refusal;  /* status to refuse the current request with; 0: none */
+    int64_t began_ms;  /* first byte of the current request; 0: none yet */
+    int64_t active_ms; /* last input, or end of the last request */
 };
 
 static void connection_advance(wb_http_connection_t *connection);
@@ -69,7 +70,7 @@
     }
 }
 
-/* Frees the connection unless its own advance runs; that then frees it. */
+/* Frees the connection; while connection_advance runs, it is freed at the end of that. */
 static void connection_free(wb_http_connection_t *connection) {
     g_hash_table_remove(connection->listener->connections, connection);
     connection->closed = TRUE;
@@ -104,8 +105,8 @@
     return !connection->is_head && status != 204 && status != 304;
 }
 
-/* The running request is answered. */
-static void request_over(wb_http_connection_t *connection) {
+/* Ends the answered request: closes the connection or goes on with the next request. */
+static void request_finish(wb_http_connection_t *connection) {
     connection->running = FALSE;
     connection->request = NULL;
     connection->active_ms = wb_clock_ms();
@@ -132,7 +133,7 @@
     if (status_has_body(connection, status) && length > 0)
         g_string_append_len(text, body, (gssize)length);
     output_write(connection, text);
-    request_over(connection);
+    request_finish(connection);
 }
 
 void wb_http_connection_stream_begin(wb_http_connection_t *connection, unsigned status,
@@ -163,13 +164,13 @@
 void wb_http_connection_stream_end(wb_http_connection_t *connection) {
     if (!connection->without_chunks)
         wb_tcp_stream_write(connection->stream, "0\r\n\r\n", 5);
-    request_over(connection);
+    request_finish(connection);
 }
 
 void wb_http_connection_abort(wb_http_connection_t *connection) {
     connection->running = FALSE;
     if (connection->without_chunks)
-        wb_tcp_stream_reset(connection->stream); /* a plain close would end the answer */
+        wb_tcp_stream_reset(connection->stream); /* a close would mark the response complete */
     else
         wb_tcp_stream_close(connection->stream);
     connection_free(connection);
@@ -187,7 +188,7 @@
     connection->request = request;
 }
 
-/* Answers what can't be read, and ends the connection. */
+/* Replies with an error status and closes the connection; the rest of its input isn't read. */
 static void connection_refuse(wb_http_connection_t *connection, unsigned status) {
     connection->keep_alive = FALSE;
     connection->running = TRUE;
@@ -243,13 +244,14 @@
     }
 }
 
-/* Reads pending bytes until a request runs or none is left. */
+/* Parses pending bytes until a request runs or no bytes are left. */
 static void connection_advance(wb_http_connection_t *connection) {
     connection->advancing = TRUE;
     while (!connection->closed && !connection->running && connection->pending->len > 0) {
         if (connection->began_ms == 0)
             connection->began_ms = wb_clock_ms();
-        /* The bytes are moved out first: a request may end inside this call. */
+        /* Moves the bytes out first: the request may be answered, and `pending` used again, inside
+         * this call. */
         GByteArray *input = connection->pending;
         connection->pending = g_byte_array_new();
         size_t used =
@@ -315,7 +317,7 @@
     g_hash_table_add(listener->connections, connection);
 }
 
-/* Ends connections that rest or send too slowly. */
+/* Closes a connection that is idle, or whose request head arrives too slowly. */
 static void connection_check(wb_http_connection_t *connection, int64_t now_ms) {
     const wb_http_limits_t *limits = &connection->listener->limits;
     if (connection->running)
--- a/src/http/http_peer.c
+++ b/src/http/http_peer.c
@@ -1,4 +1,5 @@
-/* Short HTTP calls over a few kept connections. */
+/* HTTP calls to one address over a small pool of keep-alive connections. A call's connection is
+ * closed when the call fails. */
 #include "wickbridge/http_peer.h"
 
 #include "wickbridge/tcp_stream.h"
@@ -7,8 +8,8 @@
 
 #define HEAD_LIMIT_BYTES 65536
 #define BODY_LIMIT_BYTES (32 * 1024 * 1024)
-#define KEPT_CONNECTIONS 4
-#define KEPT_FOR_MS 4000
+#define MAX_IDLE_CONNECTIONS 4
+#define MAX_IDLE_MS 4000
 
 struct wb_http_peer_t {
     wb_loop_t *loop;
@@ -16,24 +17,24 @@
     int64_t connect_timeout_ms;
     int64_t silence_limit_ms;
     GPtrArray *calls; /* connections with a running call */
-    GPtrArray *kept;  /* connections without one */
+    GPtrArray *idle;  /* pooled connections without a call */
 };
 
-/* A connection, with the call that runs on it. */
+/* A connection and the call that runs on it; without a call, request.on_result is NULL. */
 struct wb_http_call_t {
-    wb_http_peer_t *peer;
+    wb_http_peer_t *pool;
     wb_tcp_stream_t *stream;
     wb_http_reader_t *reader;
     wb_timer_t *timer;
-    GString *output; /* not yet sent */
+    GString *output; /* the request's text until it is sent */
     GByteArray *body;
     wb_http_request_t request;
     unsigned status;
     gboolean keep_alive;
     gboolean sent;
-    gboolean refused; /* nobody listens there */
-    gboolean whole;   /* the answer is read */
-    int64_t kept_since_ms;
+    gboolean refused;  /* connection refused */
+    gboolean complete; /* the response was read to its end */
+    int64_t idle_since_ms;
 };
 
 static void connection_free(wb_http_call_t *call) {
@@ -48,31 +49,31 @@
     g_free(call);
 }
 
-/* Ends the running call: its connection is closed, and its owner is told. */
+/* Ends the call without a response: closes its connection and reports the outcome. */
 static void call_end(wb_http_call_t *call, wb_http_outcome_t outcome) {
     wb_http_request_t request = call->request;
     wb_http_result_t result = {.outcome = outcome, .refused = call->refused};
-    g_ptr_array_remove_fast(call->peer->calls, call);
+    g_ptr_array_remove_fast(call->pool->calls, call);
     connection_free(call);
     request.on_result(&result, request.context);
 }
 
-static void call_break(wb_http_call_t *call) {
+static void call_fail(wb_http_call_t *call) {
     call_end(call, call->sent ? WB_HTTP_UNKNOWN : WB_HTTP_NOT_SENT);
 }
 
 static void call_timed_out(void *context) {
     wb_http_call_t *call = context;
     call->timer = NULL;
-    call_break(call);
+    call_fail(call);
 }
 
 static void reader_complete(wb_http_reader_t *reader, void *context) {
     wb_http_call_t *call = context;
     if (call->status < 200)
-        wb_http_reader_next(reader); /* an interim answer */
+        wb_http_reader_next(reader); /* an interim response */
     else
-        call->whole = TRUE;
+        call->complete = TRUE;
 }
 
 static void reader_head(wb_http_reader_t *reader, const wb_http_head_t *head, void *context) {
@@ -93,30 +94,31 @@
 
 static const wb_http_reader_events_t reader_events = {reader_head, reader_body, reader_complete};
 
-static gboolean is_kept(const wb_http_call_t *call) {
+static gboolean is_idle(const wb_http_call_t *call) {
     return call->request.on_result == NULL;
 }
 
-static void kept_drop(wb_http_call_t *call) {
-    g_ptr_array_remove_fast(call->peer->kept, call);
+static void idle_close(wb_http_call_t *call) {
+    g_ptr_array_remove_fast(call->pool->idle, call);
     connection_free(call);
 }
 
-/* The answer is whole: keep or close the connection, then tell the owner, who may free the peer. */
-static void call_answered(wb_http_call_t *call, gboolean keep) {
-    wb_http_peer_t *peer = call->peer;
+/* Ends a call with its response: keeps or closes the connection, then reports the result, last, as
+ * the callback may free the pool. */
+static void call_complete(wb_http_call_t *call, gboolean keep) {
+    wb_http_peer_t *pool = call->pool;
     wb_http_request_t request = call->request;
     unsigned status = call->status;
     g_autoptr(GByteArray) body = call->body;
     call->body = g_byte_array_new();
-    g_ptr_array_remove_fast(peer->calls, call);
-    if (keep && call->keep_alive && peer->kept->len < KEPT_CONNECTIONS) {
+    g_ptr_array_remove_fast(pool->calls, call);
+    if (keep && call->keep_alive && pool->idle->len < MAX_IDLE_CONNECTIONS) {
         wb_timer_cancel(call->timer);
         call->timer = NULL;
         wb_http_reader_next(call->reader);
         call->request.on_result = NULL;
-        call->kept_since_ms = wb_clock_ms();
-        g_ptr_array_add(peer->kept, call);
+        call->idle_since_ms = wb_clock_ms();
+        g_ptr_array_add(pool->idle, call);
     } else {
         connection_free(call);
     }
@@ -125,35 +127,35 @@
     request.on_result(&result, request.context);
 }
 
-/* The answer goes on: wait for more of it, however long it has taken. */
-static void progress_note(wb_http_call_t *call) {
+/* Restarts the progress timeout after more of the response has arrived. */
+static void progress_timer_restart(wb_http_call_t *call) {
     if (call->request.progress_ms == 0) {
         return;
     }
     if (call->timer != NULL) {
         wb_timer_cancel(call->timer);
     }
-    call->timer = wb_loop_after(call->peer->loop, call->request.progress_ms, call_timed_out, call);
+    call->timer = wb_loop_after(call->pool->loop, call->request.progress_ms, call_timed_out, call);
 }
 
 static void stream_data(wb_tcp_stream_t *stream, const char *data, size_t length, void *context) {
     (void)stream;
     wb_http_call_t *call = context;
-    if (is_kept(call)) {
-        kept_drop(call); /* bytes that nobody asked for */
+    if (is_idle(call)) {
+        idle_close(call); /* unexpected data */
         return;
     }
-    progress_note(call);
+    progress_timer_restart(call);
     while (length > 0) {
         size_t used = wb_http_reader_feed(call->reader, data, length);
         data += used;
         length -= used;
-        if (call->whole) {
-            call_answered(call, length == 0);
+        if (call->complete) {
+            call_complete(call, length == 0);
             return;
         }
         if (used == 0 || wb_http_reader_failure(call->reader) != WB_HTTP_FAILURE_NONE) {
-            call_break(call);
+            call_fail(call);
             return;
         }
     }
@@ -162,22 +164,22 @@
 static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
     (void)stream;
     wb_http_call_t *call = context;
-    if (is_kept(call)) {
-        kept_drop(call);
+    if (is_idle(call)) {
+        idle_close(call);
         return;
     }
     call->refused = how == WB_TCP_END_REFUSED;
     if (how == WB_TCP_END_CLOSED)
         wb_http_reader_end(call->reader);
-    if (call->whole)
-        call_answered(call, FALSE);
+    if (call->complete)
+        call_complete(call, FALSE);
     else
-        call_break(call);
+        call_fail(call);
 }
 
 static void call_send(wb_http_call_t *call) {
     if (call->request.may_send != NULL && !call->request.may_send(call->request.context)) {
-        call_break(call);
+        call_fail(call);
         return;
     }
     call->sent = TRUE;
@@ -195,31 +197,31 @@
 
 wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
-    wb_http_peer_t *peer = g_new0(wb_http_peer_t, 1);
-    peer->loop = loop;
-    peer->address = g_strdup(address);
-    peer->connect_timeout_ms = connect_timeout_ms;
-    peer->silence_limit_ms = silence_limit_ms;
-    peer->calls = g_ptr_array_new();
-    peer->kept = g_ptr_array_new();
-    return peer;
+    wb_http_peer_t *pool = g_new0(wb_http_peer_t, 1);
+    pool->loop = loop;
+    pool->address = g_strdup(address);
+    pool->connect_timeout_ms = connect_timeout_ms;
+    pool->silence_limit_ms = silence_limit_ms;
+    pool->calls = g_ptr_array_new();
+    pool->idle = g_ptr_array_new();
+    return pool;
 }
 
-void wb_http_peer_free(wb_http_peer_t *peer) {
-    for (guint i = 0; i < peer->calls->len; i++)
-        connection_free(g_ptr_array_index(peer->calls, i));
-    for (guint i = 0; i < peer->kept->len; i++)
-        connection_free(g_ptr_array_index(peer->kept, i));
-    g_ptr_array_unref(peer->calls);
-    g_ptr_array_unref(peer->kept);
-    g_free(peer->address);
-    g_free(peer);
+void wb_http_peer_free(wb_http_peer_t *pool) {
+    for (guint i = 0; i < pool->calls->len; i++)
+        connection_free(g_ptr_array_index(pool->calls, i));
+    for (guint i = 0; i < pool->idle->len; i++)
+        connection_free(g_ptr_array_index(pool->idle, i));
+    g_ptr_array_unref(pool->calls);
+    g_ptr_array_unref(pool->idle);
+    g_free(pool->address);
+    g_free(pool);
 }
 
-static GString *request_text(const wb_http_peer_t *peer, const wb_http_request_t *request) {
+static GString *request_text(const wb_http_peer_t *pool, const wb_http_request_t *request) {
     GString *text = g_string_sized_new(512);
     g_string_printf(text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s", request->method, request->target,
-                    peer->address, request->headers != NULL ? request->headers : "");
+                    pool->address, request->headers != NULL ? request->headers : "");
     if (request->body != NULL)
         g_string_append_printf(text, "Content-Type: application/json\r\nContent-Length: %zu\r\n",
                                strlen(request->body));
@@ -227,51 +229,52 @@
     return text;
 }
 
-/* Returns a kept connection that is surely young enough, or NULL. */
-static wb_http_call_t *kept_take(wb_http_peer_t *peer) {
-    while (peer->kept->len > 0) {
-        wb_http_call_t *call = g_ptr_array_index(peer->kept, peer->kept->len - 1);
-        if (wb_clock_ms() - call->kept_since_ms <= KEPT_FOR_MS &&
+/* Takes the last used idle connection out of the pool, or returns NULL. Closes those that are
+ * broken or were idle too long. */
+static wb_http_call_t *idle_take(wb_http_peer_t *pool) {
+    while (pool->idle->len > 0) {
+        wb_http_call_t *call = g_ptr_array_index(pool->idle, pool->idle->len - 1);
+        if (wb_clock_ms() - call->idle_since_ms <= MAX_IDLE_MS &&
             wb_tcp_stream_is_open(call->stream)) {
-            g_ptr_array_set_size(peer->kept, (gint)peer->kept->len - 1);
+            g_ptr_array_set_size(pool->idle, (gint)pool->idle->len - 1);
             return call;
         }
-        kept_drop(call);
+        idle_close(call);
     }
     return NULL;
 }
 
-static void call_begin_later(void *context) {
+static void call_failed_to_connect(void *context) {
     wb_http_call_t *call = context;
     call->timer = NULL;
-    call_break(call);
+    call_fail(call);
 }
 
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request) {
-    wb_http_call_t *call = request->fresh ? NULL : kept_take(peer);
+void wb_http_peer_call(wb_http_peer_t *pool, const wb_http_request_t *request) {
+    wb_http_call_t *call = request->fresh ? NULL : idle_take(pool);
     gboolean reused = call != NULL;
     if (!reused) {
         call = g_new0(wb_http_call_t, 1);
-        call->peer = peer;
+        call->pool = pool;
         call->reader = wb_http_reader_create(FALSE, HEAD_LIMIT_BYTES, &reader_events, call);
         call->body = g_byte_array_new();
     }
     call->request = *request;
     call->sent = FALSE;
-    call->whole = FALSE;
-    call->output = request_text(peer, request);
+    call->complete = FALSE;
+    call->output = request_text(pool, request);
     call->status = 0;
-    g_ptr_array_add(peer->calls, call);
+    g_ptr_array_add(pool->calls, call);
     if (reused) {
-        call->timer = wb_loop_after(peer->loop, request->timeout_ms, call_timed_out, call);
+        call->timer = wb_loop_after(pool->loop, request->timeout_ms, call_timed_out, call);
         call_send(call);
         return;
     }
     wb_error_t error;
-    if (wb_tcp_stream_connect(peer->loop, peer->address, peer->connect_timeout_ms,
-                              peer->silence_limit_ms, &stream_events, call, &call->stream,
+    if (wb_tcp_stream_connect(pool->loop, pool->address, pool->connect_timeout_ms,
+                              pool->silence_limit_ms, &stream_events, call, &call->stream,
                               &error) != APR_SUCCESS)
-        call->timer = wb_loop_after(peer->loop, 0, call_begin_later, call);
+        call->timer = wb_loop_after(pool->loop, 0, call_failed_to_connect, call);
     else
-        call->timer = wb_loop_after(peer->loop, request->timeout_ms, call_timed_out, call);
+        call->timer = wb_loop_after(pool->loop, request->timeout_ms, call_timed_out, call);
 }
--- a/src/http/http_reader.c
+++ b/src/http/http_reader.c
@@ -1,4 +1,5 @@
-/* Reads HTTP/1.1 messages with http-parser. */
+/* HTTP/1.1 message reader on http-parser. The parser is paused after each message, so that
+ * pipelined bytes stay with the caller. */
 #include "wickbridge/http_reader.h"
 
 #include <http_parser.h>
@@ -6,15 +7,15 @@
 #include <string.h>
 #include <strings.h>
 
-/* http-parser's word for a message whose length counts nothing. */
+/* Return value of on_headers_complete that makes http-parser expect no body. */
 #define SKIP_BODY 1
 
 struct wb_http_reader_t {
     http_parser parser;
     gboolean is_request;
-    gboolean without_body; /* answers to HEAD */
+    gboolean without_body; /* response to HEAD */
     size_t head_limit_bytes;
-    size_t head_bytes; /* of names, values and the first line */
+    size_t head_bytes; /* target, header names and values read so far */
     const wb_http_reader_events_t *events;
     void *context;
     wb_http_head_t *head;
@@ -22,22 +23,22 @@
     GString *reason;
     GString *name;
     GString *value;
-    gboolean value_begun;
-    gboolean inside;
+    gboolean value_started;
+    gboolean in_message;
     gboolean in_body;
-    gboolean whole;
+    gboolean complete;
     wb_http_failure_t failure;
 };
 
-static const char *const hop_headers[] = {"Connection",
-                                          "Keep-Alive",
-                                          "Proxy-Authenticate",
-                                          "Proxy-Authorization",
-                                          "Proxy-Connection",
-                                          "TE",
-                                          "Trailer",
-                                          "Transfer-Encoding",
-                                          "Upgrade"};
+static const char *const hop_by_hop_headers[] = {"Connection",
+                                                 "Keep-Alive",
+                                                 "Proxy-Authenticate",
+                                                 "Proxy-Authorization",
+                                                 "Proxy-Connection",
+                                                 "TE",
+                                                 "Trailer",
+                                                 "Transfer-Encoding",
+                                                 "Upgrade"};
 
 static void header_clear(gpointer data) {
     wb_http_header_t *header = data;
@@ -91,8 +92,8 @@
 }
 
 gboolean wb_http_header_is_hop(const wb_http_head_t *head, const char *name) {
-    for (size_t i = 0; i < G_N_ELEMENTS(hop_headers); i++)
-        if (strcasecmp(hop_headers[i], name) == 0)
+    for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++)
+        if (strcasecmp(hop_by_hop_headers[i], name) == 0)
             return TRUE;
     return list_has(wb_http_head_get(head, "Connection"), name);
 }
@@ -104,7 +105,7 @@
     g_array_append_val(reader->head->headers, header);
     g_string_truncate(reader->name, 0);
     g_string_truncate(reader->value, 0);
-    reader->value_begun = FALSE;
+    reader->value_started = FALSE;
 }
 
 static int on_begin(http_parser *parser) {
@@ -115,14 +116,15 @@
     g_string_truncate(reader->reason, 0);
     g_string_truncate(reader->name, 0);
     g_string_truncate(reader->value, 0);
-    reader->value_begun = FALSE;
-    reader->inside = TRUE;
+    reader->value_started = FALSE;
+    reader->in_message = TRUE;
     reader->in_body = FALSE;
     return 0;
 }
 
-/* Counts bytes of the head. Returns what http-parser is to be told: nonzero ends the reading. */
-static int head_count(wb_http_reader_t *reader, size_t length) {
+/* Counts bytes of the head. Returns nonzero, which stops http-parser, when they exceed the limit.
+ */
+static int head_bytes_add(wb_http_reader_t *reader, size_t length) {
     reader->head_bytes += length;
     return reader->head_bytes > reader->head_limit_bytes;
 }
@@ -130,7 +132,7 @@
 static int on_target(http_parser *parser, const char *data, size_t length) {
     wb_http_reader_t *reader = parser->data;
     g_string_append_len(reader->target, data, (gssize)length);
-    return head_count(reader, length);
+    return head_bytes_add(reader, length);
 }
 
 static int on_reason(http_parser *parser, const char *data, size_t length) {
@@ -139,7 +141,8 @@
     return 0;
 }
 
-/* http-parser may let blanks into names; an engine could read such a line in another way. */
+/* Checks a header name. http-parser may accept spaces in names, and an engine could interpret such
+ * a line differently. */
 static gboolean is_token(const char *data, size_t length) {
     for (size_t i = 0; i < length; i++)
         if (!g_ascii_isalnum(data[i]) && strchr("!#$%&'*+-.^_`|~", data[i]) == NULL)
@@ -150,26 +153,27 @@
 static int on_name(http_parser *parser, const char *data, size_t length) {
     wb_http_reader_t *reader = parser->data;
     if (reader->in_body)
-        return 0; /* a trailer */
+        return 0; /* trailers are ignored */
     if (!is_token(data, length))
         return 1;
-    if (reader->value_begun)
+    if (reader->value_started)
         header_finish(reader);
     g_string_append_len(reader->name, data, (gssize)length);
-    return head_count(reader, length);
+    return head_bytes_add(reader, length);
 }
 
 static int on_value(http_parser *parser, const char *data, size_t length) {
     wb_http_reader_t *reader = parser->data;
     if (reader->in_body)
         return 0;
-    reader->value_begun = TRUE;
+    reader->value_started = TRUE;
     g_string_append_len(reader->value, data, (gssize)length);
-    return head_count(reader, length);
+    return head_bytes_add(reader, length);
 }
 
-/* TRUE for an answer with neither length nor chunks: it ends with its connection. */
-static gboolean answer_has_no_end(const wb_http_reader_t *reader) {
+/* Returns TRUE for a response with neither length nor chunks: the close of the connection ends it.
+ */
+static gboolean response_ends_at_close(const wb_http_reader_t *reader) {
     const http_parser *parser = &reader->parser;
     unsigned status = parser->status_code;
     if (status / 100 == 1 || status == 204 || status == 304 || reader->without_body)
@@ -187,7 +191,7 @@
     } else {
         head->status = parser->status_code;
         head->reason = g_strdup(reader->reason->str);
-        head->ends_with_connection = answer_has_no_end(reader);
+        head->ends_with_connection = response_ends_at_close(reader);
     }
     head->minor_version = parser->http_minor;
     head->keep_alive = http_should_keep_alive(parser) != 0;
@@ -208,8 +212,8 @@
 
 static int on_complete(http_parser *parser) {
     wb_http_reader_t *reader = parser->data;
-    reader->whole = TRUE;
-    reader->inside = FALSE;
+    reader->complete = TRUE;
+    reader->in_message = FALSE;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -250,14 +254,16 @@
     g_free(reader);
 }
 
-/* Tells the owner of a whole message, last thing, since it may free the reader. */
-static void whole_tell(wb_http_reader_t *reader) {
-    if (reader->whole && reader->events->on_complete != NULL)
+/* Calls on_complete after a complete message. Must come last, since the callback may free the
+ * reader.
+ */
+static void complete_notify(wb_http_reader_t *reader) {
+    if (reader->complete && reader->events->on_complete != NULL)
         reader->events->on_complete(reader, reader->context);
 }
 
 size_t wb_http_reader_feed(wb_http_reader_t *reader, const char *data, size_t length) {
-    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->whole || length == 0)
+    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->complete || length == 0)
         return 0;
     size_t used = http_parser_execute(&reader->parser, &parser_settings, data, length);
     enum http_errno code = HTTP_PARSER_ERRNO(&reader->parser);
@@ -265,15 +271,15 @@
         reader->failure = WB_HTTP_FAILURE_HEAD_TOO_LARGE;
     else if (code != HPE_OK && code != HPE_PAUSED)
         reader->failure = WB_HTTP_FAILURE_SYNTAX;
-    whole_tell(reader);
+    complete_notify(reader);
     return used;
 }
 
 void wb_http_reader_end(wb_http_reader_t *reader) {
-    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->whole || !reader->inside)
+    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->complete || !reader->in_message)
         return;
     http_parser_execute(&reader->parser, &parser_settings, NULL, 0);
-    whole_tell(reader);
+    complete_notify(reader);
 }
 
 void wb_http_reader_expect_no_body(wb_http_reader_t *reader, gboolean without_body) {
@@ -284,8 +290,8 @@
     http_parser_init(&reader->parser, reader->is_request ? HTTP_REQUEST : HTTP_RESPONSE);
     reader->parser.data = reader;
     reader->head_bytes = 0;
-    reader->whole = FALSE;
-    reader->inside = FALSE;
+    reader->complete = FALSE;
+    reader->in_message = FALSE;
     reader->in_body = FALSE;
 }
 
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -1,4 +1,5 @@
-/* Serves HTTP on libmicrohttpd; exchanges are suspended until another thread answers. */
+/* HTTP server on libmicrohttpd. A connection is suspended while its exchange waits for a reply or
+ * for more of a stream, and is resumed by the thread that supplies it. */
 #include "wickbridge/http_server.h"
 
 #include "wickbridge/settings.h"
@@ -25,14 +26,14 @@
 
 typedef enum wb_exchange_state_t {
     EXCHANGE_RECEIVING,
-    EXCHANGE_HANDLING, /* the handler was called, no answer yet */
-    EXCHANGE_ANSWERED, /* an answer is ready or on its way */
-    EXCHANGE_FINISHED  /* libmicrohttpd is done with the connection's request */
+    EXCHANGE_HANDLING, /* the handler was called; no response yet */
+    EXCHANGE_ANSWERED, /* the response is ready or being sent */
+    EXCHANGE_FINISHED  /* libmicrohttpd has ended the request */
 } wb_exchange_state_t;
 
 struct wb_http_exchange_t {
     GMutex lock;
-    int references; /* one for libmicrohttpd, one for whoever answers */
+    int references; /* one for libmicrohttpd, one for the handler until it has answered */
     wb_http_server_t *server;
     struct MHD_Connection *connection;
     char *method;
@@ -43,12 +44,12 @@
     gboolean suspended;
     struct MHD_Response *response;
     unsigned status;
-    GPtrArray *headers; /* name, value, name, value ... */
+    GPtrArray *headers; /* response headers: name, value, name, value ... */
     gboolean streaming;
-    GString *stream;      /* written, not yet taken by libmicrohttpd */
-    size_t stream_offset; /* what of `stream` was taken */
+    GString *stream;      /* output that libmicrohttpd hasn't read to its end */
+    size_t stream_offset; /* bytes of `stream` that libmicrohttpd has read */
     gboolean stream_ended;
-    gboolean stream_whole;
+    gboolean stream_complete;
     wb_http_close_fn on_close;
     void *close_context;
 };
@@ -83,7 +84,7 @@
     return exchange;
 }
 
-/* Lets libmicrohttpd look at the exchange again. The exchange's lock is held. */
+/* Resumes the connection if it is suspended. The exchange's lock is held. */
 static void exchange_resume(wb_http_exchange_t *exchange) {
     if (!exchange->suspended)
         return;
@@ -91,7 +92,7 @@
     MHD_resume_connection(exchange->connection);
 }
 
-/* Gives libmicrohttpd the answer. The exchange's lock is held. */
+/* Hands the response to libmicrohttpd. The exchange's lock is held. */
 static enum MHD_Result exchange_queue(wb_http_exchange_t *exchange) {
     return MHD_queue_response(exchange->connection, exchange->status, exchange->response);
 }
@@ -110,8 +111,8 @@
     return result;
 }
 
-/* A caller's certificate is there and was signed by an authority that we trust. */
-static gboolean caller_is_trusted(struct MHD_Connection *connection) {
+/* Returns TRUE when the client has shown a certificate that a trusted authority signed. */
+static gboolean client_is_trusted(struct MHD_Connection *connection) {
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_GNUTLS_SESSION);
     unsigned status = 0;
@@ -126,7 +127,7 @@
     wb_http_server_t *server = exchange->server;
     exchange->state = EXCHANGE_HANDLING;
     g_atomic_int_inc(&exchange->references);
-    if (server->options.tls_trust_pem != NULL && !caller_is_trusted(exchange->connection))
+    if (server->options.tls_trust_pem != NULL && !client_is_trusted(exchange->connection))
         wb_http_exchange_reply(exchange, MHD_HTTP_FORBIDDEN, "application/json",
                                no_certificate_text, sizeof(no_certificate_text) - 1);
     else
@@ -185,12 +186,12 @@
     exchange->state = EXCHANGE_FINISHED;
     exchange->suspended = FALSE;
     wb_http_close_fn on_close = exchange->on_close;
-    gboolean whole = exchange->stream_ended && reason == MHD_REQUEST_TERMINATED_COMPLETED_OK;
+    gboolean complete = exchange->stream_ended && reason == MHD_REQUEST_TERMINATED_COMPLETED_OK;
     exchange->on_close = NULL;
     void *close_context = exchange->close_context;
     g_mutex_unlock(&exchange->lock);
     if (on_close != NULL)
-        on_close(whole, close_context);
+        on_close(complete, close_context);
     exchange_release(exchange);
 }
 
@@ -210,8 +211,8 @@
         }
         result = (ssize_t)taken;
     } else if (exchange->stream_ended) {
-        result = exchange->stream_whole ? MHD_CONTENT_READER_END_OF_STREAM
-                                        : MHD_CONTENT_READER_END_WITH_ERROR;
+        result = exchange->stream_complete ? MHD_CONTENT_READER_END_OF_STREAM
+                                           : MHD_CONTENT_READER_END_WITH_ERROR;
     } else {
         exchange->suspended = TRUE;
         MHD_suspend_connection(exchange->connection);
@@ -320,9 +321,9 @@
     g_ptr_array_add(exchange->headers, g_strdup(value));
 }
 
-/* Makes an answer known. The exchange's lock is held. */
-static void exchange_answer(wb_http_exchange_t *exchange, unsigned status, const char *content_type,
-                            struct MHD_Response *response) {
+/* Sets the response and resumes the connection. The exchange's lock is held. */
+static void exchange_set_response(wb_http_exchange_t *exchange, unsigned status,
+                                  const char *content_type, struct MHD_Response *response) {
     exchange->status = status;
     exchange->response = response;
     MHD_add_response_header(response, "Content-Type", content_type);
@@ -339,7 +340,7 @@
     struct MHD_Response *response =
         MHD_create_response_from_buffer(length, (void *)body, MHD_RESPMEM_MUST_COPY);
     g_mutex_lock(&exchange->lock);
-    exchange_answer(exchange, status, content_type, response);
+    exchange_set_response(exchange, status, content_type, response);
     g_mutex_unlock(&exchange->lock);
     exchange_release(exchange);
 }
@@ -353,7 +354,7 @@
     exchange->streaming = TRUE;
     exchange->on_close = on_close;
     exchange->close_context = context;
-    exchange_answer(exchange, status, content_type, response);
+    exchange_set_response(exchange, status, content_type, response);
     g_mutex_unlock(&exchange->lock);
 }
 
@@ -368,10 +369,10 @@
     return waiting;
 }
 
-void wb_http_exchange_stream_end(wb_http_exchange_t *exchange, gboolean whole) {
+void wb_http_exchange_stream_end(wb_http_exchange_t *exchange, gboolean complete) {
     g_mutex_lock(&exchange->lock);
     exchange->stream_ended = TRUE;
-    exchange->stream_whole = whole;
+    exchange->stream_complete = complete;
     exchange_resume(exchange);
     g_mutex_unlock(&exchange->lock);
     exchange_release(exchange);
