--- a/src/net/acceptor.c
+++ b/src/net/acceptor.c
@@ -1,4 +1,4 @@
-/* Takes TCP connections on a loop. */
+/* Accepts TCP connections on a loop. */
 #include "net/acceptor.h"
 
 #include "net/socket.h"
@@ -16,7 +16,7 @@
     void *context;
 };
 
-/* Takes one connection. Returns FALSE when none is waiting. */
+/* Accepts one pending connection. Returns FALSE when there is none. */
 static gboolean connection_accept(wb_acceptor_t *acceptor) {
     apr_pool_t *pool;
     apr_pool_create(&pool, NULL);
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -1,4 +1,5 @@
-/* Carries framed messages over TCP connections on a loop. */
+/* Framed messages over TCP or TLS connections on a loop. A frame is a length of 4 bytes in network
+ * order, then a message in XDR, optionally with extensions. */
 #include "wickbridge/link.h"
 
 #include "net/acceptor.h"
@@ -29,24 +30,24 @@
     apr_socket_t *socket;
     wb_watch_t *watch;
     wb_timer_t *connect_timer;
-    wb_timer_t *break_timer;
+    wb_timer_t *close_timer;
     wb_link_events_t events;
     wb_link_counters_t *counters;
     gboolean open;
     GByteArray *received;
     GByteArray *unsent;
-    char *break_reason;
-    wb_tls_session_t *tls; /* NULL: plain */
-    unsigned form;         /* of messages that the other end reads */
-    wb_wire_parts parts;   /* of the message that is being delivered */
+    char *close_reason;
+    wb_tls_session_t *tls;    /* NULL: no TLS */
+    unsigned format_version;  /* of messages that the peer can read */
+    wb_wire_parts extensions; /* of the message that is being delivered */
     void *data;
 };
 
 static void link_free(wb_link_t *link) {
     if (link->connect_timer != NULL)
         wb_timer_cancel(link->connect_timer);
-    if (link->break_timer != NULL)
-        wb_timer_cancel(link->break_timer);
+    if (link->close_timer != NULL)
+        wb_timer_cancel(link->close_timer);
     if (link->watch != NULL)
         wb_watch_remove(link->watch);
     if (link->tls != NULL)
@@ -55,7 +56,7 @@
     g_byte_array_unref(link->received);
     g_byte_array_unref(link->unsent);
     apr_pool_destroy(link->pool);
-    g_free(link->break_reason);
+    g_free(link->close_reason);
     g_free(link);
 }
 
@@ -68,17 +69,17 @@
     link_free(link);
 }
 
-static void link_break_now(void *context) {
+static void close_timer_run(void *context) {
     wb_link_t *link = context;
-    link->break_timer = NULL;
-    link_fail(link, link->break_reason);
+    link->close_timer = NULL;
+    link_fail(link, link->close_reason);
 }
 
 void wb_link_break(wb_link_t *link, const char *reason) {
-    if (link->break_timer != NULL)
+    if (link->close_timer != NULL)
         return;
-    link->break_reason = g_strdup(reason);
-    link->break_timer = wb_loop_after(link->loop, 0, link_break_now, link);
+    link->close_reason = g_strdup(reason);
+    link->close_timer = wb_loop_after(link->loop, 0, close_timer_run, link);
 }
 
 void wb_link_set_data(wb_link_t *link, void *data) {
@@ -89,7 +90,7 @@
     return link->data;
 }
 
-/* Sends some bytes, in TLS if there is any. */
+/* Sends over TLS or the plain socket. `length` is set to the bytes sent. */
 static apr_status_t bytes_send(wb_link_t *link, const char *data, apr_size_t *length) {
     if (link->tls == NULL)
         return apr_socket_send(link->socket, data, length);
@@ -104,7 +105,8 @@
     }
 }
 
-/* Receives some bytes; no bytes with APR_EAGAIN when none are there. */
+/* Receives over TLS or the plain socket. `length` is set to the bytes received; it is 0 with
+ * APR_EAGAIN when none are available. */
 static apr_status_t bytes_receive(wb_link_t *link, char *data, apr_size_t *length) {
     if (link->tls == NULL)
         return apr_socket_recv(link->socket, data, length);
@@ -121,7 +123,7 @@
     }
 }
 
-/* Sends what the socket takes. Returns FALSE when the link is broken. */
+/* Sends as much as the socket accepts. Returns FALSE when sending failed. */
 static gboolean link_flush(wb_link_t *link) {
     while (link->unsent->len > 0) {
         apr_size_t length = link->unsent->len;
@@ -142,11 +144,11 @@
     return TRUE;
 }
 
-/* A message was added to what is unsent. */
+/* Counts a message that was just queued and tries to send it. */
 static void message_queued(wb_link_t *link) {
     link->counters->messages_sent++;
     if (link->unsent->len > UNSENT_LIMIT_BYTES)
-        wb_link_break(link, "the peer doesn't read");
+        wb_link_break(link, "the peer doesn't read: too much unsent data");
     else if (link->open && !link_flush(link))
         wb_link_break(link, "sending failed");
 }
@@ -156,23 +158,23 @@
 }
 
 const wb_wire_parts *wb_link_parts(const wb_link_t *link) {
-    return &link->parts;
+    return &link->extensions;
 }
 
-void wb_link_set_form(wb_link_t *link, unsigned form) {
-    link->form = form;
+void wb_link_set_form(wb_link_t *link, unsigned version) {
+    link->format_version = version;
 }
 
 unsigned wb_link_form(const wb_link_t *link) {
-    return link->form;
+    return link->format_version;
 }
 
 void wb_link_send_parts(wb_link_t *link, const wb_wire_message *message,
-                        const wb_wire_parts *parts) {
+                        const wb_wire_parts *extensions) {
     wb_error_t error;
-    const wb_wire_parts *readable = link->form >= 2 ? parts : NULL;
+    const wb_wire_parts *readable = link->format_version >= 2 ? extensions : NULL;
     if (wb_message_encode_parts(message, readable, link->unsent, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "A message was not sent: %s.", error.message);
+        wb_log_warning(WB_PART_LINK, "Message not sent: %s.", error.message);
         return;
     }
     message_queued(link);
@@ -187,8 +189,9 @@
     return link->unsent->len;
 }
 
-/* Takes one frame off the front. Returns TRUE when there was one; sets `bad` for a wrong frame. */
-static gboolean frame_take(wb_link_t *link, guint *used, gboolean *bad) {
+/* Delivers the frame at offset `used` of the received bytes and advances `used`. Returns FALSE when
+ * there is no complete frame; sets `malformed` for an invalid one. */
+static gboolean frame_deliver(wb_link_t *link, guint *used, gboolean *malformed) {
     guint left = link->received->len - *used;
     uint32_t head;
     if (left < sizeof(head))
@@ -196,13 +199,13 @@
     memcpy(&head, link->received->data + *used, sizeof(head));
     uint32_t length = ntohl(head);
     if (length > WB_MESSAGE_MAX_BYTES) {
-        *bad = TRUE;
+        *malformed = TRUE;
         return FALSE;
     }
     if (left < sizeof(head) + length)
         return FALSE;
     wb_wire_message message;
-    wb_wire_parts parts;
+    wb_wire_parts extensions;
     wb_error_t error;
     const void *data = link->received->data + *used + sizeof(head);
     if (wb_message_is_unknown(data, length)) {
@@ -210,32 +213,32 @@
         link->counters->messages_unknown++;
         return TRUE;
     }
-    if (wb_message_decode_parts(data, length, &message, &parts, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "A link sent something odd: %s.", error.message);
-        *bad = TRUE;
+    if (wb_message_decode_parts(data, length, &message, &extensions, &error) != APR_SUCCESS) {
+        wb_log_warning(WB_PART_LINK, "Malformed message from a peer: %s.", error.message);
+        *malformed = TRUE;
         return FALSE;
     }
     *used += (guint)sizeof(head) + length;
     link->counters->messages_received++;
-    link->parts = parts;
+    link->extensions = extensions;
     link->events.on_message(link, &message, link->events.context);
     wb_message_clear(&message);
-    wb_parts_clear(&link->parts);
+    wb_parts_clear(&link->extensions);
     return TRUE;
 }
 
-/* Returns NULL, or why the link is broken. */
-static const char *frames_take(wb_link_t *link) {
+/* Delivers all complete frames. Returns NULL, or the reason for closing the link. */
+static const char *frames_deliver(wb_link_t *link) {
     guint used = 0;
-    gboolean bad = FALSE;
-    while (link->break_timer == NULL && frame_take(link, &used, &bad))
+    gboolean malformed = FALSE;
+    while (link->close_timer == NULL && frame_deliver(link, &used, &malformed))
         continue;
     if (used > 0)
         g_byte_array_remove_range(link->received, 0, used);
-    return bad ? "it sent no valid message" : NULL;
+    return malformed ? "the peer sent a malformed message" : NULL;
 }
 
-/* Returns NULL, or why the link is broken. */
+/* Returns NULL, or the reason for closing the link. */
 static const char *link_read(wb_link_t *link) {
     g_autofree char *chunk = g_malloc(READ_CHUNK_BYTES);
     apr_size_t length = READ_CHUNK_BYTES;
@@ -243,16 +246,17 @@
     while (length > 0) {
         link->counters->bytes_received += (int64_t)length;
         g_byte_array_append(link->received, (const guint8 *)chunk, (guint)length);
-        const char *reason = frames_take(link);
-        /* TLS may hold more than the socket shows, so it is read until it is empty. */
-        if (reason != NULL || link->tls == NULL || link->break_timer != NULL)
+        const char *reason = frames_deliver(link);
+        /* The TLS session may hold bytes for which the socket doesn't become readable again, so it
+         * is read until it is empty. */
+        if (reason != NULL || link->tls == NULL || link->close_timer != NULL)
             return reason;
         length = READ_CHUNK_BYTES;
         status = bytes_receive(link, chunk, &length);
     }
     if (APR_STATUS_IS_EAGAIN(status))
         return NULL;
-    return APR_STATUS_IS_EOF(status) ? "the peer closed it" : "receiving failed";
+    return APR_STATUS_IS_EOF(status) ? "the peer closed the connection" : "receiving failed";
 }
 
 static void link_ready(int16_t events, void *context) {
@@ -264,14 +268,14 @@
             return;
         }
     } else if (events & (APR_POLLERR | APR_POLLHUP)) {
-        link_fail(link, "the connection broke");
+        link_fail(link, "connection error");
         return;
     }
     if ((events & APR_POLLOUT) && !link_flush(link))
         link_fail(link, "sending failed");
 }
 
-/* Both sides are connected, and know each other's certificates if there is TLS. */
+/* The connection is established, with TLS its handshake is complete. */
 static void link_opened(wb_link_t *link) {
     link->open = TRUE;
     if (link->connect_timer != NULL) {
@@ -301,7 +305,8 @@
         wb_watch_change(link->watch, APR_POLLOUT);
         break;
     default:
-        wb_log_warning(WB_PART_LINK, "A link was refused: %s.", wb_tls_session_failure(link->tls));
+        wb_log_warning(WB_PART_LINK, "TLS handshake failed: %s.",
+                       wb_tls_session_failure(link->tls));
         link_fail(link, "the TLS handshake failed");
     }
 }
@@ -309,13 +314,13 @@
 static void connect_timed_out(void *context) {
     wb_link_t *link = context;
     link->connect_timer = NULL;
-    link_fail(link, "connecting took too long");
+    link_fail(link, "connecting timed out");
 }
 
-/* The TCP connection is there. */
+/* The TCP connection is established; starts the TLS handshake if the link uses TLS. */
 static void link_connected(wb_link_t *link, gboolean is_server) {
     apr_socket_opt_set(link->socket, APR_TCP_NODELAY, 1);
-    wb_socket_limit_silence(link->socket, SILENCE_LIMIT_MS);
+    wb_socket_set_silence_limit(link->socket, SILENCE_LIMIT_MS);
     if (link->events.tls == NULL) {
         link_opened(link);
         return;
@@ -336,7 +341,7 @@
     link->socket = socket;
     link->events = *events;
     link->counters = counters;
-    link->form = 1;
+    link->format_version = 1;
     link->received = g_byte_array_new();
     link->unsent = g_byte_array_new();
     apr_socket_opt_set(socket, APR_SO_NONBLOCK, 1);
@@ -351,17 +356,17 @@
     if (wb_socket_connect_failure(link->socket, events) == 0)
         link_connected(link, FALSE);
     else
-        link_fail(link, "it can't be reached");
+        link_fail(link, "connecting failed");
 }
 
-/* Makes the connection come from this IP; if that fails, it comes from any. */
+/* Binds the local end to this IP address. If that fails, the system chooses one. */
 static void host_bind(apr_socket_t *socket, const char *host, apr_pool_t *pool) {
-    apr_sockaddr_t *own;
+    apr_sockaddr_t *local;
     if (host == NULL || *host == '\0')
         return;
-    if (apr_sockaddr_info_get(&own, host, APR_INET, 0, 0, pool) != APR_SUCCESS ||
-        apr_socket_bind(socket, own) != APR_SUCCESS)
-        wb_log_warning(WB_PART_LINK, "Links can't be made from %s.", host);
+    if (apr_sockaddr_info_get(&local, host, APR_INET, 0, 0, pool) != APR_SUCCESS ||
+        apr_socket_bind(socket, local) != APR_SUCCESS)
+        wb_log_warning(WB_PART_LINK, "Can't bind a link to local address %s; using any.", host);
 }
 
 apr_status_t wb_link_connect(wb_loop_t *loop, const char *address, const wb_link_events_t *events,
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -1,4 +1,4 @@
-/* Runs sockets, timers and posted tasks on one thread. */
+/* Event loop: each round runs posted tasks, then due timers, then waits for sockets. */
 #include "wickbridge/loop.h"
 
 #include "wickbridge/log.h"
@@ -12,10 +12,10 @@
 struct wb_timer_t {
     wb_loop_t *loop;
     int64_t due_ms;
-    int64_t interval_ms; /* 0: once */
+    int64_t interval_ms; /* 0: one-shot */
     wb_loop_task_fn task;
     void *context;
-    GSequenceIter *place; /* NULL while its task runs */
+    GSequenceIter *position; /* in `timers`; NULL while its task runs */
     gboolean cancelled;
 };
 
@@ -27,10 +27,10 @@
     gboolean removed;
 };
 
-typedef struct wb_task_t {
+typedef struct wb_posted_task_t {
     wb_loop_task_fn task;
     void *context;
-} wb_task_t;
+} wb_posted_task_t;
 
 struct wb_loop_t {
     apr_pool_t *pool;
@@ -40,12 +40,12 @@
     GMutex lock; /* guards `tasks` and `stopping` */
     GQueue tasks;
     gboolean stopping;
-    GSequence *timers;  /* by due time */
-    GPtrArray *removed; /* watches to free after the present round */
+    GSequence *timers;  /* ordered by due time */
+    GPtrArray *removed; /* watches to free after the current round, which may still list them */
 };
 
-/* CLOCK_MONOTONIC stands still while the machine is suspended: who woke would believe that its
- * lease goes on, that its configuration is fresh, and that callers still wait. */
+/* CLOCK_BOOTTIME, as CLOCK_MONOTONIC stops while the machine is suspended: after a resume, an
+ * expired lease would seem valid, the configuration fresh, and clients still waiting. */
 int64_t wb_clock_us(void) {
     struct timespec now;
     clock_gettime(CLOCK_BOOTTIME, &now);
@@ -90,7 +90,7 @@
     timer->interval_ms = interval_ms;
     timer->task = task;
     timer->context = context;
-    timer->place = g_sequence_insert_sorted(loop->timers, timer, timer_compare, NULL);
+    timer->position = g_sequence_insert_sorted(loop->timers, timer, timer_compare, NULL);
     return timer;
 }
 
@@ -105,25 +105,25 @@
 
 void wb_timer_cancel(wb_timer_t *timer) {
     timer->cancelled = TRUE;
-    if (timer->place == NULL)
-        return; /* its task runs now; timers_run frees it */
-    g_sequence_remove(timer->place);
+    if (timer->position == NULL)
+        return; /* its task is running; timer_run frees it */
+    g_sequence_remove(timer->position);
     g_free(timer);
 }
 
 static void timer_run(wb_loop_t *loop, wb_timer_t *timer, int64_t now_ms) {
-    g_sequence_remove(timer->place);
-    timer->place = NULL;
+    g_sequence_remove(timer->position);
+    timer->position = NULL;
     timer->task(timer->context);
     if (timer->cancelled || timer->interval_ms == 0) {
         g_free(timer);
         return;
     }
     timer->due_ms = MAX(timer->due_ms + timer->interval_ms, now_ms);
-    timer->place = g_sequence_insert_sorted(loop->timers, timer, timer_compare, NULL);
+    timer->position = g_sequence_insert_sorted(loop->timers, timer, timer_compare, NULL);
 }
 
-/* Runs what is due. Returns the time until the next timer in ms. */
+/* Runs due timers. Returns the time until the next one in ms, at most POLL_LIMIT_MS. */
 static int64_t timers_run(wb_loop_t *loop) {
     int64_t now_ms = wb_clock_ms();
     for (;;) {
@@ -143,7 +143,7 @@
     gboolean stopping = loop->stopping;
     g_queue_init(&loop->tasks);
     g_mutex_unlock(&loop->lock);
-    wb_task_t *task;
+    wb_posted_task_t *task;
     while ((task = g_queue_pop_head(&tasks)) != NULL) {
         task->task(task->context);
         g_free(task);
@@ -205,7 +205,7 @@
 }
 
 void wb_loop_post(wb_loop_t *loop, wb_loop_task_fn task, void *context) {
-    wb_task_t *posted = g_new(wb_task_t, 1);
+    wb_posted_task_t *posted = g_new(wb_posted_task_t, 1);
     posted->task = task;
     posted->context = context;
     g_mutex_lock(&loop->lock);
@@ -225,7 +225,7 @@
     watch->callback = callback;
     watch->context = context;
     if (apr_pollset_add(loop->pollset, &watch->descriptor) != APR_SUCCESS)
-        wb_log_warning(WB_PART_LINK, "The loop %s can't watch another socket.", loop->name);
+        wb_log_warning(WB_PART_LINK, "Loop %s can't add a socket to its pollset.", loop->name);
     return watch;
 }
 
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -1,4 +1,6 @@
-/* Keeps links to other nodes by name, with a greeting on each. */
+/* Links to other nodes by node name. Both sides begin a link with a handshake (WB_WIRE_HELLO) that
+ * names cluster and node. There may be several links to a node, for example when both have
+ * connected at the same time; `by_node` holds the one used for sending. */
 #include "wickbridge/peers.h"
 
 #include "wickbridge/log.h"
@@ -8,14 +10,14 @@
 typedef struct wb_peer_t {
     wb_peers_t *peers;
     wb_link_t *link;
-    char *node; /* NULL until its greeting came, for a link by address */
+    char *node; /* for a link opened by address: NULL until the peer's handshake */
     char *address;
-    gboolean greeted;        /* its greeting has come */
-    gboolean overlay_wanted; /* by us */
-    gboolean overlay_asked;  /* by the other side */
-    gboolean announced;      /* on_up was called */
-    int64_t heard_ms;
-    int64_t used_ms;
+    gboolean handshake_received; /* the peer's handshake was received */
+    gboolean overlay_wanted;     /* this node asks for heartbeats */
+    gboolean overlay_requested;  /* the peer asks for heartbeats */
+    gboolean announced;
+    int64_t last_received_ms;
+    int64_t last_used_ms; /* last message that is neither a handshake nor a heartbeat */
 } wb_peer_t;
 
 struct wb_peers_t {
@@ -33,7 +35,7 @@
     GHashTable *by_node; /* the link used for sending */
 };
 
-static void greeting_send(wb_peer_t *peer) {
+static void handshake_send(wb_peer_t *peer) {
     wb_peers_t *peers = peer->peers;
     wb_wire_message message = {.kind = WB_WIRE_HELLO};
     wb_wire_hello *hello = &message.wb_wire_message_u.hello;
@@ -49,10 +51,11 @@
     wb_peers_t *peers = peer->peers;
     if (peer->node != NULL && g_hash_table_lookup(peers->by_node, peer->node) == peer) {
         g_hash_table_remove(peers->by_node, peer->node);
-        /* another link to the same node may take over */
+        /* Falls back to another link to the same node. */
         for (guint i = 0; i < peers->all->len; i++) {
             wb_peer_t *other = peers->all->pdata[i];
-            if (other != peer && other->greeted && strcmp(other->node, peer->node) == 0) {
+            if (other != peer && other->handshake_received &&
+                strcmp(other->node, peer->node) == 0) {
                 g_hash_table_insert(peers->by_node, other->node, other);
                 break;
             }
@@ -76,23 +79,25 @@
         peers->events.on_down(node, reason, peers->events.context);
 }
 
-/* Takes the greeting. Returns FALSE when the link must not go on. */
-static gboolean greeting_take(wb_peer_t *peer, const wb_wire_hello *hello) {
+/* Applies the peer's handshake; later ones on a link change the overlay request only. Returns FALSE
+ * when the link must be closed. */
+static gboolean handshake_receive(wb_peer_t *peer, const wb_wire_hello *hello) {
     wb_peers_t *peers = peer->peers;
     if (strcmp(hello->cluster, peers->cluster) != 0) {
-        wb_log_warning(WB_PART_LINK, "A node of cluster %s was turned away.", hello->cluster);
+        wb_log_warning(WB_PART_LINK, "Rejected a link: the peer belongs to cluster %s.",
+                       hello->cluster);
         return FALSE;
     }
     if (strcmp(hello->node, peers->node) == 0)
-        return FALSE; /* ourselves */
-    gboolean newly_asked = hello->overlay && !peer->overlay_asked;
-    peer->overlay_asked = hello->overlay;
-    if (peer->greeted) {
-        if (newly_asked)
+        return FALSE; /* a link to this node itself */
+    gboolean newly_requested = hello->overlay && !peer->overlay_requested;
+    peer->overlay_requested = hello->overlay;
+    if (peer->handshake_received) {
+        if (newly_requested)
             peers->events.on_up(peer->node, TRUE, peers->events.context);
         return TRUE;
     }
-    peer->greeted = TRUE;
+    peer->handshake_received = TRUE;
     if (peer->node != NULL && strcmp(peer->node, hello->node) != 0) {
         g_autofree char *expected = peer->node;
         if (g_hash_table_lookup(peers->by_node, expected) == peer)
@@ -111,22 +116,22 @@
     (void)context;
     wb_peer_t *peer = wb_link_data(link);
     wb_peers_t *peers = peer->peers;
-    peer->heard_ms = wb_clock_ms();
+    peer->last_received_ms = wb_clock_ms();
     if (message->kind == WB_WIRE_HELLO) {
-        gboolean first = !peer->greeted;
-        if (!greeting_take(peer, &message->wb_wire_message_u.hello))
-            wb_link_break(link, "its greeting doesn't fit");
+        gboolean first = !peer->handshake_received;
+        if (!handshake_receive(peer, &message->wb_wire_message_u.hello))
+            wb_link_break(link, "the peer's handshake was rejected");
         else if (first)
-            peers->events.on_up(peer->node, peer->overlay_wanted || peer->overlay_asked,
+            peers->events.on_up(peer->node, peer->overlay_wanted || peer->overlay_requested,
                                 peers->events.context);
         return;
     }
-    if (!peer->greeted) {
-        wb_link_break(link, "it didn't greet");
+    if (!peer->handshake_received) {
+        wb_link_break(link, "the peer sent a message before its handshake");
         return;
     }
     if (message->kind != WB_WIRE_HEARTBEAT)
-        peer->used_ms = peer->heard_ms;
+        peer->last_used_ms = peer->last_received_ms;
     peers->events.on_message(peer->node, message, peers->events.context);
 }
 
@@ -137,17 +142,18 @@
     peer->link = link;
     peer->node = g_strdup(node);
     peer->address = g_strdup(address);
-    peer->heard_ms = wb_clock_ms();
-    peer->used_ms = peer->heard_ms;
+    peer->last_received_ms = wb_clock_ms();
+    peer->last_used_ms = peer->last_received_ms;
     wb_link_set_data(link, peer);
     g_ptr_array_add(peers->all, peer);
     return peer;
 }
 
-/* A link that was accepted has no peer yet; one that we made greeted when it was created. */
+/* Creates the peer of an accepted link and sends the handshake. For outgoing links peer_open has
+ * done both. */
 static void link_opened(wb_link_t *link, void *context) {
     if (wb_link_data(link) == NULL)
-        greeting_send(peer_create(context, link, NULL, NULL));
+        handshake_send(peer_create(context, link, NULL, NULL));
 }
 
 static wb_peer_t *peer_open(wb_peers_t *peers, const char *node, const char *address,
@@ -158,14 +164,14 @@
     wb_error_t error;
     if (wb_link_connect(peers->loop, address, &events, &peers->counters, &link, &error) !=
         APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "No link: %s.", error.message);
+        wb_log_warning(WB_PART_LINK, "Can't open a link: %s.", error.message);
         return NULL;
     }
     wb_peer_t *peer = peer_create(peers, link, node, address);
     peer->overlay_wanted = overlay;
     if (node != NULL)
         g_hash_table_insert(peers->by_node, peer->node, peer);
-    greeting_send(peer);
+    handshake_send(peer);
     return peer;
 }
 
@@ -220,7 +226,7 @@
     wb_peer_t *peer = peer_get(peers, node, FALSE);
     if (peer == NULL)
         return FALSE;
-    peer->used_ms = wb_clock_ms();
+    peer->last_used_ms = wb_clock_ms();
     wb_link_send(peer->link, message);
     return TRUE;
 }
@@ -238,8 +244,8 @@
     if (peer == NULL || !overlay || peer->overlay_wanted)
         return;
     peer->overlay_wanted = TRUE;
-    greeting_send(peer);
-    if (peer->greeted)
+    handshake_send(peer);
+    if (peer->handshake_received)
         peers->events.on_up(node, TRUE, peers->events.context);
 }
 
@@ -256,7 +262,7 @@
     GPtrArray *nodes = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < peers->all->len; i++) {
         const wb_peer_t *peer = peers->all->pdata[i];
-        if (peer->greeted && (peer->overlay_wanted || peer->overlay_asked) &&
+        if (peer->handshake_received && (peer->overlay_wanted || peer->overlay_requested) &&
             !g_ptr_array_find_with_equal_func(nodes, peer->node, g_str_equal, NULL))
             g_ptr_array_add(nodes, g_strdup(peer->node));
     }
@@ -264,13 +270,13 @@
 }
 
 int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node) {
-    int64_t heard_ms = 0;
+    int64_t last_ms = 0;
     for (guint i = 0; i < peers->all->len; i++) {
         const wb_peer_t *peer = peers->all->pdata[i];
-        if (peer->greeted && strcmp(peer->node, node) == 0)
-            heard_ms = MAX(heard_ms, peer->heard_ms);
+        if (peer->handshake_received && strcmp(peer->node, node) == 0)
+            last_ms = MAX(last_ms, peer->last_received_ms);
     }
-    return heard_ms;
+    return last_ms;
 }
 
 void wb_peers_release_overlay(wb_peers_t *peers, const char *node) {
@@ -278,7 +284,7 @@
     if (peer == NULL || !peer->overlay_wanted)
         return;
     peer->overlay_wanted = FALSE;
-    greeting_send(peer);
+    handshake_send(peer);
 }
 
 void wb_peers_drop(wb_peers_t *peers, const char *node, const char *reason) {
@@ -293,7 +299,8 @@
     int64_t now_ms = wb_clock_ms();
     for (guint i = peers->all->len; i-- > 0;) {
         wb_peer_t *peer = peers->all->pdata[i];
-        if (peer->overlay_wanted || peer->overlay_asked || now_ms - peer->used_ms < idle_ms)
+        if (peer->overlay_wanted || peer->overlay_requested ||
+            now_ms - peer->last_used_ms < idle_ms)
             continue;
         wb_link_close(peer->link);
         peer_free(peer);
--- a/src/net/socket.c
+++ b/src/net/socket.c
@@ -16,10 +16,10 @@
 #define LISTEN_BACKLOG 1024
 #define PROBE_IDLE_S 1
 #define PROBE_INTERVAL_S 1
-#define PROBES 3
+#define PROBE_COUNT 3
 
-/* Reads IP:PORT; APR's own reader doesn't take port 0, which asks for any free one. */
-static apr_status_t address_read(const char *address, apr_pool_t *pool, apr_sockaddr_t **result) {
+/* Parses IP:PORT. apr_parse_addr_port rejects port 0, which means any free port. */
+static apr_status_t address_parse(const char *address, apr_pool_t *pool, apr_sockaddr_t **result) {
     const char *colon = strrchr(address, ':');
     if (colon == NULL || !wb_address_is_valid(address))
         return APR_EINVAL;
@@ -30,25 +30,25 @@
 
 apr_status_t wb_socket_open(const char *address, apr_pool_t *pool, apr_sockaddr_t **target,
                             apr_socket_t **socket, wb_error_t *error) {
-    apr_status_t status = address_read(address, pool, target);
+    apr_status_t status = address_parse(address, pool, target);
     if (status == APR_SUCCESS)
         status = apr_socket_create(socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool);
     if (status != APR_SUCCESS)
-        return wb_error_set(error, status, "can't connect to '%s'", address);
+        return wb_error_set(error, status, "can't open a socket to connect to '%s'", address);
     return APR_SUCCESS;
 }
 
 apr_status_t wb_socket_listen(const char *address, apr_pool_t *pool, apr_socket_t **socket,
                               wb_error_t *error) {
-    apr_sockaddr_t *own;
-    apr_status_t status = address_read(address, pool, &own);
+    apr_sockaddr_t *local;
+    apr_status_t status = address_parse(address, pool, &local);
     if (status == APR_SUCCESS)
         status = apr_socket_create(socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool);
     if (status == APR_SUCCESS) {
         apr_socket_opt_set(*socket, APR_SO_REUSEADDR, 1);
         apr_socket_opt_set(*socket, APR_SO_NONBLOCK, 1);
         apr_socket_timeout_set(*socket, 0);
-        status = apr_socket_bind(*socket, own);
+        status = apr_socket_bind(*socket, local);
     }
     if (status == APR_SUCCESS)
         status = apr_socket_listen(*socket, LISTEN_BACKLOG);
@@ -57,13 +57,13 @@
     return APR_SUCCESS;
 }
 
-void wb_socket_limit_silence(apr_socket_t *socket, int64_t limit_ms) {
+void wb_socket_set_silence_limit(apr_socket_t *socket, int64_t limit_ms) {
     int descriptor;
     unsigned limit = (unsigned)limit_ms;
     int on = 1;
     int idle_s = PROBE_IDLE_S;
     int interval_s = PROBE_INTERVAL_S;
-    int probes = PROBES;
+    int probes = PROBE_COUNT;
     apr_os_sock_get(&descriptor, socket);
     setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
     setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
@@ -84,8 +84,8 @@
 }
 
 unsigned wb_socket_port(apr_socket_t *socket) {
-    apr_sockaddr_t *own;
-    if (apr_socket_addr_get(&own, APR_LOCAL, socket) != APR_SUCCESS)
+    apr_sockaddr_t *local;
+    if (apr_socket_addr_get(&local, APR_LOCAL, socket) != APR_SUCCESS)
         return 0;
-    return own->port;
+    return local->port;
 }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,6 +1,9 @@
 /**
  * @file socket.h
- * @brief TCP sockets by numeric address, for links between nodes and for plain streams alike.
+ * @brief TCP sockets by numeric address; used by links between nodes and by TCP streams.
+ *
+ * Addresses are IPv4, IP:PORT. Errors: functions that return apr_status_t give the status of the
+ * call that failed, or APR_EINVAL for a malformed address, with a message.
  */
 #ifndef WICKBRIDGE_SOCKET_H
 #define WICKBRIDGE_SOCKET_H
@@ -11,19 +14,19 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Create a socket to connect with. @param target out: where to connect to */
+/** Create an unconnected socket. @param target out: the parsed address, to connect to */
 apr_status_t wb_socket_open(const char *address, apr_pool_t *pool, apr_sockaddr_t **target,
                             apr_socket_t **socket, wb_error_t *error);
-/** Create a non-blocking socket that listens. @param address IP:PORT; port 0 picks any free one */
+/** Create a non-blocking listening socket. @param address IP:PORT; port 0 picks a free port */
 apr_status_t wb_socket_listen(const char *address, apr_pool_t *pool, apr_socket_t **socket,
                               wb_error_t *error);
-/** Let a connection end when the peer acknowledges nothing for so long, or is gone while nothing is
- * sent. */
-void wb_socket_limit_silence(apr_socket_t *socket, int64_t limit_ms);
-/** @param events what the loop told of a socket that connects. @return 0 when it is connected, else
- * an errno; ENOTCONN when the reason was told before */
+/** End a connection whose peer acknowledges nothing for `limit_ms`, or, while nothing is sent,
+ * doesn't answer keep-alive probes. */
+void wb_socket_set_silence_limit(apr_socket_t *socket, int64_t limit_ms);
+/** Get the result of a non-blocking connect. @param events as the loop reported them @return 0 when
+ * connected, else an errno; ENOTCONN when the system has already reported the error */
 int wb_socket_connect_failure(apr_socket_t *socket, int16_t events);
-/** @return the port that a socket is bound to, or 0 */
+/** @return the local port, or 0 when it can't be read */
 unsigned wb_socket_port(apr_socket_t *socket);
 
 #endif
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -1,4 +1,5 @@
-/* One TCP connection on a loop, on APR's sockets. */
+/* TCP connections on a loop. A stream that is closed inside one of its callbacks is freed when the
+ * outermost callback returns. */
 #include "wickbridge/tcp_stream.h"
 
 #include "net/acceptor.h"
@@ -27,20 +28,20 @@
     apr_pool_t *pool;
     apr_socket_t *socket;
     wb_watch_t *watch;
-    wb_timer_t *timer; /* while connecting, ending or lingering */
+    wb_timer_t *timer; /* connect timeout, deferred error or linger timeout */
     const wb_tcp_events_t *events;
     void *context;
     GByteArray *unsent;
     gboolean open;
-    gboolean refused; /* the system said so while it began to connect */
+    gboolean refused; /* connect() itself returned ECONNREFUSED */
     gboolean reading;
-    gboolean finishing; /* close after the output */
+    gboolean finishing; /* close once all output is sent */
     gboolean ended;     /* on_end was called */
-    gboolean closed;    /* free when no callback runs */
+    gboolean closed;    /* to be freed when no callback runs */
     int callbacks;      /* depth of running callbacks */
 };
 
-static const wb_tcp_events_t silent_events = {NULL, NULL, NULL, NULL};
+static const wb_tcp_events_t no_events = {NULL, NULL, NULL, NULL};
 
 static void stream_free(wb_tcp_stream_t *stream) {
     g_byte_array_unref(stream->unsent);
@@ -68,14 +69,15 @@
 }
 
 void wb_tcp_stream_reset(wb_tcp_stream_t *stream) {
-    struct linger none = {1, 0};
+    struct linger immediate = {1, 0};
     int descriptor;
     apr_os_sock_get(&descriptor, stream->socket);
-    setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &none, sizeof(none));
+    setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &immediate, sizeof(immediate));
     wb_tcp_stream_close(stream);
 }
 
-/* Every callback runs between enter and leave. leave returns FALSE when the stream is freed. */
+/* Every callback runs between callback_enter and callback_leave. callback_leave returns FALSE when
+ * the stream was closed; it may be freed then. */
 static void callback_enter(wb_tcp_stream_t *stream) {
     stream->callbacks++;
 }
@@ -114,22 +116,23 @@
     wb_watch_change(stream->watch, events);
 }
 
-static void linger_over(void *context) {
+static void linger_timed_out(void *context) {
     wb_tcp_stream_t *stream = context;
     stream->timer = NULL;
     wb_tcp_stream_close(stream);
 }
 
-/* All output is sent: tell the peer, then wait a little for its close so that nothing resets. */
+/* Shuts down sending after all output is sent, and waits up to LINGER_MS for the peer's close:
+ * closing at once could reset the connection and lose output. */
 static void linger_begin(wb_tcp_stream_t *stream) {
     apr_socket_shutdown(stream->socket, APR_SHUTDOWN_WRITE);
     stream->reading = TRUE;
     watch_update(stream);
     timer_clear(stream);
-    stream->timer = wb_loop_after(stream->loop, LINGER_MS, linger_over, stream);
+    stream->timer = wb_loop_after(stream->loop, LINGER_MS, linger_timed_out, stream);
 }
 
-/* Sends what the socket takes. Returns FALSE when the connection broke. */
+/* Sends as much as the socket accepts. Returns FALSE when sending failed. */
 static gboolean output_flush(wb_tcp_stream_t *stream) {
     guint sent = 0;
     while (sent < stream->unsent->len) {
@@ -147,7 +150,7 @@
     return TRUE;
 }
 
-static void broke_later(void *context) {
+static void send_failed_later(void *context) {
     wb_tcp_stream_t *stream = context;
     stream->timer = NULL;
     stream_end(stream, WB_TCP_END_RESET);
@@ -160,10 +163,10 @@
     if (!stream->open)
         return;
     if (!output_flush(stream)) {
-        /* The owner hears of it from the loop, not from inside its own call. */
+        /* Reports the error from the loop, as on_end must not run inside the owner's call. */
         g_byte_array_set_size(stream->unsent, 0);
         timer_clear(stream);
-        stream->timer = wb_loop_after(stream->loop, 0, broke_later, stream);
+        stream->timer = wb_loop_after(stream->loop, 0, send_failed_later, stream);
         return;
     }
     watch_update(stream);
@@ -197,7 +200,7 @@
         wb_tcp_stream_close(stream);
         return;
     }
-    stream->events = &silent_events;
+    stream->events = &no_events;
     stream->finishing = TRUE;
     if (stream->unsent->len == 0)
         linger_begin(stream);
@@ -205,7 +208,7 @@
         watch_update(stream);
 }
 
-/* Reads what is there. Returns FALSE when the stream is freed or has ended. */
+/* Reads available input. Returns FALSE when the stream was closed or has ended. */
 static gboolean input_read(wb_tcp_stream_t *stream) {
     char chunk[READ_CHUNK_BYTES];
     for (int i = 0; i < READS_PER_WAKEUP && stream->reading; i++) {
@@ -258,8 +261,8 @@
         if (events & (APR_POLLHUP | APR_POLLERR))
             stream->reading = TRUE;
         callback_enter(stream);
-        gboolean goes_on = input_read(stream);
-        if (!callback_leave(stream) || !goes_on)
+        gboolean still_open = input_read(stream);
+        if (!callback_leave(stream) || !still_open)
             return;
         if (stream->reading && !was_reading)
             stream->reading = FALSE;
@@ -274,13 +277,13 @@
     stream->loop = loop;
     stream->pool = pool;
     stream->socket = socket;
-    stream->events = &silent_events;
+    stream->events = &no_events;
     stream->unsent = g_byte_array_new();
     stream->reading = TRUE;
     apr_socket_opt_set(socket, APR_SO_NONBLOCK, 1);
     apr_socket_timeout_set(socket, 0);
     apr_socket_opt_set(socket, APR_TCP_NODELAY, 1);
-    wb_socket_limit_silence(socket, silence_limit_ms);
+    wb_socket_set_silence_limit(socket, silence_limit_ms);
     return stream;
 }
 
--- a/src/net/tls.c
+++ b/src/net/tls.c
@@ -1,4 +1,5 @@
-/* Wraps sockets of links in TLS by GnuTLS. */
+/* TLS sessions for links, with GnuTLS. Both sides must show a certificate that the nodes' authority
+ * signed. */
 #include "wickbridge/tls.h"
 
 #include <apr_portable.h>
@@ -21,7 +22,7 @@
     int result = gnutls_certificate_set_x509_key_file(created->credentials, certificate_file,
                                                       key_file, GNUTLS_X509_FMT_PEM);
     if (result < 0) {
-        wb_error_set(error, APR_EINVAL, "key %s with certificate %s: %s", key_file,
+        wb_error_set(error, APR_EINVAL, "can't load key %s with certificate %s: %s", key_file,
                      certificate_file, gnutls_strerror(result));
         wb_tls_context_free(created);
         return APR_EINVAL;
@@ -29,8 +30,8 @@
     result = gnutls_certificate_set_x509_trust_file(created->credentials, trust_file,
                                                     GNUTLS_X509_FMT_PEM);
     if (result <= 0) {
-        wb_error_set(error, APR_EINVAL, "authority %s: %s", trust_file,
-                     result == 0 ? "no certificate in it" : gnutls_strerror(result));
+        wb_error_set(error, APR_EINVAL, "can't load certificate authority %s: %s", trust_file,
+                     result == 0 ? "the file holds no certificate" : gnutls_strerror(result));
         wb_tls_context_free(created);
         return APR_EINVAL;
     }
@@ -54,7 +55,7 @@
     gnutls_credentials_set(session->session, GNUTLS_CRD_CERTIFICATE, context->credentials);
     if (is_server)
         gnutls_certificate_server_set_request(session->session, GNUTLS_CERT_REQUIRE);
-    /* Nodes are known by addresses; what counts is that their authority has signed. */
+    /* Nodes are reached by IP addresses, so no host name is verified; the signing authority is. */
     gnutls_session_set_verify_cert(session->session, NULL, 0);
     gnutls_transport_set_int(session->session, descriptor);
     return session;
@@ -65,7 +66,7 @@
     g_free(session);
 }
 
-static wb_tls_step_t step_from(wb_tls_session_t *session, ssize_t result) {
+static wb_tls_step_t step_of_result(wb_tls_session_t *session, ssize_t result) {
     if (result == GNUTLS_E_AGAIN || result == GNUTLS_E_INTERRUPTED)
         return gnutls_record_get_direction(session->session) == 0 ? WB_TLS_WANTS_READ
                                                                   : WB_TLS_WANTS_WRITE;
@@ -77,13 +78,13 @@
 
 wb_tls_step_t wb_tls_session_handshake(wb_tls_session_t *session) {
     int result = gnutls_handshake(session->session);
-    return result == GNUTLS_E_SUCCESS ? WB_TLS_DONE : step_from(session, result);
+    return result == GNUTLS_E_SUCCESS ? WB_TLS_DONE : step_of_result(session, result);
 }
 
 wb_tls_step_t wb_tls_session_send(wb_tls_session_t *session, const char *data, gsize *length) {
     ssize_t result = gnutls_record_send(session->session, data, *length);
     *length = result > 0 ? (gsize)result : 0;
-    return result > 0 ? WB_TLS_DONE : step_from(session, result);
+    return result > 0 ? WB_TLS_DONE : step_of_result(session, result);
 }
 
 wb_tls_step_t wb_tls_session_receive(wb_tls_session_t *session, char *data, gsize *length) {
@@ -91,9 +92,9 @@
     *length = result > 0 ? (gsize)result : 0;
     if (result > 0)
         return WB_TLS_DONE;
-    return result == 0 ? WB_TLS_ENDED : step_from(session, result);
+    return result == 0 ? WB_TLS_ENDED : step_of_result(session, result);
 }
 
 const char *wb_tls_session_failure(const wb_tls_session_t *session) {
-    return session->failure != 0 ? gnutls_strerror(session->failure) : "the connection broke";
+    return session->failure != 0 ? gnutls_strerror(session->failure) : "connection error";
 }
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -1,41 +1,45 @@
-/* Turns messages between nodes into framed XDR and back. */
+/* Encodes and decodes messages between nodes. A frame is the length of its content in 4 bytes, in
+ * network order, then the message in XDR, then the extensions in XDR if there are any. */
 #include "wickbridge/message.h"
 
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define FRAME_HEAD_BYTES 4
-#define NEWEST_KIND WB_WIRE_ENGINE_STATES
+#define FRAME_HEADER_BYTES 4
+#define LAST_KNOWN_KIND WB_WIRE_ENGINE_STATES
 
-static unsigned long sizeof_all(wb_wire_message *message, wb_wire_parts *parts) {
+/* Returns the encoded size in bytes, or 0 when something exceeds a limit of the protocol. */
+static unsigned long encoded_size(wb_wire_message *message, wb_wire_parts *extensions) {
     unsigned long size = xdr_sizeof((xdrproc_t)xdr_wb_wire_message, message);
-    unsigned long more = parts != NULL ? xdr_sizeof((xdrproc_t)xdr_wb_wire_parts, parts) : 0;
-    return size == 0 || (parts != NULL && more == 0) ? 0 : size + more;
+    unsigned long more =
+        extensions != NULL ? xdr_sizeof((xdrproc_t)xdr_wb_wire_parts, extensions) : 0;
+    return size == 0 || (extensions != NULL && more == 0) ? 0 : size + more;
 }
 
-apr_status_t wb_message_encode_parts(const wb_wire_message *message, const wb_wire_parts *parts,
-                                     GByteArray *out, wb_error_t *error) {
-    /* XDR only reads from its source while encoding, but its interface isn't const. */
+apr_status_t wb_message_encode_parts(const wb_wire_message *message,
+                                     const wb_wire_parts *extensions, GByteArray *out,
+                                     wb_error_t *error) {
+    /* XDR doesn't modify its source while encoding, but its interface isn't const. */
     wb_wire_message *source = (wb_wire_message *)message;
-    wb_wire_parts *more = (wb_wire_parts *)parts;
-    unsigned long size = sizeof_all(source, more);
+    wb_wire_parts *more = (wb_wire_parts *)extensions;
+    unsigned long size = encoded_size(source, more);
     if (size == 0 || size > WB_MESSAGE_MAX_BYTES)
-        return wb_error_set(error, APR_EINVAL, "a %s message of %lu bytes can't be sent",
+        return wb_error_set(error, APR_EINVAL, "a %s message is invalid or too large (%lu bytes)",
                             wb_message_kind_name(message->kind), size);
     guint start = out->len;
-    g_byte_array_set_size(out, (guint)(start + FRAME_HEAD_BYTES + size));
+    g_byte_array_set_size(out, (guint)(start + FRAME_HEADER_BYTES + size));
     uint32_t head = htonl((uint32_t)size);
     memcpy(out->data + start, &head, sizeof(head));
     XDR stream;
-    xdrmem_create(&stream, (char *)out->data + start + FRAME_HEAD_BYTES, (u_int)size, XDR_ENCODE);
-    bool_t whole =
+    xdrmem_create(&stream, (char *)out->data + start + FRAME_HEADER_BYTES, (u_int)size, XDR_ENCODE);
+    bool_t valid =
         xdr_wb_wire_message(&stream, source) && (more == NULL || xdr_wb_wire_parts(&stream, more));
     xdr_destroy(&stream);
-    if (whole)
+    if (valid)
         return APR_SUCCESS;
     g_byte_array_set_size(out, start);
-    return wb_error_set(error, APR_EINVAL, "a %s message breaks its bounds",
+    return wb_error_set(error, APR_EINVAL, "a %s message exceeds a limit of the protocol",
                         wb_message_kind_name(message->kind));
 }
 
@@ -44,29 +48,29 @@
 }
 
 apr_status_t wb_message_decode_parts(const void *data, size_t length, wb_wire_message *message,
-                                     wb_wire_parts *parts, wb_error_t *error) {
+                                     wb_wire_parts *extensions, wb_error_t *error) {
     memset(message, 0, sizeof(*message));
-    memset(parts, 0, sizeof(*parts));
+    memset(extensions, 0, sizeof(*extensions));
     XDR stream;
     xdrmem_create(&stream, (char *)data, (u_int)length, XDR_DECODE);
-    bool_t whole = xdr_wb_wire_message(&stream, message);
-    if (whole && xdr_getpos(&stream) < length)
-        whole = xdr_wb_wire_parts(&stream, parts);
+    bool_t valid = xdr_wb_wire_message(&stream, message);
+    if (valid && xdr_getpos(&stream) < length)
+        valid = xdr_wb_wire_parts(&stream, extensions);
     u_int used = xdr_getpos(&stream);
     xdr_destroy(&stream);
-    if (whole && used == length)
+    if (valid && used == length)
         return APR_SUCCESS;
     wb_message_clear(message);
-    wb_parts_clear(parts);
-    return wb_error_set(error, APR_EINVAL, "%zu bytes are not a message", length);
+    wb_parts_clear(extensions);
+    return wb_error_set(error, APR_EINVAL, "%zu bytes are not a valid message", length);
 }
 
 apr_status_t wb_message_decode(const void *data, size_t length, wb_wire_message *message,
                                wb_error_t *error) {
-    wb_wire_parts parts;
-    apr_status_t status = wb_message_decode_parts(data, length, message, &parts, error);
+    wb_wire_parts extensions;
+    apr_status_t status = wb_message_decode_parts(data, length, message, &extensions, error);
     if (status == APR_SUCCESS)
-        wb_parts_clear(&parts);
+        wb_parts_clear(&extensions);
     return status;
 }
 
@@ -75,49 +79,52 @@
     if (length < sizeof(kind))
         return FALSE;
     memcpy(&kind, data, sizeof(kind));
-    return ntohl(kind) > NEWEST_KIND;
+    return ntohl(kind) > LAST_KNOWN_KIND;
 }
 
-void wb_parts_clear(wb_wire_parts *parts) {
-    xdr_free((xdrproc_t)xdr_wb_wire_parts, parts);
-    memset(parts, 0, sizeof(*parts));
+void wb_parts_clear(wb_wire_parts *extensions) {
+    xdr_free((xdrproc_t)xdr_wb_wire_parts, extensions);
+    memset(extensions, 0, sizeof(*extensions));
 }
 
-const wb_wire_part *wb_parts_find(const wb_wire_parts *parts, wb_wire_part_kind kind) {
-    for (u_int i = 0; i < parts->parts.parts_len; i++) {
-        if (parts->parts.parts_val[i].kind == (u_int)kind)
-            return &parts->parts.parts_val[i];
+const wb_wire_part *wb_parts_find(const wb_wire_parts *extensions, wb_wire_part_kind kind) {
+    for (u_int i = 0; i < extensions->parts.parts_len; i++) {
+        if (extensions->parts.parts_val[i].kind == (u_int)kind)
+            return &extensions->parts.parts_val[i];
     }
     return NULL;
 }
 
-gboolean wb_parts_add(wb_wire_parts *parts, wb_wire_part_kind kind, xdrproc_t encode, void *value) {
+gboolean wb_parts_add(wb_wire_parts *extensions, wb_wire_part_kind kind, xdrproc_t encode,
+                      void *value) {
     u_int size = (u_int)xdr_sizeof(encode, value);
     char *bytes = malloc(MAX(size, 1));
     XDR stream;
     xdrmem_create(&stream, bytes, size, XDR_ENCODE);
-    bool_t whole = size > 0 && encode(&stream, value);
+    bool_t valid = size > 0 && encode(&stream, value);
     xdr_destroy(&stream);
-    if (!whole) {
+    if (!valid) {
         free(bytes);
         return FALSE;
     }
-    u_int count = parts->parts.parts_len++;
-    parts->parts.parts_val = realloc(parts->parts.parts_val, (count + 1) * sizeof(wb_wire_part));
-    parts->parts.parts_val[count] = (wb_wire_part){.kind = (u_int)kind, .value = {size, bytes}};
+    u_int count = extensions->parts.parts_len++;
+    extensions->parts.parts_val =
+        realloc(extensions->parts.parts_val, (count + 1) * sizeof(wb_wire_part));
+    extensions->parts.parts_val[count] =
+        (wb_wire_part){.kind = (u_int)kind, .value = {size, bytes}};
     return TRUE;
 }
 
-gboolean wb_parts_read(const wb_wire_parts *parts, wb_wire_part_kind kind, xdrproc_t decode,
+gboolean wb_parts_read(const wb_wire_parts *extensions, wb_wire_part_kind kind, xdrproc_t decode,
                        void *value) {
-    const wb_wire_part *part = wb_parts_find(parts, kind);
-    if (part == NULL)
+    const wb_wire_part *extension = wb_parts_find(extensions, kind);
+    if (extension == NULL)
         return FALSE;
     XDR stream;
-    xdrmem_create(&stream, part->value.value_val, part->value.value_len, XDR_DECODE);
-    bool_t whole = decode(&stream, value); /* a later build may have added to its end */
+    xdrmem_create(&stream, extension->value.value_val, extension->value.value_len, XDR_DECODE);
+    bool_t valid = decode(&stream, value); /* ignores bytes that a later version has appended */
     xdr_destroy(&stream);
-    return whole;
+    return valid;
 }
 
 void wb_message_clear(wb_wire_message *message) {
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -1,4 +1,6 @@
-/* Messages between nodes. The generated C is committed; scripts/generate.sh makes it again. */
+/* Messages between nodes, in XDR. The generated C is committed; scripts/generate.sh regenerates it.
+ * Durations are in milliseconds, with `_ms` in their names. Bounds in angle brackets are enforced
+ * when a message is encoded or decoded. */
 
 const WB_WIRE_NAME_MAX = 200;
 const WB_WIRE_TEXT_MAX = 4000000;
@@ -7,17 +9,18 @@
 typedef string wb_wire_name<WB_WIRE_NAME_MAX>;
 typedef string wb_wire_text<WB_WIRE_TEXT_MAX>;
 
-/* Who speaks; the first message on every link. */
+/* Handshake: identifies the sender. The first message on every link, in both directions. */
 struct wb_wire_hello {
     wb_wire_name cluster;
     wb_wire_name node;
     unsigned hyper incarnation;
     wb_wire_name address;
     wb_wire_name zone;
-    bool overlay; /* the sender wants heartbeats on this link */
+    bool overlay; /* the sender asks for heartbeats on this link */
 };
 
-/* One node's state as known; a higher incarnation wins, then the graver state. */
+/* Membership state of a node, as wb_member_state_t. Gone is final; otherwise a higher incarnation
+ * takes precedence, then the higher state. */
 struct wb_wire_member {
     wb_wire_name node;
     wb_wire_name address;
@@ -27,7 +30,7 @@
     unsigned int state;
 };
 
-/* Who owns a cell; the higher epoch wins. */
+/* The owner of a cell. A higher epoch takes precedence. */
 struct wb_wire_ownership {
     wb_wire_name cell;
     wb_wire_name node;
@@ -45,30 +48,31 @@
     wb_wire_ownership owners<WB_WIRE_LIST_MAX>;
 };
 
-/* Ask for configuration changes after a version. */
+/* Requests the configuration changes after version `have`. */
 struct wb_wire_config_fetch {
     unsigned hyper have;
 };
 
-/* One accepted change (from = to - 1), or a whole configuration. */
+/* One accepted change (from = to - 1), or a complete configuration (from = to), as JSON. */
 struct wb_wire_config_change {
-    unsigned hyper from; /* equal to `to`: a whole configuration */
+    unsigned hyper from;
     unsigned hyper to;
     wb_wire_text text;
 };
 
-/* The replicated record of a cell: its members, slots and claims. */
+/* A model's slot on an engine. A cell's replicated record holds its members, slots, engines and
+ * claims. */
 struct wb_wire_slot {
     wb_wire_name model;
     wb_wire_name engine;
 };
 
-/* An engine as the machine list showed it, so that a new owner needs no list. */
+/* An engine as last read from the machine list, so that a new owner can work without the list. */
 struct wb_wire_engine {
     wb_wire_name engine;
     wb_wire_name address;
     wb_wire_name zone;
-    unsigned int state; /* wb_machine_state_t; gone: forget it */
+    unsigned int state; /* wb_machine_state_t; gone: remove the engine from the record */
 };
 
 enum wb_wire_claim_phase {
@@ -79,11 +83,11 @@
 struct wb_wire_claim {
     wb_wire_name model;
     wb_wire_name key;
-    wb_wire_name stream; /* at the engine; another one for each attempt */
+    wb_wire_name stream; /* id at the engine; differs for each attempt */
     wb_wire_name engine;
     wb_wire_name engine_address;
     wb_wire_name node;
-    unsigned hyper attempt; /* counts up from 1 */
+    unsigned hyper attempt; /* from 1 */
     unsigned hyper digest;  /* of the request's body */
     wb_wire_claim_phase phase;
     unsigned int status;
@@ -102,7 +106,7 @@
     wb_wire_engine engines<WB_WIRE_LIST_MAX>;
     wb_wire_claim claims<100000>;
     bool slots_unsure; /* slots from before a lost majority may be missing */
-    unsigned int unsure_ms; /* claims from before may be missing for so long */
+    unsigned int unsure_ms; /* remaining time in which earlier claims may be missing; 0: none */
 };
 
 enum wb_wire_command_kind {
@@ -142,14 +146,14 @@
 struct wb_wire_group_append {
     wb_wire_name cell;
     unsigned hyper epoch;
-    unsigned hyper sequence; /* after these commands; without commands: a heartbeat */
+    unsigned hyper sequence; /* of the last command; without commands the message is a heartbeat */
     wb_wire_command commands<WB_WIRE_LIST_MAX>;
 };
 
 struct wb_wire_group_ack {
     wb_wire_name cell;
     unsigned hyper epoch;    /* the highest epoch promised */
-    unsigned hyper sequence; /* last command held of that epoch's owner */
+    unsigned hyper sequence; /* of the last command received from that epoch's owner */
     bool need_state;
 };
 
@@ -174,13 +178,13 @@
     unsigned hyper epoch;
 };
 
-/* A gateway wants replicas of a model, or tells that it uses them. */
+/* A gateway requests replicas of a model, or reports that it uses them. */
 struct wb_wire_route_want {
     wb_wire_name model;
     wb_wire_name adapter;
     unsigned int waiting;
     unsigned int running;
-    unsigned int tightest_deadline_ms; /* of what waits; 0: none */
+    unsigned int tightest_deadline_ms; /* shortest of the waiting requests; 0: none */
 };
 
 struct wb_wire_replica {
@@ -202,31 +206,31 @@
     wb_wire_name model;
     wb_wire_name adapter;
     wb_wire_route_state state;
-    unsigned int estimate_ms; /* waking: until ready; refused: when to come back */
+    unsigned int estimate_ms; /* waking: time until ready; refused: time to wait before a retry */
     wb_wire_name reason;
     wb_wire_replica replicas<WB_WIRE_LIST_MAX>;
 };
 
-/* A non-repeatable request asks to run. */
+/* Requests a claim, the permission to run a non-repeatable request. */
 struct wb_wire_claim_want {
     unsigned hyper request;
     wb_wire_name model;
     wb_wire_name key;
-    wb_wire_name stream; /* empty: look for the key's run only */
+    wb_wire_name stream; /* empty: only look up the key's claim */
     wb_wire_name engine;
     wb_wire_name engine_address;
     wb_wire_name node;
-    unsigned hyper digest; /* of the body: one key, one request */
-    unsigned hyper retry_of; /* attempt known not to have run, as fetched; 0: none */
+    unsigned hyper digest; /* of the body; a key must not be used with another body */
+    unsigned hyper retry_of; /* attempt that is known not to have run; 0: none */
 };
 
 enum wb_wire_claim_state {
     WB_WIRE_CLAIM_GRANTED = 0,
-    WB_WIRE_CLAIM_TAKEN = 1,   /* someone ran or runs it: look at its stream */
-    WB_WIRE_CLAIM_DONE = 2,    /* the first run's answer */
+    WB_WIRE_CLAIM_TAKEN = 1,   /* it ran or is running; its stream shows the result */
+    WB_WIRE_CLAIM_DONE = 2,    /* it has run; the response is included */
     WB_WIRE_CLAIM_MISMATCH = 3,
-    WB_WIRE_CLAIM_REFUSED = 4, /* not owner, or no quorum: nothing was run */
-    WB_WIRE_CLAIM_UNKNOWN = 5  /* looked for only: nobody used this key lately */
+    WB_WIRE_CLAIM_REFUSED = 4, /* not the owner, or no quorum; nothing was run */
+    WB_WIRE_CLAIM_UNKNOWN = 5  /* look-up only: the key wasn't used recently */
 };
 
 struct wb_wire_claim_show {
@@ -243,7 +247,7 @@
     unsigned int age_ms; /* of the claim */
 };
 
-/* The first run's answer, kept for retries with the same key. */
+/* The response of the first run, kept for retries with the same key. */
 struct wb_wire_claim_done {
     wb_wire_name model;
     wb_wire_name key;
@@ -252,36 +256,36 @@
     wb_wire_text answer;
 };
 
-/* What one gateway asks of the placement controller for a model, or an adapter of it. */
+/* A gateway's demand for a model or an adapter, reported to the placement controller. */
 struct wb_wire_demand_entry {
     wb_wire_name service;
     wb_wire_name model;
     wb_wire_name adapter;      /* empty: the model itself */
-    unsigned int waiting;      /* requests that wait for it to be loaded */
-    unsigned int running;      /* requests under way */
+    unsigned int waiting;      /* requests waiting for it to be loaded */
+    unsigned int running;      /* requests in progress */
     unsigned int arrivals;     /* requests since the last message */
     unsigned hyper work;       /* prompt tokens of these arrivals */
-    unsigned int time_left_ms; /* of the tightest that waits */
+    unsigned int time_left_ms; /* shortest time to a deadline of the waiting requests */
 };
 
-/* What a gateway spent of a tenant's limit since its last message, in the limit's unit. */
+/* A gateway's use of a tenant's limit since its last message, in the limit's unit. */
 struct wb_wire_tenant_use {
     wb_wire_name tenant;
-    unsigned int kind;     /* of its requests: a service and a rank */
-    unsigned int requests; /* that asked */
-    unsigned hyper asked;
-    hyper admitted; /* negative: more was given back than admitted */
+    unsigned int kind;     /* traffic class: service and priority */
+    unsigned int requests; /* requests received */
+    unsigned hyper asked;  /* amount requested */
+    hyper admitted; /* amount admitted; negative when more was returned than admitted */
 };
 
-/* What a gateway knows of an engine: how long work takes there, and what it has sent there. */
+/* A gateway's report on an engine: its pace, and the work sent to it. */
 struct wb_wire_engine_use {
     wb_wire_name engine;
-    unsigned int pace_percent; /* of what is usual, by its answers; 0: none since long */
+    unsigned int pace_percent; /* of the baseline, from its responses; 0: no recent value */
     unsigned int tokens;       /* prompt tokens sent there since the last message */
 };
 
-/* All that a gateway has running or waiting; it replaces what the gateway said before. What tenants
- * spent is added to it. */
+/* A gateway's running and waiting requests. `entries` replace those of its earlier messages;
+ * `tenants` add to them. */
 struct wb_wire_demand {
     wb_wire_name node;
     wb_wire_demand_entry entries<WB_WIRE_LIST_MAX>;
@@ -289,13 +293,14 @@
     wb_wire_engine_use engines<WB_WIRE_LIST_MAX>;
 };
 
-/* News from the placement controller: an engine holds a model or adapter, or is about to drop it. */
+/* Update from the placement controller: an engine holds a model or adapter, is loading it, or is
+ * about to unload it. */
 struct wb_wire_placement_entry {
     wb_wire_name engine;
     wb_wire_name model;
     wb_wire_name adapter; /* empty: the model itself */
     bool held;
-    unsigned int ready_in_ms; /* not held yet: it is being loaded, and expected then; 0: it isn't */
+    unsigned int ready_in_ms; /* not held: expected end of its load; 0: it isn't being loaded */
 };
 
 struct wb_wire_placement {
@@ -303,18 +308,18 @@
     wb_wire_placement_entry entries<WB_WIRE_LIST_MAX>;
 };
 
-/* The row of the placement controller's lease. */
+/* Lease row of the placement controller. */
 struct wb_wire_lease {
-    wb_wire_name holder;  /* the machine */
-    wb_wire_name address; /* where gateways reach it */
-    unsigned hyper token; /* rises with each take-over */
-    unsigned hyper beat;  /* counts renewals */
+    wb_wire_name holder;  /* machine id */
+    wb_wire_name address; /* for gateways */
+    unsigned hyper token; /* fencing token, increased by each takeover */
+    unsigned hyper beat;  /* renewal counter */
     bool released;
-    unsigned int recent_loads; /* from the weight store in the window before this renewal */
-    bool grants_known;         /* the lists below are told: in the store's row, not in news */
-    bool any_granted;          /* any engine may have been ordered lately; the lists are empty */
-    wb_wire_name granted<WB_WIRE_LIST_MAX>;   /* engines this holder may have ordered lately */
-    wb_wire_name inherited<WB_WIRE_LIST_MAX>; /* engines a holder before it may have */
+    unsigned int recent_loads; /* loads from the weight store in the window before this renewal */
+    bool grants_known;         /* the lists below are included: in the stored row, not in updates */
+    bool any_granted;          /* any engine may have had orders recently; the lists are empty */
+    wb_wire_name granted<WB_WIRE_LIST_MAX>;   /* engines that may have had orders of this holder */
+    wb_wire_name inherited<WB_WIRE_LIST_MAX>; /* the same of earlier holders */
 };
 
 /* A row of one of the store's tables, as the sender read it. */
@@ -326,44 +331,44 @@
     opaque value<WB_WIRE_TEXT_MAX>;
 };
 
-/* How far the sender follows a table. */
+/* How current the sender's copy of a table is. */
 struct wb_wire_table_view {
     unsigned int table;
-    unsigned hyper newest;     /* the highest version of a row that the sender knows there; of
-                                * engines and of nodes' ids a digest of them */
-    unsigned int age_ms;       /* since the sender asked for what it was last told */
+    unsigned hyper newest;     /* highest row version in the copy; for the tables of engines and of
+                                * nodes' ids a digest of its rows */
+    unsigned int age_ms;       /* since the sender's last answered read of the table began */
 };
 
-/* What the placement controller reads in the store, so that gateways need not ask. */
+/* Rows that the placement controller has read from the store, so that gateways needn't do it. */
 struct wb_wire_store_news {
     wb_wire_table_view views<8>;
     wb_wire_lease lease;
     unsigned hyper lease_version;
     wb_wire_table_row rows<WB_WIRE_LIST_MAX>;
-    bool look; /* more has changed than fits in: ask the store */
+    bool look; /* more rows have changed than fit in: read the store */
 };
 
-/* When a model that waits for its turn at the weight store should be there. */
+/* Estimate of when a model that is queued for the weight store will be loaded. */
 struct wb_wire_load_plan_entry {
     wb_wire_name model;
     unsigned int ready_in_ms;
 };
 
-/* The controller's plan for models of one service that no engine holds; only what has changed. */
+/* Load estimates for models of a service that no engine holds; only those that have changed. */
 struct wb_wire_load_plan {
     unsigned hyper token;
     wb_wire_name service;
     wb_wire_load_plan_entry entries<WB_WIRE_LIST_MAX>;
 };
 
-/* A tenant that is short of its limit: gateways admit a share of its requests. */
+/* A throttled tenant: gateways admit this share of its requests. */
 struct wb_wire_quota_entry {
     wb_wire_name tenant;
-    unsigned int kind;      /* of its requests; 0: all that aren't named */
-    unsigned int share_ppm; /* millionths of what is asked */
+    unsigned int kind;      /* traffic class; 0: all classes without an entry */
+    unsigned int share_ppm; /* admitted share, in parts per million */
 };
 
-/* All tenants that are short; the others are not. */
+/* All throttled tenants; tenants that are absent aren't throttled. */
 struct wb_wire_quota {
     wb_wire_quota_entry tenants<WB_WIRE_LIST_MAX>;
 };
@@ -371,35 +376,35 @@
 const WB_WIRE_DIGEST_BYTES = 16;
 const WB_WIRE_POISON_ENGINES = 8;
 
-/* What is held against a request that may crash the engines that run it. */
+/* Crashes of engines recorded for a request that may be their cause. */
 struct wb_wire_poison_entry {
     opaque digest[WB_WIRE_DIGEST_BYTES];
     unsigned int body_bytes;
-    unsigned hyper engines<WB_WIRE_POISON_ENGINES>; /* that ended under it: hashes of their ids */
-    unsigned int forgiven; /* one bit for each engine */
-    unsigned int left_ms;  /* for which it is held against the request */
+    unsigned hyper engines<WB_WIRE_POISON_ENGINES>; /* ids' hashes; they crashed while running it */
+    unsigned int forgiven; /* bit mask over `engines`: crashes that were cleared */
+    unsigned int left_ms;  /* until the entry expires */
 };
 
-/* Added to what the receiver knows. Gateways tell the controller, which tells all gateways; it also
- * stands in the store behind the lease's row. */
+/* Entries for the receiver to merge. Gateways send them to the controller, which sends them to all
+ * gateways; they are also stored, appended to the lease row. */
 struct wb_wire_poison {
     wb_wire_poison_entry entries<WB_WIRE_LIST_MAX>;
 };
 
-/* What all gateways together know of an engine. */
+/* Aggregate of all gateways' reports on an engine. */
 struct wb_wire_engine_load {
     unsigned int engine;       /* a short hash of its id */
-    unsigned int pace_percent; /* of what is usual; 0: not known */
-    unsigned int tokens_per_s; /* prompt tokens that are sent there */
-    unsigned int backlog_ms;   /* time in which it has read them */
+    unsigned int pace_percent; /* of the baseline; 0: unknown */
+    unsigned int tokens_per_s; /* prompt tokens sent to it */
+    unsigned int backlog_ms;   /* time that it needs for the prefill of its backlog */
 };
 
-/* Only engines whose figures have changed. */
+/* Only engines whose values have changed. */
 struct wb_wire_engine_loads {
     wb_wire_engine_load engines<WB_WIRE_LIST_MAX>;
 };
 
-/* Engines of a service that hold a model, or any of them. */
+/* Selects the engines of a service that hold a model, or all of them. */
 struct wb_wire_engine_want {
     wb_wire_name service;
     wb_wire_name model; /* empty: any engine of the service */
@@ -407,55 +412,56 @@
 
 struct wb_wire_known_row {
     wb_wire_name key;
-    unsigned hyper row_version; /* 0: it isn't known */
+    unsigned hyper row_version; /* 0: the sender doesn't have the row */
 };
 
-/* A gateway that doesn't read the table of engines asks a node that does. Added to what it asked on
- * this link before. */
+/* Subscription to engines, from a gateway that doesn't read the table of engines to a relay that
+ * does. Adds to earlier subscriptions on the link. */
 struct wb_wire_engines_want {
     wb_wire_name zone; /* of the gateway */
     wb_wire_engine_want wants<WB_WIRE_LIST_MAX>;
-    wb_wire_known_row known<WB_WIRE_LIST_MAX>; /* rows whose changes it needs, too */
+    wb_wire_known_row known<WB_WIRE_LIST_MAX>; /* further rows whose changes are needed */
 };
 
-/* The answer, later changes of rows that were told, and each half second that there are none. */
+/* Response to a subscription, and later changes of the rows that were sent. Without changes an
+ * empty message is sent every half second. */
 struct wb_wire_engines_show {
-    bool whole;          /* the sender has read the table */
-    unsigned int age_ms; /* since it was last sure to know the newest rows */
+    bool whole;          /* the sender has a complete copy of the table */
+    unsigned int age_ms; /* since the sender's copy was last known to be current */
     wb_wire_engine_want answered<WB_WIRE_LIST_MAX>;
     wb_wire_table_row rows<WB_WIRE_LIST_MAX>;
-    wb_wire_placement_entry holds<WB_WIRE_LIST_MAX>; /* what rows don't show yet */
+    wb_wire_placement_entry holds<WB_WIRE_LIST_MAX>; /* placement that the rows don't show yet */
 };
 
-/* What an engine's answers told last of its limit. */
+/* Rate limit in an engine's last responses. */
 enum wb_wire_limit {
     WB_WIRE_LIMIT_UNKNOWN = 0,
     WB_WIRE_LIMIT_NAMED = 1,
     WB_WIRE_LIMIT_ENDED = 2
 };
 
-/* What an engine has told a node of itself. */
+/* State that an engine has reported to a node in response headers. */
 struct wb_wire_engine_state {
     wb_wire_name engine;
-    unsigned hyper born_ms;     /* when it started; 0: not known */
+    unsigned hyper born_ms;     /* start time of its process; 0: unknown */
     bool leaving;
     unsigned int limit;         /* wb_wire_limit */
-    unsigned int limit_milli;   /* thousandths of a request a second */
-    unsigned int limit_age_ms;  /* since it was named, or since the request whose answer showed its end
-                                 * was sent */
+    unsigned int limit_milli;   /* thousandths of a request per second */
+    unsigned int limit_age_ms;  /* since the limit was reported, or since the request was sent whose
+                                 * response showed its end */
 };
 
-/* Gateways tell the controller, which tells all gateways. */
+/* Gateways send it to the controller, which sends it to all gateways. */
 struct wb_wire_engine_states {
     wb_wire_engine_state engines<WB_WIRE_LIST_MAX>;
 };
 
-/* How messages between nodes are formed, told in a hello's incarnation by edge nodes. Form 1 is the
- * message alone; form 2 lets parts follow it. docs/COMPATIBILITY.md tells what a release may
- * change. */
+/* Version of the message format; edge nodes send theirs in the incarnation of the handshake.
+ * Version 1 is the message alone; in version 2 extensions may follow it. docs/COMPATIBILITY.md says
+ * what a release may change. */
 const WB_WIRE_FORM = 2;
 
-/* What was added to a message or a row later: a reader passes over kinds that it doesn't know. */
+/* Extensions of messages and rows. Readers skip kinds that they don't know. */
 enum wb_wire_part_kind {
     WB_WIRE_PART_STARTS = 1, /* wb_wire_starts */
     WB_WIRE_PART_WRITER = 2  /* wb_wire_writer */
@@ -470,14 +476,14 @@
     wb_wire_part parts<64>;
 };
 
-/* When the engines that a message's entries name started, one by one; 0: not known. */
+/* Start time of the engine in each entry of the message, in the same order; 0: unknown. */
 struct wb_wire_starts {
     unsigned hyper born_ms<WB_WIRE_LIST_MAX>;
 };
 
-/* Who wrote a row. */
+/* The writer of a row. */
 struct wb_wire_writer {
-    unsigned int form; /* WB_WIRE_FORM of its build */
+    unsigned int form; /* its format version */
 };
 
 enum wb_wire_kind {
@@ -505,7 +511,7 @@
     WB_WIRE_QUOTA = 22,
     WB_WIRE_POISON = 23,
     WB_WIRE_ENGINE_LOADS = 24,
-    WB_WIRE_ENGINES_WANT = 25, /* from here on: only to readers of form 2 */
+    WB_WIRE_ENGINES_WANT = 25, /* this and later kinds are sent only to readers of version 2 */
     WB_WIRE_ENGINES_SHOW = 26,
     WB_WIRE_ENGINE_STATES = 27
 };
