--- a/src/config/config_apply.c
+++ b/src/config/config_apply.c
@@ -107,8 +107,7 @@
 
 static void read_back_start(void *context);
 
-/* The transaction's response was lost: the row of this version shows whether it holds this change.
- */
+/* The transaction's response was lost: the version's row shows whether it holds this change. */
 static void read_back_done(wb_platform_status_t status, const json_t *body, void *context) {
     config_change_t *change = context;
     if (status == WB_PLATFORM_DONE) {
--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -45,8 +45,7 @@
     }
     wb_config_unref(store->current);
     store->current = config;
-    wb_log_info(WB_PART_CONFIG, "Configuration version %" G_GUINT64_FORMAT " is in force.",
-                (guint64)version);
+    wb_log_info(WB_PART_CONFIG, "Version %" G_GUINT64_FORMAT " is in force.", (guint64)version);
     store->events.on_config(config, store->events.context);
     return TRUE;
 }
--- a/src/http/http_listener.c
+++ b/src/http/http_listener.c
@@ -322,8 +322,8 @@
     const wb_http_limits_t *limits = &connection->listener->limits;
     if (connection->running)
         return;
-    gboolean inside = connection->began_ms != 0;
-    gboolean in_head = inside && connection->body == NULL;
+    gboolean in_request = connection->began_ms != 0;
+    gboolean in_head = in_request && connection->body == NULL;
     if (in_head && now_ms - connection->began_ms > limits->head_timeout_ms)
         connection_refuse(connection, 408);
     else if (now_ms - connection->active_ms > limits->idle_timeout_ms)
--- a/src/http/http_reader.c
+++ b/src/http/http_reader.c
@@ -122,8 +122,7 @@
     return 0;
 }
 
-/* Counts bytes of the head. Returns nonzero, which stops http-parser, when they exceed the limit.
- */
+/* Counts bytes of the head. Returns nonzero, which stops http-parser, beyond the limit. */
 static int head_bytes_add(wb_http_reader_t *reader, size_t length) {
     reader->head_bytes += length;
     return reader->head_bytes > reader->head_limit_bytes;
@@ -171,8 +170,7 @@
     return head_bytes_add(reader, length);
 }
 
-/* Returns TRUE for a response with neither length nor chunks: the close of the connection ends it.
- */
+/* Returns TRUE for a response with neither length nor chunks; it ends with its connection. */
 static gboolean response_ends_at_close(const wb_http_reader_t *reader) {
     const http_parser *parser = &reader->parser;
     unsigned status = parser->status_code;
@@ -254,9 +252,7 @@
     g_free(reader);
 }
 
-/* Calls on_complete after a complete message. Must come last, since the callback may free the
- * reader.
- */
+/* Calls on_complete after a complete message. Must be last: the callback may free the reader. */
 static void complete_notify(wb_http_reader_t *reader) {
     if (reader->complete && reader->events->on_complete != NULL)
         reader->events->on_complete(reader, reader->context);
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -235,7 +235,7 @@
         continue;
     if (used > 0)
         g_byte_array_remove_range(link->received, 0, used);
-    return malformed ? "the peer sent a malformed message" : NULL;
+    return malformed ? "the peer sent no valid message" : NULL;
 }
 
 /* Returns NULL, or the reason for closing the link. */
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -12,9 +12,9 @@
 /* Returns the encoded size in bytes, or 0 when something exceeds a limit of the protocol. */
 static unsigned long encoded_size(wb_wire_message *message, wb_wire_parts *extensions) {
     unsigned long size = xdr_sizeof((xdrproc_t)xdr_wb_wire_message, message);
-    unsigned long more =
+    unsigned long extension_size =
         extensions != NULL ? xdr_sizeof((xdrproc_t)xdr_wb_wire_parts, extensions) : 0;
-    return size == 0 || (extensions != NULL && more == 0) ? 0 : size + more;
+    return size == 0 || (extensions != NULL && extension_size == 0) ? 0 : size + extension_size;
 }
 
 apr_status_t wb_message_encode_parts(const wb_wire_message *message,
@@ -22,8 +22,8 @@
                                      wb_error_t *error) {
     /* XDR doesn't modify its source while encoding, but its interface isn't const. */
     wb_wire_message *source = (wb_wire_message *)message;
-    wb_wire_parts *more = (wb_wire_parts *)extensions;
-    unsigned long size = encoded_size(source, more);
+    wb_wire_parts *extension_source = (wb_wire_parts *)extensions;
+    unsigned long size = encoded_size(source, extension_source);
     if (size == 0 || size > WB_MESSAGE_MAX_BYTES)
         return wb_error_set(error, APR_EINVAL, "a %s message is invalid or too large (%lu bytes)",
                             wb_message_kind_name(message->kind), size);
@@ -33,8 +33,8 @@
     memcpy(out->data + start, &head, sizeof(head));
     XDR stream;
     xdrmem_create(&stream, (char *)out->data + start + FRAME_HEADER_BYTES, (u_int)size, XDR_ENCODE);
-    bool_t valid =
-        xdr_wb_wire_message(&stream, source) && (more == NULL || xdr_wb_wire_parts(&stream, more));
+    bool_t valid = xdr_wb_wire_message(&stream, source) &&
+                   (extension_source == NULL || xdr_wb_wire_parts(&stream, extension_source));
     xdr_destroy(&stream);
     if (valid)
         return APR_SUCCESS;
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -37,12 +37,15 @@
     unsigned hyper epoch;
 };
 
+/* Sent regularly on links of the overlay. Digests that keep differing from the receiver's make it
+ * send all its gossip; a higher configuration version makes it fetch changes. */
 struct wb_wire_heartbeat {
     unsigned hyper config_version;
     unsigned hyper member_digest;
     unsigned hyper owner_digest;
 };
 
+/* Members and owners that the sender knows, for the receiver to merge. */
 struct wb_wire_gossip {
     wb_wire_member members<WB_WIRE_LIST_MAX>;
     wb_wire_ownership owners<WB_WIRE_LIST_MAX>;
@@ -60,8 +63,7 @@
     wb_wire_text text;
 };
 
-/* A model's slot on an engine. A cell's replicated record holds its members, slots, engines and
- * claims. */
+/* A model's slot on an engine. */
 struct wb_wire_slot {
     wb_wire_name model;
     wb_wire_name engine;
@@ -80,6 +82,7 @@
     WB_WIRE_CLAIM_PHASE_DONE = 1
 };
 
+/* A claim: the permission to run a non-repeatable request once, by its key, and its outcome. */
 struct wb_wire_claim {
     wb_wire_name model;
     wb_wire_name key;
@@ -95,11 +98,13 @@
     unsigned int age_ms;
 };
 
+/* The nodes that replicate a cell's record. */
 struct wb_wire_members {
     unsigned hyper generation;
     wb_wire_name names<16>;
 };
 
+/* The replicated record of a cell. */
 struct wb_wire_record {
     wb_wire_members members;
     wb_wire_slot slots<WB_WIRE_LIST_MAX>;
@@ -119,6 +124,7 @@
     WB_WIRE_COMMAND_SLOTS_SURE = 7
 };
 
+/* A change of a cell's record, sent by the owner. */
 union wb_wire_command switch (wb_wire_command_kind kind) {
 case WB_WIRE_COMMAND_MEMBERS:
     wb_wire_members members;
@@ -136,6 +142,7 @@
     void;
 };
 
+/* Complete record, sent by the owner to a member that lacks commands. */
 struct wb_wire_group_state {
     wb_wire_name cell;
     unsigned hyper epoch;
@@ -143,6 +150,7 @@
     wb_wire_record record;
 };
 
+/* Commands of the owner for the members to apply. */
 struct wb_wire_group_append {
     wb_wire_name cell;
     unsigned hyper epoch;
@@ -150,6 +158,7 @@
     wb_wire_command commands<WB_WIRE_LIST_MAX>;
 };
 
+/* Response of a member to the owner's state or commands. */
 struct wb_wire_group_ack {
     wb_wire_name cell;
     unsigned hyper epoch;    /* the highest epoch promised */
@@ -157,22 +166,25 @@
     bool need_state;
 };
 
+/* A candidate's request for a member's vote in an epoch. */
 struct wb_wire_group_vote {
     wb_wire_name cell;
     unsigned hyper epoch;
-    bool forced; /* the owner has handed over */
+    bool forced; /* the owner has handed over, so its being alive doesn't prevent the vote */
 };
 
+/* Response to a vote request. */
 struct wb_wire_group_ballot {
     wb_wire_name cell;
     unsigned hyper epoch;
     bool granted;
-    unsigned hyper promised;
-    unsigned hyper state_epoch;
+    unsigned hyper promised;    /* highest epoch promised */
+    unsigned hyper state_epoch; /* epoch of the member's record */
     unsigned hyper sequence;
     wb_wire_record record; /* empty unless granted */
 };
 
+/* From the owner: the receiver is to become a candidate at once. */
 struct wb_wire_group_hand_over {
     wb_wire_name cell;
     unsigned hyper epoch;
@@ -187,6 +199,7 @@
     unsigned int tightest_deadline_ms; /* shortest of the waiting requests; 0: none */
 };
 
+/* An engine that holds the model, as a gateway may use it. */
 struct wb_wire_replica {
     wb_wire_name engine;
     wb_wire_name address;
@@ -202,6 +215,7 @@
     WB_WIRE_ROUTE_BUSY = 4
 };
 
+/* The owner's response: the replicas of a model, or when there will be some. */
 struct wb_wire_route_show {
     wb_wire_name model;
     wb_wire_name adapter;
@@ -233,6 +247,7 @@
     WB_WIRE_CLAIM_UNKNOWN = 5  /* look-up only: the key wasn't used recently */
 };
 
+/* The owner's response to a claim request. */
 struct wb_wire_claim_show {
     unsigned hyper request;
     wb_wire_claim_state state;
@@ -490,7 +505,7 @@
     WB_WIRE_HELLO = 1,
     WB_WIRE_HEARTBEAT = 2,
     WB_WIRE_GOSSIP = 3,
-    WB_WIRE_SYNC = 4,
+    WB_WIRE_SYNC = 4, /* requests all gossip of the receiver */
     WB_WIRE_CONFIG_FETCH = 5,
     WB_WIRE_CONFIG_CHANGE = 6,
     WB_WIRE_GROUP_STATE = 7,
