--- a/src/base/log.c
+++ b/src/base/log.c
@@ -8,7 +8,7 @@
 #define LINE_SIZE 1024
 #define NODE_NAME_SIZE 128
 
-/* Indexed by wb_part_t. */
+/* Indexed by wb_log_component_t. */
 static const char *const component_names[] = {"node", "gateway", "membership", "config",
                                               "cell", "engine",  "platform",   "link",
                                               "tool", "standin"};
@@ -88,7 +88,7 @@
     return 0;
 }
 
-void wb_log(wb_part_t component, GLogLevelFlags level, const char *format, ...) {
+void wb_log(wb_log_component_t component, GLogLevelFlags level, const char *format, ...) {
     if ((level & G_LOG_LEVEL_MASK) > output.level)
         return;
     char line[LINE_SIZE];
--- a/src/config/config_catch_up.c
+++ b/src/config/config_catch_up.c
@@ -80,7 +80,7 @@
         return;
     }
     if (!store->ready)
-        wb_log_message(WB_PART_CONFIG,
+        wb_log_message(WB_LOG_CONFIG,
                        "The table service has no newer configuration than this node.");
     store->ready = TRUE;
     poll_schedule(store, TRUE);
--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -38,14 +38,13 @@
     if (version <= store->current->version)
         return FALSE;
     if (wb_config_parse(objects, version, &config, NULL, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_CONFIG,
-                       "Configuration version %" G_GUINT64_FORMAT " is invalid: %s.",
+        wb_log_warning(WB_LOG_CONFIG, "Configuration version %" G_GUINT64_FORMAT " is invalid: %s.",
                        (guint64)version, error.message);
         return FALSE;
     }
     wb_config_unref(store->current);
     store->current = config;
-    wb_log_info(WB_PART_CONFIG, "Version %" G_GUINT64_FORMAT " is in force.", (guint64)version);
+    wb_log_info(WB_LOG_CONFIG, "Version %" G_GUINT64_FORMAT " is in force.", (guint64)version);
     store->events.on_config(config, store->events.context);
     return TRUE;
 }
@@ -135,7 +134,7 @@
     return TRUE;
 }
 
-void wb_config_store_heard(wb_config_store_t *store, const char *node, uint64_t version) {
+void wb_config_store_on_peer_version(wb_config_store_t *store, const char *node, uint64_t version) {
     if (version > store->current->version) {
         g_hash_table_remove_all(store->heartbeat_counts);
         changes_request(store, node);
@@ -147,7 +146,7 @@
     g_hash_table_replace(store->heartbeat_counts, g_strdup(node), GUINT_TO_POINTER(count));
     if (version == store->current->version && count >= CONFIRMING_HEARTBEATS) {
         /* The table service may be unavailable, but this node is as current as its neighbour. */
-        wb_log_message(WB_PART_CONFIG,
+        wb_log_message(WB_LOG_CONFIG,
                        "The configuration was confirmed by heartbeats of another node.");
         store->ready = TRUE;
     }
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -37,9 +37,9 @@
     GByteArray *received;
     GByteArray *unsent;
     char *close_reason;
-    wb_tls_session_t *tls;    /* NULL: no TLS */
-    unsigned format_version;  /* of messages that the peer can read */
-    wb_wire_parts extensions; /* of the message that is being delivered */
+    wb_tls_session_t *tls;         /* NULL: no TLS */
+    unsigned format_version;       /* of messages that the peer can read */
+    wb_wire_extensions extensions; /* of the message that is being delivered */
     void *data;
 };
 
@@ -154,27 +154,27 @@
 }
 
 void wb_link_send(wb_link_t *link, const wb_wire_message *message) {
-    wb_link_send_parts(link, message, NULL);
+    wb_link_send_with_extensions(link, message, NULL);
 }
 
-const wb_wire_parts *wb_link_parts(const wb_link_t *link) {
+const wb_wire_extensions *wb_link_extensions(const wb_link_t *link) {
     return &link->extensions;
 }
 
-void wb_link_set_form(wb_link_t *link, unsigned version) {
+void wb_link_set_format_version(wb_link_t *link, unsigned version) {
     link->format_version = version;
 }
 
-unsigned wb_link_form(const wb_link_t *link) {
+unsigned wb_link_format_version(const wb_link_t *link) {
     return link->format_version;
 }
 
-void wb_link_send_parts(wb_link_t *link, const wb_wire_message *message,
-                        const wb_wire_parts *extensions) {
+void wb_link_send_with_extensions(wb_link_t *link, const wb_wire_message *message,
+                                  const wb_wire_extensions *extensions) {
     wb_error_t error;
-    const wb_wire_parts *readable = link->format_version >= 2 ? extensions : NULL;
-    if (wb_message_encode_parts(message, readable, link->unsent, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "Message not sent: %s.", error.message);
+    const wb_wire_extensions *readable = link->format_version >= 2 ? extensions : NULL;
+    if (wb_message_encode_with_extensions(message, readable, link->unsent, &error) != APR_SUCCESS) {
+        wb_log_warning(WB_LOG_LINK, "Message not sent: %s.", error.message);
         return;
     }
     message_queued(link);
@@ -205,7 +205,7 @@
     if (left < sizeof(head) + length)
         return FALSE;
     wb_wire_message message;
-    wb_wire_parts extensions;
+    wb_wire_extensions extensions;
     wb_error_t error;
     const void *data = link->received->data + *used + sizeof(head);
     if (wb_message_is_unknown(data, length)) {
@@ -214,7 +214,7 @@
         return TRUE;
     }
     if (wb_message_decode_parts(data, length, &message, &extensions, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "Malformed message from a peer: %s.", error.message);
+        wb_log_warning(WB_LOG_LINK, "Malformed message from a peer: %s.", error.message);
         *malformed = TRUE;
         return FALSE;
     }
@@ -223,7 +223,7 @@
     link->extensions = extensions;
     link->events.on_message(link, &message, link->events.context);
     wb_message_clear(&message);
-    wb_parts_clear(&link->extensions);
+    wb_extensions_clear(&link->extensions);
     return TRUE;
 }
 
@@ -305,8 +305,7 @@
         wb_watch_change(link->watch, APR_POLLOUT);
         break;
     default:
-        wb_log_warning(WB_PART_LINK, "TLS handshake failed: %s.",
-                       wb_tls_session_failure(link->tls));
+        wb_log_warning(WB_LOG_LINK, "TLS handshake failed: %s.", wb_tls_session_failure(link->tls));
         link_fail(link, "the TLS handshake failed");
     }
 }
@@ -366,7 +365,7 @@
         return;
     if (apr_sockaddr_info_get(&local, host, APR_INET, 0, 0, pool) != APR_SUCCESS ||
         apr_socket_bind(socket, local) != APR_SUCCESS)
-        wb_log_warning(WB_PART_LINK, "Can't bind a link to local address %s; using any.", host);
+        wb_log_warning(WB_LOG_LINK, "Can't bind a link to local address %s; using any.", host);
 }
 
 apr_status_t wb_link_connect(wb_loop_t *loop, const char *address, const wb_link_events_t *events,
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -84,7 +84,7 @@
 static gboolean handshake_receive(wb_peer_t *peer, const wb_wire_hello *hello) {
     wb_peers_t *peers = peer->peers;
     if (strcmp(hello->cluster, peers->cluster) != 0) {
-        wb_log_warning(WB_PART_LINK, "Rejected a link: the peer belongs to cluster %s.",
+        wb_log_warning(WB_LOG_LINK, "Rejected a link: the peer belongs to cluster %s.",
                        hello->cluster);
         return FALSE;
     }
@@ -164,7 +164,7 @@
     wb_error_t error;
     if (wb_link_connect(peers->loop, address, &events, &peers->counters, &link, &error) !=
         APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "Can't open a link: %s.", error.message);
+        wb_log_warning(WB_LOG_LINK, "Can't open a link: %s.", error.message);
         return NULL;
     }
     wb_peer_t *peer = peer_create(peers, link, node, address);
@@ -269,7 +269,7 @@
     return nodes;
 }
 
-int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node) {
+int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node) {
     int64_t last_ms = 0;
     for (guint i = 0; i < peers->all->len; i++) {
         const wb_peer_t *peer = peers->all->pdata[i];
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -10,19 +10,19 @@
 #define LAST_KNOWN_KIND WB_WIRE_ENGINE_STATES
 
 /* Returns the encoded size in bytes, or 0 when something exceeds a limit of the protocol. */
-static unsigned long encoded_size(wb_wire_message *message, wb_wire_parts *extensions) {
+static unsigned long encoded_size(wb_wire_message *message, wb_wire_extensions *extensions) {
     unsigned long size = xdr_sizeof((xdrproc_t)xdr_wb_wire_message, message);
     unsigned long extension_size =
-        extensions != NULL ? xdr_sizeof((xdrproc_t)xdr_wb_wire_parts, extensions) : 0;
+        extensions != NULL ? xdr_sizeof((xdrproc_t)xdr_wb_wire_extensions, extensions) : 0;
     return size == 0 || (extensions != NULL && extension_size == 0) ? 0 : size + extension_size;
 }
 
-apr_status_t wb_message_encode_parts(const wb_wire_message *message,
-                                     const wb_wire_parts *extensions, GByteArray *out,
-                                     wb_error_t *error) {
+apr_status_t wb_message_encode_with_extensions(const wb_wire_message *message,
+                                               const wb_wire_extensions *extensions,
+                                               GByteArray *out, wb_error_t *error) {
     /* XDR doesn't modify its source while encoding, but its interface isn't const. */
     wb_wire_message *source = (wb_wire_message *)message;
-    wb_wire_parts *extension_source = (wb_wire_parts *)extensions;
+    wb_wire_extensions *extension_source = (wb_wire_extensions *)extensions;
     unsigned long size = encoded_size(source, extension_source);
     if (size == 0 || size > WB_MESSAGE_MAX_BYTES)
         return wb_error_set(error, APR_EINVAL, "a %s message is invalid or too large (%lu bytes)",
@@ -34,7 +34,7 @@
     XDR stream;
     xdrmem_create(&stream, (char *)out->data + start + FRAME_HEADER_BYTES, (u_int)size, XDR_ENCODE);
     bool_t valid = xdr_wb_wire_message(&stream, source) &&
-                   (extension_source == NULL || xdr_wb_wire_parts(&stream, extension_source));
+                   (extension_source == NULL || xdr_wb_wire_extensions(&stream, extension_source));
     xdr_destroy(&stream);
     if (valid)
         return APR_SUCCESS;
@@ -44,33 +44,33 @@
 }
 
 apr_status_t wb_message_encode(const wb_wire_message *message, GByteArray *out, wb_error_t *error) {
-    return wb_message_encode_parts(message, NULL, out, error);
+    return wb_message_encode_with_extensions(message, NULL, out, error);
 }
 
 apr_status_t wb_message_decode_parts(const void *data, size_t length, wb_wire_message *message,
-                                     wb_wire_parts *extensions, wb_error_t *error) {
+                                     wb_wire_extensions *extensions, wb_error_t *error) {
     memset(message, 0, sizeof(*message));
     memset(extensions, 0, sizeof(*extensions));
     XDR stream;
     xdrmem_create(&stream, (char *)data, (u_int)length, XDR_DECODE);
     bool_t valid = xdr_wb_wire_message(&stream, message);
     if (valid && xdr_getpos(&stream) < length)
-        valid = xdr_wb_wire_parts(&stream, extensions);
+        valid = xdr_wb_wire_extensions(&stream, extensions);
     u_int used = xdr_getpos(&stream);
     xdr_destroy(&stream);
     if (valid && used == length)
         return APR_SUCCESS;
     wb_message_clear(message);
-    wb_parts_clear(extensions);
+    wb_extensions_clear(extensions);
     return wb_error_set(error, APR_EINVAL, "%zu bytes are not a valid message", length);
 }
 
 apr_status_t wb_message_decode(const void *data, size_t length, wb_wire_message *message,
                                wb_error_t *error) {
-    wb_wire_parts extensions;
+    wb_wire_extensions extensions;
     apr_status_t status = wb_message_decode_parts(data, length, message, &extensions, error);
     if (status == APR_SUCCESS)
-        wb_parts_clear(&extensions);
+        wb_extensions_clear(&extensions);
     return status;
 }
 
@@ -82,12 +82,13 @@
     return ntohl(kind) > LAST_KNOWN_KIND;
 }
 
-void wb_parts_clear(wb_wire_parts *extensions) {
-    xdr_free((xdrproc_t)xdr_wb_wire_parts, extensions);
+void wb_extensions_clear(wb_wire_extensions *extensions) {
+    xdr_free((xdrproc_t)xdr_wb_wire_extensions, extensions);
     memset(extensions, 0, sizeof(*extensions));
 }
 
-const wb_wire_part *wb_parts_find(const wb_wire_parts *extensions, wb_wire_part_kind kind) {
+const wb_wire_extension *wb_parts_find(const wb_wire_extensions *extensions,
+                                       wb_wire_extension_kind kind) {
     for (u_int i = 0; i < extensions->parts.parts_len; i++) {
         if (extensions->parts.parts_val[i].kind == (u_int)kind)
             return &extensions->parts.parts_val[i];
@@ -95,8 +96,8 @@
     return NULL;
 }
 
-gboolean wb_parts_add(wb_wire_parts *extensions, wb_wire_part_kind kind, xdrproc_t encode,
-                      void *value) {
+gboolean wb_extensions_add(wb_wire_extensions *extensions, wb_wire_extension_kind kind,
+                           xdrproc_t encode, void *value) {
     u_int size = (u_int)xdr_sizeof(encode, value);
     char *bytes = malloc(MAX(size, 1));
     XDR stream;
@@ -109,15 +110,15 @@
     }
     u_int count = extensions->parts.parts_len++;
     extensions->parts.parts_val =
-        realloc(extensions->parts.parts_val, (count + 1) * sizeof(wb_wire_part));
+        realloc(extensions->parts.parts_val, (count + 1) * sizeof(wb_wire_extension));
     extensions->parts.parts_val[count] =
-        (wb_wire_part){.kind = (u_int)kind, .value = {size, bytes}};
+        (wb_wire_extension){.kind = (u_int)kind, .value = {size, bytes}};
     return TRUE;
 }
 
-gboolean wb_parts_read(const wb_wire_parts *extensions, wb_wire_part_kind kind, xdrproc_t decode,
-                       void *value) {
-    const wb_wire_part *extension = wb_parts_find(extensions, kind);
+gboolean wb_extensions_read(const wb_wire_extensions *extensions, wb_wire_extension_kind kind,
+                            xdrproc_t decode, void *value) {
+    const wb_wire_extension *extension = wb_parts_find(extensions, kind);
     if (extension == NULL)
         return FALSE;
     XDR stream;
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -24,7 +24,7 @@
 struct wb_wire_member {
     wb_wire_name node;
     wb_wire_name address;
-    wb_wire_name caller_address;
+    wb_wire_name client_address;
     wb_wire_name zone;
     unsigned hyper incarnation;
     unsigned int state;
@@ -196,7 +196,7 @@
     wb_wire_name adapter;
     unsigned int waiting;
     unsigned int running;
-    unsigned int tightest_deadline_ms; /* shortest of the waiting requests; 0: none */
+    unsigned int earliest_deadline_ms; /* shortest of the waiting requests; 0: none */
 };
 
 /* An engine that holds the model, as a gateway may use it. */
@@ -355,7 +355,7 @@
 };
 
 /* Rows that the placement controller has read from the store, so that gateways needn't do it. */
-struct wb_wire_store_news {
+struct wb_wire_store_update {
     wb_wire_table_view views<8>;
     wb_wire_lease lease;
     unsigned hyper lease_version;
@@ -420,7 +420,7 @@
 };
 
 /* Selects the engines of a service that hold a model, or all of them. */
-struct wb_wire_engine_want {
+struct wb_wire_engine_selector {
     wb_wire_name service;
     wb_wire_name model; /* empty: any engine of the service */
 };
@@ -432,18 +432,18 @@
 
 /* Subscription to engines, from a gateway that doesn't read the table of engines to a relay that
  * does. Adds to earlier subscriptions on the link. */
-struct wb_wire_engines_want {
+struct wb_wire_engine_subscribe {
     wb_wire_name zone; /* of the gateway */
-    wb_wire_engine_want wants<WB_WIRE_LIST_MAX>;
+    wb_wire_engine_selector wants<WB_WIRE_LIST_MAX>;
     wb_wire_known_row known<WB_WIRE_LIST_MAX>; /* further rows whose changes are needed */
 };
 
 /* Response to a subscription, and later changes of the rows that were sent. Without changes an
  * empty message is sent every half second. */
-struct wb_wire_engines_show {
+struct wb_wire_engine_update {
     bool whole;          /* the sender has a complete copy of the table */
     unsigned int age_ms; /* since the sender's copy was last known to be current */
-    wb_wire_engine_want answered<WB_WIRE_LIST_MAX>;
+    wb_wire_engine_selector answered<WB_WIRE_LIST_MAX>;
     wb_wire_table_row rows<WB_WIRE_LIST_MAX>;
     wb_wire_placement_entry holds<WB_WIRE_LIST_MAX>; /* placement that the rows don't show yet */
 };
@@ -474,21 +474,21 @@
 /* Version of the message format; edge nodes send theirs in the incarnation of the handshake.
  * Version 1 is the message alone; in version 2 extensions may follow it. docs/COMPATIBILITY.md says
  * what a release may change. */
-const WB_WIRE_FORM = 2;
+const WB_WIRE_FORMAT_VERSION = 2;
 
 /* Extensions of messages and rows. Readers skip kinds that they don't know. */
-enum wb_wire_part_kind {
-    WB_WIRE_PART_STARTS = 1, /* wb_wire_starts */
-    WB_WIRE_PART_WRITER = 2  /* wb_wire_writer */
+enum wb_wire_extension_kind {
+    WB_WIRE_EXTENSION_STARTS = 1, /* wb_wire_starts */
+    WB_WIRE_EXTENSION_WRITER = 2  /* wb_wire_writer */
 };
 
-struct wb_wire_part {
-    unsigned int kind; /* wb_wire_part_kind */
+struct wb_wire_extension {
+    unsigned int kind; /* wb_wire_extension_kind */
     opaque value<WB_WIRE_TEXT_MAX>;
 };
 
-struct wb_wire_parts {
-    wb_wire_part parts<64>;
+struct wb_wire_extensions {
+    wb_wire_extension parts<64>;
 };
 
 /* Start time of the engine in each entry of the message, in the same order; 0: unknown. */
@@ -521,13 +521,13 @@
     WB_WIRE_GROUP_HAND_OVER = 17,
     WB_WIRE_DEMAND = 18,
     WB_WIRE_PLACEMENT = 19,
-    WB_WIRE_STORE_NEWS = 20,
+    WB_WIRE_STORE_UPDATE = 20,
     WB_WIRE_LOAD_PLAN = 21,
     WB_WIRE_QUOTA = 22,
     WB_WIRE_POISON = 23,
     WB_WIRE_ENGINE_LOADS = 24,
-    WB_WIRE_ENGINES_WANT = 25, /* this and later kinds are sent only to readers of version 2 */
-    WB_WIRE_ENGINES_SHOW = 26,
+    WB_WIRE_ENGINE_SUBSCRIBE = 25, /* this and later kinds are sent only to readers of version 2 */
+    WB_WIRE_ENGINE_UPDATE = 26,
     WB_WIRE_ENGINE_STATES = 27
 };
 
@@ -570,8 +570,8 @@
     wb_wire_demand demand;
 case WB_WIRE_PLACEMENT:
     wb_wire_placement placement;
-case WB_WIRE_STORE_NEWS:
-    wb_wire_store_news store_news;
+case WB_WIRE_STORE_UPDATE:
+    wb_wire_store_update store_update;
 case WB_WIRE_LOAD_PLAN:
     wb_wire_load_plan load_plan;
 case WB_WIRE_QUOTA:
@@ -580,10 +580,10 @@
     wb_wire_poison poison;
 case WB_WIRE_ENGINE_LOADS:
     wb_wire_engine_loads engine_loads;
-case WB_WIRE_ENGINES_WANT:
-    wb_wire_engines_want engines_want;
-case WB_WIRE_ENGINES_SHOW:
-    wb_wire_engines_show engines_show;
+case WB_WIRE_ENGINE_SUBSCRIBE:
+    wb_wire_engine_subscribe engine_subscribe;
+case WB_WIRE_ENGINE_UPDATE:
+    wb_wire_engine_update engine_update;
 case WB_WIRE_ENGINE_STATES:
     wb_wire_engine_states engine_states;
 };
