--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -1,4 +1,6 @@
-/* A cell's state: what its owner knows of engines, orders and demand. */
+/* State of a cell's owner: its engines, their inventories and pending orders, and gateway demand.
+ * Times are milliseconds of the caller's monotonic clock. Events for engines or orders that are not
+ * known are ignored. */
 #include "cell_types.h"
 
 #define ORDER_RETRY_MS 300
@@ -13,7 +15,7 @@
 static void engine_free(gpointer data) {
     cell_engine_t *engine = data;
     wb_inventory_free(engine->inventory);
-    g_free(engine->room_for);
+    g_free(engine->reserved_for);
     g_free(engine->id);
     g_free(engine->address);
     g_free(engine->zone);
@@ -54,7 +56,7 @@
     cell->targets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, target_free);
     cell->uncommitted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cell->retiring = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    cell->surplus = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    cell->surplus_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cell->loads = g_ptr_array_new_with_free_func(load_free);
     cell->ms_per_gib[SOURCE_MEMORY] = (double)options->memory_ms_per_gib;
     cell->ms_per_gib[SOURCE_DISK] = (double)options->disk_ms_per_gib;
@@ -68,7 +70,7 @@
     g_hash_table_unref(cell->targets);
     g_hash_table_unref(cell->uncommitted);
     g_hash_table_unref(cell->retiring);
-    g_hash_table_unref(cell->surplus);
+    g_hash_table_unref(cell->surplus_since);
     g_ptr_array_unref(cell->loads);
     wb_policy_free(cell->policy);
     wb_config_unref(cell->config);
@@ -98,24 +100,25 @@
     return engine;
 }
 
-/* What the last owner knew of engines. */
+/* Adds the engines that the previous owner stored in the record. */
 static void engines_from_record(wb_cell_t *cell, int64_t now_ms) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->record->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const wb_record_engine_t *known = value;
+        const wb_record_engine_t *recorded = value;
         cell_engine_t *engine =
-            engine_get(cell, known->engine, known->address, known->zone, now_ms);
-        engine->machine = (wb_machine_state_t)known->state;
+            engine_get(cell, recorded->engine, recorded->address, recorded->zone, now_ms);
+        engine->machine = (wb_machine_state_t)recorded->state;
     }
 }
 
-/* Lets the next owner know without a machine list. */
-static void engine_record(wb_cell_t *cell, const cell_engine_t *engine) {
-    const wb_record_engine_t *known = g_hash_table_lookup(cell->record->engines, engine->id);
+/* Stores the engine in the record, so that the next owner knows it before it reads the machine
+ * list. */
+static void engine_propose(wb_cell_t *cell, const cell_engine_t *engine) {
+    const wb_record_engine_t *recorded = g_hash_table_lookup(cell->record->engines, engine->id);
     gboolean gone = engine->machine == WB_MACHINE_GONE;
-    if (known == NULL ? gone : known->state == (unsigned)engine->machine)
+    if (recorded == NULL ? gone : recorded->state == (unsigned)engine->machine)
         return;
     wb_wire_command command = {.kind = WB_WIRE_COMMAND_ENGINE};
     wb_wire_engine *wire = &command.wb_wire_command_u.engine;
@@ -129,8 +132,8 @@
 void wb_cell_machine(wb_cell_t *cell, const char *id, const char *address, const char *zone,
                      wb_machine_state_t state, int64_t now_ms) {
     cell_engine_t *engine = engine_get(cell, id, address, zone, now_ms);
-    engine->machine = MAX(engine->machine, state); /* a leaving machine never comes back */
-    engine_record(cell, engine);
+    engine->machine = MAX(engine->machine, state); /* a draining machine does not return */
+    engine_propose(cell, engine);
 }
 
 void wb_cell_machines_known(wb_cell_t *cell) {
@@ -141,24 +144,24 @@
     cell->committed = MAX(cell->committed, sequence);
 }
 
-cell_busy_t cell_target_busy(const cell_target_t *target) {
-    cell_busy_t busy = {0, 0, 0, target->used_ms};
+cell_demand_t cell_target_demand(const cell_target_t *target) {
+    cell_demand_t demand = {0, 0, 0, target->used_ms};
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, target->gateways);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const cell_gateway_t *gateway = value;
-        busy.waiting += gateway->waiting;
-        busy.running += gateway->running;
+        demand.waiting += gateway->waiting;
+        demand.running += gateway->running;
         if (gateway->deadline_ms > 0 &&
-            (busy.deadline_ms == 0 || gateway->deadline_ms < busy.deadline_ms))
-            busy.deadline_ms = gateway->deadline_ms;
+            (demand.deadline_ms == 0 || gateway->deadline_ms < demand.deadline_ms))
+            demand.deadline_ms = gateway->deadline_ms;
     }
-    return busy;
+    return demand;
 }
 
-cell_busy_t cell_model_busy(const wb_cell_t *cell, const char *model) {
-    cell_busy_t busy = {0, 0, 0, 0};
+cell_demand_t cell_model_demand(const wb_cell_t *cell, const char *model) {
+    cell_demand_t demand = {0, 0, 0, 0};
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->targets);
@@ -166,17 +169,18 @@
         const cell_target_t *target = value;
         if (strcmp(target->model, model) != 0)
             continue;
-        cell_busy_t part = cell_target_busy(target);
-        busy.waiting += part.waiting;
-        busy.running += part.running;
-        busy.used_ms = MAX(busy.used_ms, part.used_ms);
-        if (part.deadline_ms > 0 && (busy.deadline_ms == 0 || part.deadline_ms < busy.deadline_ms))
-            busy.deadline_ms = part.deadline_ms;
+        cell_demand_t part = cell_target_demand(target);
+        demand.waiting += part.waiting;
+        demand.running += part.running;
+        demand.used_ms = MAX(demand.used_ms, part.used_ms);
+        if (part.deadline_ms > 0 &&
+            (demand.deadline_ms == 0 || part.deadline_ms < demand.deadline_ms))
+            demand.deadline_ms = part.deadline_ms;
     }
-    return busy;
+    return demand;
 }
 
-const wb_held_model_t *cell_held(const cell_engine_t *engine, const char *model) {
+const wb_held_model_t *cell_held_model(const cell_engine_t *engine, const char *model) {
     return engine->inventory != NULL ? wb_inventory_model(engine->inventory, model) : NULL;
 }
 
@@ -187,28 +191,28 @@
 
 gboolean cell_engine_is_orderable(const cell_engine_t *engine, int64_t now_ms) {
     return engine->machine != WB_MACHINE_GONE && engine->fenced && engine->settled &&
-           engine->reachable && !engine->ordering && engine->inventory != NULL &&
+           engine->reachable && !engine->order_pending && engine->inventory != NULL &&
            now_ms >= engine->retry_at_ms;
 }
 
 static uint64_t fence_next(const wb_cell_t *cell, const cell_engine_t *engine) {
-    return MAX(engine->fence_sent, cell->epoch << 32) + 1;
+    return MAX(engine->last_fence, cell->epoch << 32) + 1;
 }
 
 void cell_order_send(wb_cell_t *cell, cell_engine_t *engine, wb_order_action_t action,
                      const char *model, const char *adapter, int64_t version, int64_t bytes) {
     wb_order_t order = {action, engine->id, engine->address, fence_next(cell, engine),
                         model,  adapter,    version,         bytes};
-    engine->fence_sent = order.fence;
-    engine->ordering = TRUE;
+    engine->last_fence = order.fence;
+    engine->order_pending = TRUE;
     engine->order_action = action;
     if (action == WB_ORDER_LOAD && adapter != NULL)
         engine->ordered_bytes = bytes;
     cell->events.order(&order, cell->events.context);
 }
 
-static void inventory_take(wb_cell_t *cell, cell_engine_t *engine, wb_inventory_t *inventory,
-                           int64_t now_ms) {
+static void inventory_update(wb_cell_t *cell, cell_engine_t *engine, wb_inventory_t *inventory,
+                             int64_t now_ms) {
     gboolean older = engine->inventory != NULL && inventory->sequence < engine->inventory->sequence;
     if (older) {
         wb_inventory_free(inventory);
@@ -222,13 +226,13 @@
 void wb_cell_order_done(wb_cell_t *cell, const char *id, uint64_t fence, wb_order_outcome_t outcome,
                         wb_inventory_t *inventory, int64_t now_ms) {
     cell_engine_t *engine = g_hash_table_lookup(cell->engines, id);
-    if (engine == NULL || !engine->ordering || fence != engine->fence_sent) {
+    if (engine == NULL || !engine->order_pending || fence != engine->last_fence) {
         wb_inventory_free(inventory);
         return;
     }
-    engine->ordering = FALSE;
+    engine->order_pending = FALSE;
     if (inventory != NULL)
-        inventory_take(cell, engine, inventory, now_ms);
+        inventory_update(cell, engine, inventory, now_ms);
     switch (outcome) {
     case WB_ORDER_TAKEN:
         engine->fenced = TRUE;
@@ -241,8 +245,8 @@
         engine->retry_at_ms = now_ms + ORDER_RETRY_MS;
         break;
     case WB_ORDER_STALE:
-        /* Either a lost order of ours came late, or someone with a higher epoch has taken over;
-         * in that case all that we send stays refused. */
+        /* Either an earlier order of this owner arrived late, or an owner with a higher epoch has
+         * taken over; then the engine rejects all further orders of this one. */
         engine->fenced = FALSE;
         engine->settled = FALSE;
         engine->retry_at_ms = now_ms + ORDER_RETRY_MS;
@@ -260,7 +264,7 @@
         wb_inventory_free(inventory);
         return;
     }
-    inventory_take(cell, engine, inventory, now_ms);
+    inventory_update(cell, engine, inventory, now_ms);
 }
 
 void wb_cell_engine_reachable(wb_cell_t *cell, const char *id, gboolean reachable) {
@@ -289,13 +293,13 @@
     }
     gateway->waiting = demand->waiting;
     gateway->running = demand->running;
-    gateway->heard_ms = now_ms;
+    gateway->demand_received_ms = now_ms;
     gateway->deadline_ms =
         demand->tightest_deadline_ms > 0 ? now_ms + demand->tightest_deadline_ms : 0;
     if (demand->waiting + demand->running > 0)
         target->used_ms = now_ms;
     wb_cell_step(cell, now_ms);
-    cell_route_show_to(cell, target, gateway, TRUE, now_ms);
+    cell_route_send(cell, target, gateway, TRUE, now_ms);
 }
 
 void wb_cell_gateway_gone(wb_cell_t *cell, const char *node) {
--- a/src/cell/cell_adapters.c
+++ b/src/cell/cell_adapters.c
@@ -1,9 +1,10 @@
-/* Decides which adapters are loaded beside the replicas of their models. */
+/* Loads adapters in demand onto replicas of their models, and unloads or evicts idle ones. At most
+ * one order per engine and step. */
 #include "cell_types.h"
 
-static const wb_held_adapter_t *adapter_held(const cell_engine_t *engine, const char *model,
+static const wb_held_adapter_t *held_adapter(const cell_engine_t *engine, const char *model,
                                              const char *adapter) {
-    const wb_held_model_t *held = cell_held(engine, model);
+    const wb_held_model_t *held = cell_held_model(engine, model);
     return held != NULL ? g_hash_table_lookup(held->adapters, adapter) : NULL;
 }
 
@@ -13,7 +14,7 @@
     return g_hash_table_lookup(cell->targets, cell_pair(pair, model, adapter));
 }
 
-/* An adapter that nothing waits for or runs on may go. */
+/* Loaded, without waiting or running requests. */
 static gboolean adapter_is_idle(const wb_cell_t *cell, const char *model,
                                 const wb_held_adapter_t *adapter) {
     if (adapter->state != WB_LOAD_LOADED || adapter->running > 0)
@@ -21,8 +22,8 @@
     const cell_target_t *target = target_find(cell, model, adapter->name);
     if (target == NULL)
         return TRUE;
-    cell_busy_t busy = cell_target_busy(target);
-    return busy.waiting == 0 && busy.running == 0;
+    cell_demand_t demand = cell_target_demand(target);
+    return demand.waiting == 0 && demand.running == 0;
 }
 
 static int64_t adapter_used_ms(const wb_cell_t *cell, const char *model, const char *adapter) {
@@ -30,7 +31,7 @@
     return target != NULL ? target->used_ms : 0;
 }
 
-/* Sends away the idle adapter on this engine that was used the longest ago. */
+/* Unloads the least recently used idle adapter of the engine. Returns FALSE when none is idle. */
 static gboolean adapter_evict(wb_cell_t *cell, cell_engine_t *engine) {
     const char *victim_model = NULL;
     const char *victim = NULL;
@@ -57,10 +58,10 @@
     return TRUE;
 }
 
-/* The replica with the most room that could take the adapter. */
+/* The ready replica without the adapter that has the most free memory, or NULL. */
 static cell_engine_t *replica_choose(wb_cell_t *cell, const char *model, const char *adapter) {
     cell_engine_t *best = NULL;
-    int64_t most = INT64_MIN;
+    int64_t max_free_bytes = INT64_MIN;
     for (guint i = 0; i < cell->record->slots->len; i++) {
         const wb_slot_t *slot = cell->record->slots->pdata[i];
         if (strcmp(slot->model, model) != 0)
@@ -68,22 +69,22 @@
         cell_engine_t *engine = g_hash_table_lookup(cell->engines, slot->engine);
         if (engine == NULL || !cell_engine_is_usable(engine))
             continue;
-        const wb_held_model_t *held = cell_held(engine, model);
+        const wb_held_model_t *held = cell_held_model(engine, model);
         char pair[CELL_PAIR_SIZE];
         if (held == NULL || held->state != WB_LOAD_LOADED ||
             g_hash_table_contains(cell->retiring, cell_pair(pair, model, engine->id)) ||
             g_hash_table_contains(held->adapters, adapter))
             continue;
         int64_t free_bytes = cell_engine_free_bytes(cell, engine, NULL);
-        if (free_bytes > most) {
-            most = free_bytes;
+        if (free_bytes > max_free_bytes) {
+            max_free_bytes = free_bytes;
             best = engine;
         }
     }
     return best;
 }
 
-/* Replicas that hold the adapter or are loading it. */
+/* Number of usable engines that hold the adapter or load it; sets `batch` when there are any. */
 static guint adapter_replicas(const wb_cell_t *cell, const char *model, const char *adapter,
                               int *batch) {
     guint count = 0;
@@ -92,7 +93,7 @@
     g_hash_table_iter_init(&iterator, cell->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const cell_engine_t *engine = value;
-        const wb_held_adapter_t *held = adapter_held(engine, model, adapter);
+        const wb_held_adapter_t *held = held_adapter(engine, model, adapter);
         if (held == NULL || held->state == WB_LOAD_UNLOADING || !cell_engine_is_usable(engine))
             continue;
         count++;
@@ -103,12 +104,12 @@
 
 static void target_serve(wb_cell_t *cell, const cell_target_t *target, int64_t now_ms) {
     const wb_adapter_t *adapter = wb_config_adapter(cell->config, target->adapter);
-    cell_busy_t busy = cell_target_busy(target);
-    if (adapter == NULL || strcmp(adapter->model, target->model) != 0 || busy.waiting == 0)
+    cell_demand_t demand = cell_target_demand(target);
+    if (adapter == NULL || strcmp(adapter->model, target->model) != 0 || demand.waiting == 0)
         return;
     int batch = 1;
     guint replicas = adapter_replicas(cell, target->model, target->adapter, &batch);
-    if (replicas > 0 && busy.waiting + busy.running <= (int)replicas * batch)
+    if (replicas > 0 && demand.waiting + demand.running <= (int)replicas * batch)
         return;
     cell_engine_t *engine = replica_choose(cell, target->model, target->adapter);
     if (engine == NULL || !cell_engine_is_orderable(engine, now_ms))
@@ -120,8 +121,8 @@
         adapter_evict(cell, engine);
 }
 
-/* An adapter that is no longer declared, or was idle for the service's keep-alive, goes. */
-static void idle_unload(wb_cell_t *cell, cell_engine_t *engine, int64_t now_ms) {
+/* Unloads one adapter that is no longer declared, or was idle for the service's keep-alive time. */
+static void adapters_unload_idle(wb_cell_t *cell, cell_engine_t *engine, int64_t now_ms) {
     GHashTableIter models, adapters;
     gpointer model_value, adapter_value;
     g_hash_table_iter_init(&models, engine->inventory->models);
@@ -159,6 +160,6 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         cell_engine_t *engine = value;
         if (cell_engine_is_orderable(engine, now_ms))
-            idle_unload(cell, engine, now_ms);
+            adapters_unload_idle(cell, engine, now_ms);
     }
 }
--- a/src/cell/cell_balance.c
+++ b/src/cell/cell_balance.c
@@ -1,5 +1,5 @@
-/* Hands a cell over to a member of its group that owns far fewer, so that takeovers don't pile up.
- */
+/* Balances ownership: hands a cell over to a member of its group that owns at least MIN_DIFFERENCE
+ * fewer cells. One cell per BALANCE_INTERVAL_MS (milliseconds). */
 #include "cell_host_types.h"
 
 #include "wickbridge/log.h"
@@ -7,10 +7,10 @@
 #include <string.h>
 
 #define BALANCE_INTERVAL_MS 2000
-#define WORTH_MOVING 2 /* difference in owned cells; with less, cells would move back and forth */
+#define MIN_DIFFERENCE 2 /* owned cells; a smaller one would move cells back and forth */
 
-/* Cells owned by each node, as gossip tells. */
-static GHashTable *owned_count(wb_cell_host_t *host) {
+/* Number of cells owned by each node, according to gossip. */
+static GHashTable *owned_counts(wb_cell_host_t *host) {
     GHashTable *counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GHashTableIter iterator;
     gpointer name;
@@ -25,7 +25,7 @@
     return counts;
 }
 
-/* The member of the group that owns the fewest cells and is up, or NULL. */
+/* The alive member other than this node that owns the fewest cells, or NULL. */
 static const char *member_choose(hosted_cell_t *hosted, GHashTable *counts, guint *fewest) {
     const wb_member_table_t *table = wb_membership_table(hosted->host->parts.membership);
     const GPtrArray *members = wb_group_record(hosted->group)->members;
@@ -44,13 +44,13 @@
 }
 
 void cell_balance_tick(wb_cell_host_t *host, int64_t now_ms) {
-    if (host->leaving || now_ms < host->balance_next_ms)
+    if (host->handing_over || now_ms < host->balance_next_ms)
         return;
     host->balance_next_ms = now_ms + BALANCE_INTERVAL_MS;
     guint own = wb_cell_host_owned(host);
-    if (own < WORTH_MOVING)
+    if (own < MIN_DIFFERENCE)
         return;
-    g_autoptr(GHashTable) counts = owned_count(host);
+    g_autoptr(GHashTable) counts = owned_counts(host);
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, host->cells);
@@ -58,12 +58,12 @@
         hosted_cell_t *hosted = value;
         guint fewest = 0;
         const char *node = hosted->cell != NULL ? member_choose(hosted, counts, &fewest) : NULL;
-        if (node == NULL || own < fewest + WORTH_MOVING)
+        if (node == NULL || own < fewest + MIN_DIFFERENCE)
             continue;
         if (wb_group_hand_over_to(hosted->group, node)) {
-            wb_log_message(WB_PART_CELL, "Cell %s is handed over to %s, which owns fewer.",
+            wb_log_message(WB_PART_CELL, "Handing cell %s over to node %s, which owns fewer cells.",
                            hosted->name, node);
-            return; /* one at a time */
+            return; /* at most one per interval */
         }
     }
 }
--- a/src/cell/cell_host.c
+++ b/src/cell/cell_host.c
@@ -1,4 +1,7 @@
-/* Runs this node's groups, and the decisions of the cells that it owns. */
+/* Runs the groups of the cells on this node, and the decisions of the cells that it owns.
+ *
+ * Connects groups and cells to messages, the engine client, the table service and gossip. All
+ * functions run on the loop's thread; times are in milliseconds. */
 #include "cell_host_types.h"
 
 #include "wickbridge/log.h"
@@ -7,7 +10,7 @@
 
 #define TICK_MS 50
 #define EXPIRE_INTERVAL_MS 5000
-#define HAND_OVER_LIMIT_MS 5000 /* then a stop goes on without a successor */
+#define HAND_OVER_TIMEOUT_MS 5000 /* after this, stopping no longer waits for a successor */
 
 hosted_cell_t *cell_host_find(wb_cell_host_t *host, const char *name) {
     return g_hash_table_lookup(host->cells, name);
@@ -15,8 +18,8 @@
 
 hosted_cell_t *cell_host_find_model(wb_cell_host_t *host, const char *model) {
     const wb_config_t *config = wb_config_store_current(host->parts.config_store);
-    const wb_model_t *declared = wb_config_model(config, model);
-    return declared != NULL ? cell_host_find(host, declared->cell) : NULL;
+    const wb_model_t *model_config = wb_config_model(config, model);
+    return model_config != NULL ? cell_host_find(host, model_config->cell) : NULL;
 }
 
 static void group_send(const char *node, const wb_wire_message *message, void *context) {
@@ -29,16 +32,16 @@
     return wb_group_propose(hosted->group, command, wb_clock_ms());
 }
 
-static void cell_order(const wb_order_t *order, void *context) {
+static void cell_send_order(const wb_order_t *order, void *context) {
     hosted_cell_t *hosted = context;
     static const char *const names[] = {"fence", "load", "unload"};
-    wb_log_info(WB_PART_CELL, "Order %s %s%s%s to %s.", names[order->action],
+    wb_log_info(WB_PART_CELL, "Sending order %s %s%s%s to engine %s.", names[order->action],
                 order->model != NULL ? order->model : "", order->adapter != NULL ? "+" : "",
                 order->adapter != NULL ? order->adapter : "", order->engine);
     wb_engine_client_order(hosted->engines, order);
 }
 
-static void cell_show(const char *node, const wb_route_t *route, void *context) {
+static void cell_send_route(const char *node, const wb_route_t *route, void *context) {
     hosted_cell_t *hosted = context;
     wb_wire_message message = {.kind = WB_WIRE_ROUTE_SHOW};
     wb_wire_route_show *show = &message.wb_wire_message_u.route_show;
@@ -62,22 +65,22 @@
     hosted->host->parts.send(node, &message, hosted->host->parts.context);
 }
 
-static void engine_order_done(const char *engine, uint64_t fence, wb_order_outcome_t outcome,
-                              wb_inventory_t *inventory, void *context) {
+static void engine_on_order_done(const char *engine, uint64_t fence, wb_order_outcome_t outcome,
+                                 wb_inventory_t *inventory, void *context) {
     hosted_cell_t *hosted = context;
     int64_t now_ms = wb_clock_ms();
     wb_cell_order_done(hosted->cell, engine, fence, outcome, inventory, now_ms);
     wb_cell_step(hosted->cell, now_ms);
 }
 
-static void engine_inventory(wb_inventory_t *inventory, void *context) {
+static void engine_on_inventory(wb_inventory_t *inventory, void *context) {
     hosted_cell_t *hosted = context;
     int64_t now_ms = wb_clock_ms();
     wb_cell_inventory(hosted->cell, inventory, now_ms);
     wb_cell_step(hosted->cell, now_ms);
 }
 
-static void engine_reachable(const char *engine, gboolean reachable, void *context) {
+static void engine_on_reachable(const char *engine, gboolean reachable, void *context) {
     hosted_cell_t *hosted = context;
     wb_cell_engine_reachable(hosted->cell, engine, reachable);
     wb_cell_step(hosted->cell, wb_clock_ms());
@@ -88,18 +91,18 @@
     wb_engine_client_follow(hosted->engines, engine, address);
 }
 
-static void group_owner(uint64_t epoch, void *context) {
+static void group_on_owner(uint64_t epoch, void *context) {
     hosted_cell_t *hosted = context;
     wb_cell_host_t *host = hosted->host;
     const wb_cell_host_options_t *options = &host->options;
     wb_config_t *config = wb_config_store_current(host->parts.config_store);
     g_autoptr(GPtrArray) cells = wb_config_cells(config);
-    wb_log_message(WB_PART_CELL, "Cell %s is owned here at epoch %" G_GUINT64_FORMAT ".",
+    wb_log_message(WB_PART_CELL, "Cell %s is now owned by this node, epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, (guint64)epoch);
     wb_engine_client_options_t engine_options = {options->engine_scheme, options->order_timeout_ms,
                                                  options->inventory_wait_ms};
-    wb_engine_client_events_t engine_events = {engine_order_done, engine_inventory,
-                                               engine_reachable, hosted};
+    wb_engine_client_events_t engine_events = {engine_on_order_done, engine_on_inventory,
+                                               engine_on_reachable, hosted};
     hosted->engines = wb_engine_client_create(host->parts.http, host->parts.loop, &engine_options,
                                               &engine_events);
     wb_cell_options_t cell_options = {
@@ -108,7 +111,7 @@
         .remote_ms_per_gib = 250,
         .disk_ms_per_gib = 120,
         .memory_ms_per_gib = 30};
-    wb_cell_events_t cell_events = {cell_propose, cell_order, cell_show, hosted};
+    wb_cell_events_t cell_events = {cell_propose, cell_send_order, cell_send_route, hosted};
     hosted->cell = wb_cell_create(&cell_options, wb_group_record(hosted->group), epoch,
                                   &cell_events, wb_clock_ms());
     wb_cell_committed(hosted->cell, wb_group_committed(hosted->group));
@@ -119,17 +122,17 @@
     wb_membership_announce_owner(host->parts.membership, hosted->name, epoch);
 }
 
-static void group_lost(void *context) {
+static void group_on_lost(void *context) {
     hosted_cell_t *hosted = context;
-    wb_log_message(WB_PART_CELL, "Cell %s is no longer owned here.", hosted->name);
-    cell_claims_drop(hosted);
+    wb_log_message(WB_PART_CELL, "Cell %s is no longer owned by this node.", hosted->name);
+    cell_claims_refuse_pending(hosted);
     wb_engine_client_free(hosted->engines);
     hosted->engines = NULL;
     wb_cell_free(hosted->cell);
     hosted->cell = NULL;
 }
 
-/* A deferred step; the cell may be gone by then. */
+/* Context of a deferred step; names the cell, which may have been removed when it runs. */
 typedef struct step_call_t {
     wb_cell_host_t *host;
     char *cell;
@@ -139,7 +142,7 @@
     step_call_t *call = context;
     hosted_cell_t *hosted = cell_host_find(call->host, call->cell);
     if (hosted != NULL) {
-        hosted->step_is_due = FALSE;
+        hosted->step_is_posted = FALSE;
         if (hosted->cell != NULL)
             wb_cell_step(hosted->cell, wb_clock_ms());
     }
@@ -147,24 +150,24 @@
     g_free(call);
 }
 
-/* What counts now is acted on at once, but not from inside a step that may be under way. */
-static void step_soon(hosted_cell_t *hosted) {
-    if (hosted->step_is_due)
+/* Runs a step soon after a commit, but deferred: the commit may have happened within a step. */
+static void step_post(hosted_cell_t *hosted) {
+    if (hosted->step_is_posted)
         return;
-    hosted->step_is_due = TRUE;
+    hosted->step_is_posted = TRUE;
     step_call_t *call = g_new(step_call_t, 1);
     call->host = hosted->host;
     call->cell = g_strdup(hosted->name);
     wb_loop_post(hosted->host->parts.loop, step_run, call);
 }
 
-static void group_commit(uint64_t sequence, void *context) {
+static void group_on_commit(uint64_t sequence, void *context) {
     hosted_cell_t *hosted = context;
     if (hosted->cell == NULL)
         return;
     wb_cell_committed(hosted->cell, sequence);
-    cell_claims_committed(hosted, sequence);
-    step_soon(hosted);
+    cell_claims_on_commit(hosted, sequence);
+    step_post(hosted);
 }
 
 wb_group_t *cell_host_group(hosted_cell_t *hosted) {
@@ -173,7 +176,7 @@
         return hosted->group;
     wb_group_options_t options = {hosted->name, host->node, host->options.group_heartbeat_ms,
                                   host->options.election_timeout_ms, g_random_int()};
-    wb_group_events_t events = {group_send, group_owner, group_lost, group_commit, hosted};
+    wb_group_events_t events = {group_send, group_on_owner, group_on_lost, group_on_commit, hosted};
     hosted->group = wb_group_create(&options, &events, wb_clock_ms());
     return hosted->group;
 }
@@ -185,7 +188,7 @@
     hosted = g_new0(hosted_cell_t, 1);
     hosted->host = host;
     hosted->name = g_strdup(name);
-    g_queue_init(&hosted->claim_waits);
+    g_queue_init(&hosted->pending_claims);
     g_hash_table_insert(host->cells, hosted->name, hosted);
     return hosted;
 }
@@ -193,7 +196,7 @@
 static void hosted_free(gpointer data) {
     hosted_cell_t *hosted = data;
     if (hosted->cell != NULL) {
-        cell_claims_drop(hosted);
+        cell_claims_refuse_pending(hosted);
         wb_engine_client_free(hosted->engines);
         wb_cell_free(hosted->cell);
     }
@@ -206,9 +209,9 @@
 static void hosted_tick(hosted_cell_t *hosted, int64_t now_ms) {
     if (hosted->group != NULL)
         wb_group_tick(hosted->group, now_ms);
-    cell_founding_tick(hosted, now_ms);
-    gboolean orphan_member = hosted->group != NULL && hosted->orphan_since_ms != 0;
-    if (hosted->cell != NULL || orphan_member)
+    cell_bootstrap_tick(hosted, now_ms);
+    gboolean ownerless_member = hosted->group != NULL && hosted->ownerless_since_ms != 0;
+    if (hosted->cell != NULL || ownerless_member)
         cell_machines_tick(hosted, now_ms);
     if (hosted->cell != NULL) {
         cell_members_maintain(hosted, now_ms);
@@ -225,9 +228,9 @@
 static void host_tick(void *context) {
     wb_cell_host_t *host = context;
     int64_t now_ms = wb_clock_ms();
-    g_autoptr(GList) names = g_hash_table_get_values(host->cells);
-    for (GList *place = names; place != NULL; place = place->next)
-        hosted_tick(place->data, now_ms);
+    g_autoptr(GList) cells = g_hash_table_get_values(host->cells);
+    for (GList *link = cells; link != NULL; link = link->next)
+        hosted_tick(link->data, now_ms);
     cell_balance_tick(host, now_ms);
 }
 
@@ -261,7 +264,7 @@
         if (hosted->cell == NULL)
             continue;
         wb_cell_set_config(hosted->cell, config);
-        hosted->machines_version = 0; /* engines of a new service may have been passed over */
+        hosted->machines_version = 0; /* read again: engines of undeclared services were skipped */
         wb_cell_step(hosted->cell, wb_clock_ms());
     }
 }
@@ -287,11 +290,11 @@
     host->parts.send(node, &message, host->parts.context);
 }
 
-static void group_message(wb_cell_host_t *host, const char *cell, const char *node,
+static void group_deliver(wb_cell_host_t *host, const char *cell, const char *node,
                           const wb_wire_message *message) {
     hosted_cell_t *hosted = cell_host_find(host, cell);
     if (hosted == NULL || hosted->group == NULL) {
-        if (message->kind != WB_WIRE_GROUP_STATE || host->leaving)
+        if (message->kind != WB_WIRE_GROUP_STATE || host->handing_over)
             return;
         hosted = hosted_get(host, cell);
         cell_host_group(hosted);
@@ -303,33 +306,33 @@
                               const wb_wire_message *message) {
     switch (message->kind) {
     case WB_WIRE_GROUP_STATE:
-        group_message(host, message->wb_wire_message_u.group_state.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_state.cell, node, message);
         return TRUE;
     case WB_WIRE_GROUP_APPEND:
-        group_message(host, message->wb_wire_message_u.group_append.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_append.cell, node, message);
         return TRUE;
     case WB_WIRE_GROUP_ACK:
-        group_message(host, message->wb_wire_message_u.group_ack.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_ack.cell, node, message);
         return TRUE;
     case WB_WIRE_GROUP_VOTE:
-        group_message(host, message->wb_wire_message_u.group_vote.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_vote.cell, node, message);
         return TRUE;
     case WB_WIRE_GROUP_BALLOT:
-        group_message(host, message->wb_wire_message_u.group_ballot.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_ballot.cell, node, message);
         return TRUE;
     case WB_WIRE_GROUP_HAND_OVER:
-        if (host->leaving)
+        if (host->handing_over)
             return TRUE; /* the sender tries another member */
-        group_message(host, message->wb_wire_message_u.group_hand_over.cell, node, message);
+        group_deliver(host, message->wb_wire_message_u.group_hand_over.cell, node, message);
         return TRUE;
     case WB_WIRE_ROUTE_WANT:
         route_want(host, node, &message->wb_wire_message_u.route_want);
         return TRUE;
     case WB_WIRE_CLAIM_WANT:
-        cell_claim_want(host, node, &message->wb_wire_message_u.claim_want);
+        cell_claim_on_request(host, node, &message->wb_wire_message_u.claim_want);
         return TRUE;
     case WB_WIRE_CLAIM_DONE_NOTE:
-        cell_claim_done(host, &message->wb_wire_message_u.claim_done);
+        cell_claim_on_done(host, &message->wb_wire_message_u.claim_done);
         return TRUE;
     default:
         return FALSE;
@@ -341,8 +344,8 @@
         return;
     int64_t now_ms = wb_clock_ms();
     g_autoptr(GList) cells = g_hash_table_get_values(host->cells);
-    for (GList *place = cells; place != NULL; place = place->next) {
-        hosted_cell_t *hosted = place->data;
+    for (GList *link = cells; link != NULL; link = link->next) {
+        hosted_cell_t *hosted = link->data;
         if (hosted->group != NULL)
             wb_group_owner_down(hosted->group, member->node, now_ms);
         if (hosted->cell != NULL)
@@ -352,20 +355,22 @@
 
 gboolean wb_cell_host_hand_over(wb_cell_host_t *host) {
     int64_t now_ms = wb_clock_ms();
-    if (!host->leaving)
-        host->leaving_since_ms = now_ms;
-    host->leaving = TRUE;
+    if (!host->handing_over)
+        host->hand_over_since_ms = now_ms;
+    host->handing_over = TRUE;
     gboolean done = TRUE;
     g_autoptr(GList) cells = g_hash_table_get_values(host->cells);
-    for (GList *place = cells; place != NULL; place = place->next) {
-        hosted_cell_t *hosted = place->data;
+    for (GList *link = cells; link != NULL; link = link->next) {
+        hosted_cell_t *hosted = link->data;
         if (hosted->cell == NULL || wb_group_record(hosted->group)->members->len < 2)
             continue;
         wb_group_hand_over(hosted->group);
         done = FALSE;
     }
-    if (!done && now_ms - host->leaving_since_ms > HAND_OVER_LIMIT_MS) {
-        wb_log_warning(WB_PART_CELL, "Nobody takes over the cells of this node.");
+    if (!done && now_ms - host->hand_over_since_ms > HAND_OVER_TIMEOUT_MS) {
+        wb_log_warning(WB_PART_CELL,
+                       "No member took over this node's cells within " G_STRINGIFY(
+                           HAND_OVER_TIMEOUT_MS) " ms; stopping without a successor.");
         return TRUE;
     }
     return done;
--- a/src/cell/cell_loads.c
+++ b/src/cell/cell_loads.c
@@ -1,10 +1,11 @@
-/* Follows loads that are under way and learns how fast each source is. */
+/* Tracks the loads in progress and measures the load time of each weight source, in milliseconds
+ * per GiB. */
 #include "cell_types.h"
 
 #define GIB (1024.0 * 1024.0 * 1024.0)
-#define NEW_WEIGHT 0.3 /* of a new measurement in the moving average */
+#define MEASUREMENT_WEIGHT 0.3 /* weight of a new measurement in the moving average */
 
-static gint load_find(const wb_cell_t *cell, const char *engine, const char *model) {
+static gint load_index(const wb_cell_t *cell, const char *engine, const char *model) {
     for (guint i = 0; i < cell->loads->len; i++) {
         const cell_load_t *load = cell->loads->pdata[i];
         if (strcmp(load->engine, engine) == 0 && strcmp(load->model, model) == 0)
@@ -14,13 +15,13 @@
 }
 
 const cell_load_t *cell_load_find(const wb_cell_t *cell, const char *engine, const char *model) {
-    gint index = load_find(cell, engine, model);
+    gint index = load_index(cell, engine, model);
     return index >= 0 ? cell->loads->pdata[index] : NULL;
 }
 
-void cell_load_begun(wb_cell_t *cell, const cell_engine_t *engine, const char *model, int64_t bytes,
-                     int64_t now_ms) {
-    if (load_find(cell, engine->id, model) >= 0)
+void cell_load_record_start(wb_cell_t *cell, const cell_engine_t *engine, const char *model,
+                            int64_t bytes, int64_t now_ms) {
+    if (load_index(cell, engine->id, model) >= 0)
         return;
     cell_load_t *load = g_new0(cell_load_t, 1);
     load->model = g_strdup(model);
@@ -31,13 +32,13 @@
     g_ptr_array_add(cell->loads, load);
 }
 
-static void speed_learn(wb_cell_t *cell, const cell_load_t *load, int64_t now_ms) {
+static void speed_update(wb_cell_t *cell, const cell_load_t *load, int64_t now_ms) {
     double gib = (double)load->bytes / GIB;
     if (gib <= 0.0)
         return;
     double measured = (double)(now_ms - load->started_ms) / gib;
     double *speed = &cell->ms_per_gib[load->source];
-    *speed = (1.0 - NEW_WEIGHT) * *speed + NEW_WEIGHT * measured;
+    *speed = (1.0 - MEASUREMENT_WEIGHT) * *speed + MEASUREMENT_WEIGHT * measured;
 }
 
 void cell_loads_observe(wb_cell_t *cell, const cell_engine_t *engine, int64_t now_ms) {
@@ -45,11 +46,11 @@
         const cell_load_t *load = cell->loads->pdata[i];
         if (strcmp(load->engine, engine->id) != 0)
             continue;
-        const wb_held_model_t *held = cell_held(engine, load->model);
+        const wb_held_model_t *held = cell_held_model(engine, load->model);
         if (held != NULL && held->state == WB_LOAD_LOADING)
             continue;
         if (held != NULL && held->state == WB_LOAD_LOADED)
-            speed_learn(cell, load, now_ms);
+            speed_update(cell, load, now_ms);
         g_ptr_array_remove_index_fast(cell->loads, i);
     }
 }
--- a/src/cell/cell_machines.c
+++ b/src/cell/cell_machines.c
@@ -1,4 +1,6 @@
-/* Reads the machine list for a cell that is owned here. */
+/* Polls the platform's machine list every machine_poll_ms: for a cell that this node owns, and, to
+ * learn of removed nodes, for a cell without an owner whose group this node belongs to. A failed
+ * read is tried again at the next poll. */
 #include "cell_host_types.h"
 
 #include "wickbridge/json.h"
@@ -14,7 +16,7 @@
     return strcmp(state, "leaving") == 0 ? WB_MACHINE_LEAVING : WB_MACHINE_LIVE;
 }
 
-/* An engine belongs to one cell of its service, by its id. */
+/* An engine belongs to one cell of its service, chosen by its id. */
 static gboolean engine_is_ours(hosted_cell_t *hosted, const wb_config_t *config,
                                const json_t *machine) {
     const wb_service_t *service = wb_config_service(config, wb_json_text(machine, "service", ""));
@@ -24,7 +26,7 @@
     return strcmp(cell, hosted->name) == 0;
 }
 
-static void engine_take(hosted_cell_t *hosted, const json_t *machine, int64_t now_ms) {
+static void engine_apply(hosted_cell_t *hosted, const json_t *machine, int64_t now_ms) {
     const char *id = wb_json_text(machine, "id", "");
     const char *address = wb_json_text(machine, "address", "");
     wb_machine_state_t state = state_parse(machine);
@@ -35,7 +37,7 @@
         wb_engine_client_follow(hosted->engines, id, address);
 }
 
-static void list_take(hosted_cell_t *hosted, const json_t *machines) {
+static void machines_update(hosted_cell_t *hosted, const json_t *machines) {
     wb_cell_host_t *host = hosted->host;
     const wb_config_t *config = wb_config_store_current(host->parts.config_store);
     int64_t now_ms = wb_clock_ms();
@@ -47,7 +49,7 @@
             wb_membership_machine_gone(host->parts.membership, wb_json_text(machine, "id", ""));
         else if (hosted->cell != NULL && strcmp(role, "engine") == 0 &&
                  engine_is_ours(hosted, config, machine))
-            engine_take(hosted, machine, now_ms);
+            engine_apply(hosted, machine, now_ms);
     }
     if (hosted->cell == NULL)
         return;
@@ -55,21 +57,21 @@
     wb_cell_step(hosted->cell, now_ms);
 }
 
-/* The cell that a call was made for; it may be gone by the time of the answer. */
+/* Context of a read; names the cell, which may have been removed when the response arrives. */
 typedef struct machines_call_t {
     wb_cell_host_t *host;
     char *cell;
 } machines_call_t;
 
-static void list_read(wb_platform_status_t status, const json_t *body, void *context) {
+static void machines_on_read(wb_platform_status_t status, const json_t *body, void *context) {
     machines_call_t *call = context;
     hosted_cell_t *hosted = cell_host_find(call->host, call->cell);
     if (hosted != NULL) {
-        hosted->machines_asking = FALSE;
+        hosted->machines_call_pending = FALSE;
         const json_t *machines = json_object_get(body, "machines");
         if (status == WB_PLATFORM_DONE && machines != NULL) {
             hosted->machines_version = wb_json_integer(body, "version", 0);
-            list_take(hosted, machines);
+            machines_update(hosted, machines);
         }
     }
     g_free(call->cell);
@@ -77,12 +79,13 @@
 }
 
 void cell_machines_tick(hosted_cell_t *hosted, int64_t now_ms) {
-    if (hosted->machines_asking || now_ms < hosted->machines_next_ms)
+    if (hosted->machines_call_pending || now_ms < hosted->machines_next_ms)
         return;
-    hosted->machines_asking = TRUE;
+    hosted->machines_call_pending = TRUE;
     hosted->machines_next_ms = now_ms + hosted->host->options.machine_poll_ms;
     machines_call_t *call = g_new0(machines_call_t, 1);
     call->host = hosted->host;
     call->cell = g_strdup(hosted->name);
-    wb_platform_machines(hosted->host->parts.platform, hosted->machines_version, list_read, call);
+    wb_platform_machines(hosted->host->parts.platform, hosted->machines_version, machines_on_read,
+                         call);
 }
--- a/src/cell/cell_place.c
+++ b/src/cell/cell_place.c
@@ -1,11 +1,13 @@
-/* Chooses the engine for a new replica, and what must go to make room for it. */
+/* Chooses the engine for a new replica, and the idle models to evict when no engine has enough free
+ * memory. Costs are in milliseconds, sizes in bytes. An engine that evicts models is reserved for
+ * the new replica until its memory is free or RESERVATION_TIMEOUT_MS have passed. */
 #include "cell_types.h"
 
 #define GIB (1024.0 * 1024.0 * 1024.0)
-#define ROOM_TIMEOUT_MS 30000
-#define EVICTION_PENALTY_MS 200   /* an unload, and the evicted model's later return */
-#define SAME_ZONE_PENALTY_MS 1000 /* a second replica in a zone that has one */
-#define BUSY_PENALTY_MS 20        /* for each other model on the engine */
+#define RESERVATION_TIMEOUT_MS 30000
+#define EVICTION_PENALTY_MS 200    /* for unloading a model and loading it again later */
+#define SAME_ZONE_PENALTY_MS 1000  /* for each replica in the same zone */
+#define LOADED_MODEL_PENALTY_MS 20 /* for each model on the engine */
 
 cell_source_t cell_source(const cell_engine_t *engine, const char *model) {
     if (engine->inventory == NULL)
@@ -33,42 +35,43 @@
     return bytes;
 }
 
-/* Memory that is not spoken for: what the engine holds, and slots whose model is not there yet. */
+/* Capacity less the held models and adapters, slots that are not loaded yet, a pending adapter
+ * load, and a reservation for a model other than `except_model`. Negative when overcommitted. */
 int64_t cell_engine_free_bytes(const wb_cell_t *cell, const cell_engine_t *engine,
                                const char *except_model) {
-    int64_t spoken_for = engine->ordered_bytes;
+    int64_t reserved_bytes = engine->ordered_bytes;
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, engine->inventory->models);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const wb_held_model_t *held = value;
-        spoken_for += held->bytes + adapters_bytes(held);
+        reserved_bytes += held->bytes + adapters_bytes(held);
     }
     for (guint i = 0; i < cell->record->slots->len; i++) {
         const wb_slot_t *slot = cell->record->slots->pdata[i];
-        if (strcmp(slot->engine, engine->id) != 0 || cell_held(engine, slot->model) != NULL)
+        if (strcmp(slot->engine, engine->id) != 0 || cell_held_model(engine, slot->model) != NULL)
             continue;
         const wb_model_t *model = wb_config_model(cell->config, slot->model);
-        spoken_for += model != NULL ? model->memory_bytes : 0;
+        reserved_bytes += model != NULL ? model->memory_bytes : 0;
     }
-    if (engine->room_for != NULL &&
-        (except_model == NULL || strcmp(engine->room_for, except_model) != 0)) {
-        const wb_model_t *model = wb_config_model(cell->config, engine->room_for);
-        spoken_for += model != NULL ? model->memory_bytes : 0;
+    if (engine->reserved_for != NULL &&
+        (except_model == NULL || strcmp(engine->reserved_for, except_model) != 0)) {
+        const wb_model_t *model = wb_config_model(cell->config, engine->reserved_for);
+        reserved_bytes += model != NULL ? model->memory_bytes : 0;
     }
-    return engine->inventory->capacity_bytes - spoken_for;
+    return engine->inventory->capacity_bytes - reserved_bytes;
 }
 
-gboolean cell_model_is_idle_at(const wb_cell_t *cell, const cell_engine_t *engine,
+gboolean cell_model_is_idle_on(const wb_cell_t *cell, const cell_engine_t *engine,
                                const char *model) {
-    const wb_held_model_t *held = cell_held(engine, model);
+    const wb_held_model_t *held = cell_held_model(engine, model);
     if (held != NULL && (held->running > 0 || held->state != WB_LOAD_LOADED))
         return FALSE;
-    cell_busy_t busy = cell_model_busy(cell, model);
-    return busy.waiting == 0 && busy.running == 0;
+    cell_demand_t demand = cell_model_demand(cell, model);
+    return demand.waiting == 0 && demand.running == 0;
 }
 
-/* A model on an engine that may go to make room. */
+/* A model that may be evicted from an engine. */
 typedef struct victim_t {
     const char *model;
     int64_t bytes;
@@ -88,12 +91,13 @@
         return FALSE;
     char pair[CELL_PAIR_SIZE];
     return !g_hash_table_contains(cell->retiring, cell_pair(pair, name, engine->id)) &&
-           cell_model_is_idle_at(cell, engine, name);
+           cell_model_is_idle_on(cell, engine, name);
 }
 
-/* The idle models whose leaving makes enough room, least recently used first; NULL if they don't.
- */
-static GArray *victims_find(const wb_cell_t *cell, const cell_engine_t *engine, int64_t missing) {
+/* The models to evict to free `missing_bytes`, least recently used first, or NULL when all idle
+ * models together are too small. */
+static GArray *victims_find(const wb_cell_t *cell, const cell_engine_t *engine,
+                            int64_t missing_bytes) {
     GArray *victims = g_array_new(FALSE, TRUE, sizeof(victim_t));
     GHashTableIter iterator;
     gpointer value;
@@ -103,14 +107,14 @@
         if (!may_be_evicted(cell, engine, held->name))
             continue;
         victim_t victim = {held->name, held->bytes + adapters_bytes(held),
-                           cell_model_busy(cell, held->name).used_ms};
+                           cell_model_demand(cell, held->name).used_ms};
         g_array_append_val(victims, victim);
     }
     g_array_sort(victims, victim_compare);
     guint needed = 0;
-    while (needed < victims->len && missing > 0)
-        missing -= g_array_index(victims, victim_t, needed++).bytes;
-    if (missing > 0) {
+    while (needed < victims->len && missing_bytes > 0)
+        missing_bytes -= g_array_index(victims, victim_t, needed++).bytes;
+    if (missing_bytes > 0) {
         g_array_unref(victims);
         return NULL;
     }
@@ -129,67 +133,69 @@
     return count;
 }
 
-/* A way to place a model. */
-typedef struct choice_t {
+/* An engine evaluated for a new replica. */
+typedef struct candidate_t {
     cell_engine_t *engine;
-    GArray *victims; /* NULL: there is room */
+    GArray *victims; /* NULL: enough memory is free */
     int64_t cost_ms;
-} choice_t;
+} candidate_t;
 
-static gboolean choice_weigh(wb_cell_t *cell, cell_engine_t *engine, const wb_model_t *model,
-                             choice_t *choice) {
+static gboolean candidate_evaluate(wb_cell_t *cell, cell_engine_t *engine, const wb_model_t *model,
+                                   candidate_t *candidate) {
     if (!cell_engine_is_usable(engine) || engine->inventory->capacity_bytes < model->memory_bytes ||
         wb_record_has_slot(cell->record, model->name, engine->id) ||
-        cell_held(engine, model->name) != NULL)
+        cell_held_model(engine, model->name) != NULL)
         return FALSE;
-    if (engine->room_for != NULL && strcmp(engine->room_for, model->name) != 0)
+    if (engine->reserved_for != NULL && strcmp(engine->reserved_for, model->name) != 0)
         return FALSE;
-    choice->engine = engine;
-    choice->victims = NULL;
+    candidate->engine = engine;
+    candidate->victims = NULL;
     int64_t load_ms = cell_load_estimate_ms(cell, engine, model->name, model->memory_bytes);
-    choice->cost_ms = load_ms;
-    choice->cost_ms +=
+    candidate->cost_ms = load_ms;
+    candidate->cost_ms +=
         SAME_ZONE_PENALTY_MS * (int64_t)cell_zone_replicas(cell, model->name, engine->zone);
-    choice->cost_ms += BUSY_PENALTY_MS * (int64_t)g_hash_table_size(engine->inventory->models);
-    int64_t missing = model->memory_bytes - cell_engine_free_bytes(cell, engine, model->name);
-    if (missing <= 0) {
-        choice->cost_ms += cell_placement_cost_ms(cell, model, engine, 0, load_ms);
+    candidate->cost_ms +=
+        LOADED_MODEL_PENALTY_MS * (int64_t)g_hash_table_size(engine->inventory->models);
+    int64_t missing_bytes = model->memory_bytes - cell_engine_free_bytes(cell, engine, model->name);
+    if (missing_bytes <= 0) {
+        candidate->cost_ms += cell_placement_cost_ms(cell, model, engine, 0, load_ms);
         return TRUE;
     }
-    choice->victims = victims_find(cell, engine, missing);
-    if (choice->victims == NULL)
+    candidate->victims = victims_find(cell, engine, missing_bytes);
+    if (candidate->victims == NULL)
         return FALSE;
-    choice->cost_ms += EVICTION_PENALTY_MS * (int64_t)choice->victims->len;
-    choice->cost_ms += cell_placement_cost_ms(cell, model, engine, choice->victims->len, load_ms);
+    candidate->cost_ms += EVICTION_PENALTY_MS * (int64_t)candidate->victims->len;
+    candidate->cost_ms +=
+        cell_placement_cost_ms(cell, model, engine, candidate->victims->len, load_ms);
     return TRUE;
 }
 
-static void choice_clear(choice_t *choice) {
-    if (choice->victims != NULL)
-        g_array_unref(choice->victims);
-    choice->victims = NULL;
+static void candidate_clear(candidate_t *candidate) {
+    if (candidate->victims != NULL)
+        g_array_unref(candidate->victims);
+    candidate->victims = NULL;
 }
 
-static gboolean choice_is_better(const choice_t *choice, const choice_t *best) {
-    if (best->engine == NULL || choice->cost_ms != best->cost_ms)
-        return best->engine == NULL || choice->cost_ms < best->cost_ms;
-    return strcmp(choice->engine->id, best->engine->id) < 0;
+static gboolean candidate_is_better(const candidate_t *candidate, const candidate_t *best) {
+    if (best->engine == NULL || candidate->cost_ms != best->cost_ms)
+        return best->engine == NULL || candidate->cost_ms < best->cost_ms;
+    return strcmp(candidate->engine->id, best->engine->id) < 0;
 }
 
-static choice_t choice_best(wb_cell_t *cell, const wb_model_t *model) {
-    choice_t best = {NULL, NULL, 0};
+static candidate_t candidate_best(wb_cell_t *cell, const wb_model_t *model) {
+    candidate_t best = {NULL, NULL, 0};
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        choice_t choice;
-        if (!choice_weigh(cell, value, model, &choice))
+        candidate_t candidate;
+        if (!candidate_evaluate(cell, value, model, &candidate))
             continue;
-        if (choice_is_better(&choice, &best)) {
-            choice_clear(&best);
-            best = choice;
+        if (candidate_is_better(&candidate, &best)) {
+            candidate_clear(&best);
+            best = candidate;
         } else
-            choice_clear(&choice);
+            candidate_clear(&candidate);
     }
     return best;
 }
@@ -207,55 +213,57 @@
     g_hash_table_replace(cell->uncommitted, g_strdup(cell_pair(pair, model, engine)), stored);
 }
 
-static void room_release(cell_engine_t *engine) {
-    g_free(engine->room_for);
-    engine->room_for = NULL;
+static void reservation_release(cell_engine_t *engine) {
+    g_free(engine->reserved_for);
+    engine->reserved_for = NULL;
 }
 
-/* The engine that makes room for this model, if any; gives up one that takes too long. */
-static cell_engine_t *room_find(wb_cell_t *cell, const char *model, int64_t now_ms) {
+/* The engine reserved for this model, or NULL. Releases a reservation that has timed out. */
+static cell_engine_t *reservation_find(wb_cell_t *cell, const char *model, int64_t now_ms) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         cell_engine_t *engine = value;
-        if (engine->room_for == NULL || strcmp(engine->room_for, model) != 0)
+        if (engine->reserved_for == NULL || strcmp(engine->reserved_for, model) != 0)
             continue;
-        if (cell_engine_is_usable(engine) && now_ms - engine->room_since_ms < ROOM_TIMEOUT_MS)
+        if (cell_engine_is_usable(engine) &&
+            now_ms - engine->reserved_since_ms < RESERVATION_TIMEOUT_MS)
             return engine;
-        room_release(engine);
+        reservation_release(engine);
     }
     return NULL;
 }
 
-static void room_make(wb_cell_t *cell, const choice_t *choice, const wb_model_t *model,
-                      int64_t now_ms) {
+static void reservation_make(wb_cell_t *cell, const candidate_t *candidate, const wb_model_t *model,
+                             int64_t now_ms) {
     char pair[CELL_PAIR_SIZE];
-    for (guint i = 0; i < choice->victims->len; i++) {
-        const char *victim = g_array_index(choice->victims, victim_t, i).model;
-        g_hash_table_replace(cell->retiring, g_strdup(cell_pair(pair, victim, choice->engine->id)),
+    for (guint i = 0; i < candidate->victims->len; i++) {
+        const char *victim = g_array_index(candidate->victims, victim_t, i).model;
+        g_hash_table_replace(cell->retiring,
+                             g_strdup(cell_pair(pair, victim, candidate->engine->id)),
                              "evicted for another model");
     }
-    choice->engine->room_for = g_strdup(model->name);
-    choice->engine->room_since_ms = now_ms;
+    candidate->engine->reserved_for = g_strdup(model->name);
+    candidate->engine->reserved_since_ms = now_ms;
 }
 
 const char *cell_place(wb_cell_t *cell, const wb_model_t *model, int64_t now_ms) {
-    cell_engine_t *room = room_find(cell, model->name, now_ms);
-    if (room != NULL) {
-        if (cell_engine_free_bytes(cell, room, model->name) < model->memory_bytes)
-            return NULL; /* still being made */
-        room_release(room);
-        slot_propose(cell, model->name, room->id);
+    cell_engine_t *reserved = reservation_find(cell, model->name, now_ms);
+    if (reserved != NULL) {
+        if (cell_engine_free_bytes(cell, reserved, model->name) < model->memory_bytes)
+            return NULL; /* the evicted models are still being unloaded */
+        reservation_release(reserved);
+        slot_propose(cell, model->name, reserved->id);
         return NULL;
     }
-    choice_t best = choice_best(cell, model);
+    candidate_t best = candidate_best(cell, model);
     if (best.engine == NULL)
         return "no engine has room for it";
     if (best.victims == NULL)
         slot_propose(cell, model->name, best.engine->id);
     else
-        room_make(cell, &best, model, now_ms);
-    choice_clear(&best);
+        reservation_make(cell, &best, model, now_ms);
+    candidate_clear(&best);
     return NULL;
 }
--- a/src/cell/cell_policy.c
+++ b/src/cell/cell_policy.c
@@ -1,4 +1,5 @@
-/* Asks the operators' policy of the service, and falls back to the built-in rules when it fails. */
+/* Evaluates the service's policy program. Without one, or when it fails, the built-in rules apply;
+ * failures are counted, and one in FAILURES_LOGGED_EVERY is logged. Times are in milliseconds. */
 #include "cell_types.h"
 
 #include "wickbridge/log.h"
@@ -15,41 +16,42 @@
     wb_error_t error;
     if (policy != NULL &&
         wb_policy_compile(&cell->policy, policy->name, policy->program, &error) != APR_SUCCESS)
-        wb_log_warning(WB_PART_CELL, "The built-in rules hold in cell %s: %s.", cell->name,
-                       error.message);
+        wb_log_warning(WB_PART_CELL,
+                       "Policy of cell %s failed to compile, using the built-in rules: %s.",
+                       cell->name, error.message);
 }
 
-static void failure_note(wb_cell_t *cell, const wb_error_t *error) {
+static void failure_record(wb_cell_t *cell, const wb_error_t *error) {
     g_strlcpy(cell->policy_failure, error->message, sizeof(cell->policy_failure));
     if (cell->policy_failures++ % FAILURES_LOGGED_EVERY == 0)
-        wb_log_warning(WB_PART_CELL, "The built-in rule is used in cell %s: %s.", cell->name,
-                       error->message);
+        wb_log_warning(WB_PART_CELL, "Policy of cell %s failed, using the built-in rule: %s.",
+                       cell->name, error->message);
 }
 
 static wb_policy_model_t model_describe(const wb_cell_t *cell, const wb_model_t *model,
-                                        const cell_busy_t *busy, int64_t now_ms) {
+                                        const cell_demand_t *demand, int64_t now_ms) {
     const wb_service_t *service = wb_config_service(cell->config, model->service);
     return (wb_policy_model_t){
         .name = model->name,
         .memory_mib = model->memory_bytes / WB_MIB,
-        .idle_ms = busy->used_ms > 0 ? now_ms - busy->used_ms : -1,
-        .waiting = busy->waiting,
-        .running = busy->running,
+        .idle_ms = demand->used_ms > 0 ? now_ms - demand->used_ms : -1,
+        .waiting = demand->waiting,
+        .running = demand->running,
         .replicas = wb_record_slot_count(cell->record, model->name),
         .max_replicas = model->max_replicas,
         .keep_alive_ms = service->keep_alive_ms,
     };
 }
 
-int64_t cell_keep_alive_ms(wb_cell_t *cell, const wb_model_t *model, const cell_busy_t *busy,
+int64_t cell_keep_alive_ms(wb_cell_t *cell, const wb_model_t *model, const cell_demand_t *demand,
                            int64_t now_ms) {
     int64_t keep_alive_ms = wb_config_service(cell->config, model->service)->keep_alive_ms;
     if (cell->policy == NULL)
         return keep_alive_ms;
-    wb_policy_model_t described = model_describe(cell, model, busy, now_ms);
+    wb_policy_model_t described = model_describe(cell, model, demand, now_ms);
     wb_error_t error;
     if (wb_policy_keep_alive(cell->policy, &described, &keep_alive_ms, &error) == WB_POLICY_FAILED)
-        failure_note(cell, &error);
+        failure_record(cell, &error);
     return keep_alive_ms;
 }
 
@@ -59,9 +61,9 @@
     int64_t cost_ms = 0;
     if (cell->policy == NULL)
         return cost_ms;
-    cell_busy_t busy = cell_model_busy(cell, model->name);
-    wb_policy_model_t described = model_describe(cell, model, &busy, busy.used_ms);
-    wb_policy_engine_t place = {
+    cell_demand_t demand = cell_model_demand(cell, model->name);
+    wb_policy_model_t described = model_describe(cell, model, &demand, demand.used_ms);
+    wb_policy_engine_t candidate = {
         .id = engine->id,
         .zone = engine->zone,
         .free_mib = cell_engine_free_bytes(cell, engine, model->name) / WB_MIB,
@@ -72,8 +74,8 @@
         .load_ms = load_ms,
     };
     wb_error_t error;
-    if (wb_policy_placement_cost(cell->policy, &described, &place, &cost_ms, &error) ==
+    if (wb_policy_placement_cost(cell->policy, &described, &candidate, &cost_ms, &error) ==
         WB_POLICY_FAILED)
-        failure_note(cell, &error);
+        failure_record(cell, &error);
     return cost_ms;
 }
--- a/src/cell/cell_step.c
+++ b/src/cell/cell_step.c
@@ -1,10 +1,12 @@
-/* A cell's decisions, step by step: fences, slots, replicas wanted and replicas that go. */
+/* One pass of a cell's decisions: fences engines, adds, loads and removes slots, unloads surplus
+ * replicas, and sends changed routes. Decisions leave as commands and orders; one that can't be
+ * made now is tried again in the next step. Times are in milliseconds. */
 #include "cell_types.h"
 
-#define GATEWAY_FORGET_MS 15000
-#define TARGET_FORGET_MS (10 * 60 * 1000)
+#define GATEWAY_EXPIRY_MS 15000
+#define TARGET_EXPIRY_MS (10 * 60 * 1000)
 
-static void gateways_forget(wb_cell_t *cell, int64_t now_ms) {
+static void gateways_expire(wb_cell_t *cell, int64_t now_ms) {
     GHashTableIter targets, gateways;
     gpointer target_value, gateway_value;
     g_hash_table_iter_init(&targets, cell->targets);
@@ -12,17 +14,17 @@
         cell_target_t *target = target_value;
         g_hash_table_iter_init(&gateways, target->gateways);
         while (g_hash_table_iter_next(&gateways, NULL, &gateway_value))
-            if (now_ms - ((cell_gateway_t *)gateway_value)->heard_ms > GATEWAY_FORGET_MS)
+            if (now_ms - ((cell_gateway_t *)gateway_value)->demand_received_ms > GATEWAY_EXPIRY_MS)
                 g_hash_table_iter_remove(&gateways);
-        if (g_hash_table_size(target->gateways) == 0 && now_ms - target->used_ms > TARGET_FORGET_MS)
+        if (g_hash_table_size(target->gateways) == 0 && now_ms - target->used_ms > TARGET_EXPIRY_MS)
             g_hash_table_iter_remove(&targets);
     }
 }
 
-/* An engine holds the model without a slot, as can be after a lost majority. */
+/* The engine holds a model that has no slot, which is possible after a majority was lost. */
 static gboolean engine_has_stray(const wb_cell_t *cell, const cell_engine_t *engine,
                                  const char *model) {
-    return engine->machine != WB_MACHINE_GONE && cell_held(engine, model) != NULL &&
+    return engine->machine != WB_MACHINE_GONE && cell_held_model(engine, model) != NULL &&
            !wb_record_has_slot(cell->record, model, engine->id);
 }
 
@@ -42,9 +44,11 @@
     return FALSE;
 }
 
-/* Raises the fence of engines that don't know our epoch, or where an order may still arrive. */
+/* Raises the fence of engines that have not accepted this epoch, or that an earlier order may still
+ * reach. Slots count as verified once the machine list is known, all its engines are fenced and
+ * none holds a stray model. */
 static void engines_fence(wb_cell_t *cell, int64_t now_ms) {
-    gboolean all_seen = TRUE;
+    gboolean all_fenced = TRUE;
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->engines);
@@ -52,12 +56,13 @@
         cell_engine_t *engine = value;
         if (engine->machine == WB_MACHINE_GONE)
             continue;
-        all_seen = all_seen && engine->fenced;
-        if (engine->ordering || now_ms < engine->retry_at_ms || (engine->fenced && engine->settled))
+        all_fenced = all_fenced && engine->fenced;
+        if (engine->order_pending || now_ms < engine->retry_at_ms ||
+            (engine->fenced && engine->settled))
             continue;
         cell_order_send(cell, engine, WB_ORDER_FENCE, NULL, NULL, 0, 0);
     }
-    if (cell->record->slots_unsure && all_seen && cell->machines_known && !cell_has_stray(cell)) {
+    if (cell->record->slots_unsure && all_fenced && cell->machines_known && !cell_has_stray(cell)) {
         wb_wire_command command = {.kind = WB_WIRE_COMMAND_SLOTS_SURE};
         cell->events.propose(&command, cell->events.context);
     }
@@ -82,15 +87,15 @@
     return sequence == NULL || *sequence <= cell->committed;
 }
 
-/* Loads what a slot allows. A record that may be old allows nothing before all engines were seen.
- */
+/* Sends the load order for a slot. After a majority was lost, nothing is loaded before all engines
+ * have been fenced: the record may lack slots. */
 static void slot_load(wb_cell_t *cell, cell_engine_t *engine, const wb_model_t *model,
                       int64_t now_ms) {
     if (cell->record->slots_unsure)
         return;
     if (cell_engine_free_bytes(cell, engine, NULL) < 0) {
-        /* An earlier owner gave the slot up and used its memory, and then lost its office before
-         * that counted. */
+        /* An earlier owner removed this slot and reused its memory, but lost ownership before the
+         * removal was committed. */
         char pair[CELL_PAIR_SIZE];
         g_hash_table_replace(cell->retiring, g_strdup(cell_pair(pair, model->name, engine->id)),
                              "there is no room for it any more");
@@ -98,13 +103,13 @@
     }
     if (cell_source(engine, model->name) == SOURCE_REMOTE &&
         (int64_t)cell_remote_loads(cell) >= cell->options.remote_loads_at_once)
-        return; /* the weight store is busy with loads of ours */
-    cell_load_begun(cell, engine, model->name, model->memory_bytes, now_ms);
+        return; /* this cell's share of the weight store is in use */
+    cell_load_record_start(cell, engine, model->name, model->memory_bytes, now_ms);
     cell_order_send(cell, engine, WB_ORDER_LOAD, model->name, NULL, model->version,
                     model->memory_bytes);
 }
 
-/* Moves one slot on: towards loaded, or towards gone. The slot may be freed by this. */
+/* Advances one slot towards being loaded or removed. May free the slot. */
 static void slot_step(wb_cell_t *cell, const wb_slot_t *slot, int64_t now_ms) {
     cell_engine_t *engine = g_hash_table_lookup(cell->engines, slot->engine);
     if (engine == NULL)
@@ -116,13 +121,13 @@
     char pair[CELL_PAIR_SIZE];
     cell_pair(pair, slot->model, slot->engine);
     const wb_model_t *model = wb_config_model(cell->config, slot->model);
-    const wb_held_model_t *held = cell_held(engine, slot->model);
-    gboolean leaving = engine->machine == WB_MACHINE_LEAVING ||
-                       (engine->inventory != NULL && engine->inventory->leaving);
+    const wb_held_model_t *held = cell_held_model(engine, slot->model);
+    gboolean draining = engine->machine == WB_MACHINE_LEAVING ||
+                        (engine->inventory != NULL && engine->inventory->leaving);
     gboolean outdated = model == NULL || (held != NULL && held->version != model->version);
-    if ((leaving || outdated) && !g_hash_table_contains(cell->retiring, pair))
+    if ((draining || outdated) && !g_hash_table_contains(cell->retiring, pair))
         g_hash_table_insert(cell->retiring, g_strdup(pair),
-                            leaving ? "the engine is leaving" : "the declaration has changed");
+                            draining ? "the engine is leaving" : "the declaration has changed");
     if (!cell_engine_is_orderable(engine, now_ms))
         return;
     gboolean retiring = g_hash_table_contains(cell->retiring, pair);
@@ -141,7 +146,7 @@
         slot_step(cell, cell->record->slots->pdata[i], now_ms);
 }
 
-/* After a lost majority, engines may hold models without a slot: those go. */
+/* Unloads models without a slot, at most one per engine and step. */
 static void strays_unload(wb_cell_t *cell, int64_t now_ms) {
     GHashTableIter engines, models;
     gpointer engine_value, model_value;
@@ -161,8 +166,8 @@
     }
 }
 
-/* Replicas that are not on their way out. */
-static guint slots_staying(const wb_cell_t *cell, const char *model) {
+/* Number of slots of the model that are not retiring. */
+static guint slots_not_retiring(const wb_cell_t *cell, const char *model) {
     guint count = 0;
     char pair[CELL_PAIR_SIZE];
     for (guint i = 0; i < cell->record->slots->len; i++) {
@@ -186,20 +191,20 @@
     return 1;
 }
 
-/* Nothing waits, runs, or has run within the service's keep-alive. */
-static gboolean model_is_idle(wb_cell_t *cell, const wb_model_t *model, const cell_busy_t *busy,
+/* No request waits or runs, and none has within the keep-alive time. */
+static gboolean model_is_idle(wb_cell_t *cell, const wb_model_t *model, const cell_demand_t *demand,
                               int64_t now_ms) {
-    if (busy->waiting + busy->running > 0)
+    if (demand->waiting + demand->running > 0)
         return FALSE;
-    if (busy->used_ms == 0 || wb_record_slot_count(cell->record, model->name) == 0)
+    if (demand->used_ms == 0 || wb_record_slot_count(cell->record, model->name) == 0)
         return TRUE;
-    return now_ms - busy->used_ms > cell_keep_alive_ms(cell, model, busy, now_ms);
+    return now_ms - demand->used_ms > cell_keep_alive_ms(cell, model, demand, now_ms);
 }
 
 static int64_t replicas_wanted(const wb_cell_t *cell, const wb_model_t *model,
-                               const cell_busy_t *busy, gboolean idle) {
+                               const cell_demand_t *demand, gboolean idle) {
     int64_t wanted = model->min_replicas;
-    int64_t total = busy->waiting + busy->running;
+    int64_t total = demand->waiting + demand->running;
     if (!idle)
         wanted = MAX(wanted, 1);
     int64_t batch = typical_batch(cell);
@@ -207,10 +212,10 @@
     return MIN(wanted, model->max_replicas);
 }
 
-/* Lets the replica go that runs least. */
-static void replica_retire(wb_cell_t *cell, const char *model, const char *why) {
+/* Retires the replica with the fewest running requests. */
+static void replica_retire(wb_cell_t *cell, const char *model, const char *reason) {
     const char *best = NULL;
-    int least = INT_MAX;
+    int min_running = INT_MAX;
     char pair[CELL_PAIR_SIZE];
     for (guint i = 0; i < cell->record->slots->len; i++) {
         const wb_slot_t *slot = cell->record->slots->pdata[i];
@@ -218,69 +223,74 @@
         if (strcmp(slot->model, model) != 0 || engine == NULL ||
             g_hash_table_contains(cell->retiring, cell_pair(pair, model, slot->engine)))
             continue;
-        const wb_held_model_t *held = cell_held(engine, model);
+        const wb_held_model_t *held = cell_held_model(engine, model);
         int running = held != NULL ? held->running : 0;
-        if (running < least) {
-            least = running;
+        if (running < min_running) {
+            min_running = running;
             best = slot->engine;
         }
     }
     if (best != NULL)
-        g_hash_table_replace(cell->retiring, g_strdup(cell_pair(pair, model, best)), (gpointer)why);
+        g_hash_table_replace(cell->retiring, g_strdup(cell_pair(pair, model, best)),
+                             (gpointer)reason);
 }
 
-/* More replicas than wanted: one goes at a time, the last one at once as its keep-alive is over. */
-static void surplus_step(wb_cell_t *cell, const wb_model_t *model, int64_t staying, gboolean idle,
+/* Retires one surplus replica: at once when the model is idle or over its maximum, otherwise after
+ * half the keep-alive time. */
+static void surplus_step(wb_cell_t *cell, const wb_model_t *model, int64_t remaining, gboolean idle,
                          int64_t now_ms) {
     const wb_service_t *service = wb_config_service(cell->config, model->service);
-    int64_t *since_ms = g_hash_table_lookup(cell->surplus, model->name);
+    int64_t *since_ms = g_hash_table_lookup(cell->surplus_since, model->name);
     if (since_ms == NULL) {
         since_ms = g_new(int64_t, 1);
         *since_ms = now_ms;
-        g_hash_table_insert(cell->surplus, g_strdup(model->name), since_ms);
+        g_hash_table_insert(cell->surplus_since, g_strdup(model->name), since_ms);
     }
-    if (staying > model->max_replicas || idle || now_ms - *since_ms > service->keep_alive_ms / 2) {
+    if (remaining > model->max_replicas || idle ||
+        now_ms - *since_ms > service->keep_alive_ms / 2) {
         *since_ms = now_ms;
         replica_retire(cell, model->name, idle ? "idle" : "more replicas than needed");
     }
 }
 
-static void model_step(wb_cell_t *cell, const wb_model_t *model, cell_busy_t busy, int64_t now_ms) {
-    /* A new owner doesn't know yet who uses what: nothing is idle before its keep-alive. */
-    busy.used_ms = MAX(busy.used_ms,
-                       wb_record_slot_count(cell->record, model->name) > 0 ? cell->started_ms : 0);
-    gboolean idle = model_is_idle(cell, model, &busy, now_ms);
-    int64_t wanted = replicas_wanted(cell, model, &busy, idle);
+static void model_step(wb_cell_t *cell, const wb_model_t *model, cell_demand_t demand,
+                       int64_t now_ms) {
+    /* A new owner has not received all demand yet: no model is idle before a keep-alive time. */
+    demand.used_ms = MAX(
+        demand.used_ms, wb_record_slot_count(cell->record, model->name) > 0 ? cell->started_ms : 0);
+    gboolean idle = model_is_idle(cell, model, &demand, now_ms);
+    int64_t wanted = replicas_wanted(cell, model, &demand, idle);
     int64_t slots = wb_record_slot_count(cell->record, model->name);
-    int64_t staying = slots_staying(cell, model->name);
-    if (staying > wanted) {
-        surplus_step(cell, model, staying, idle, now_ms);
+    int64_t remaining = slots_not_retiring(cell, model->name);
+    if (remaining > wanted) {
+        surplus_step(cell, model, remaining, idle, now_ms);
         return;
     }
-    g_hash_table_remove(cell->surplus, model->name);
-    gboolean needed = busy.waiting > 0 || model->min_replicas > staying;
-    if (staying < wanted && needed && slots < model->max_replicas && !cell->record->slots_unsure)
+    g_hash_table_remove(cell->surplus_since, model->name);
+    gboolean needed = demand.waiting > 0 || model->min_replicas > remaining;
+    if (remaining < wanted && needed && slots < model->max_replicas && !cell->record->slots_unsure)
         cell_place(cell, model, now_ms);
 }
 
-/* A model with what waits for it, for the order of decisions. */
-typedef struct model_turn_t {
+/* A model with its demand, for sorting by deadline. */
+typedef struct model_entry_t {
     const wb_model_t *model;
-    cell_busy_t busy;
+    cell_demand_t demand;
     int64_t deadline_ms;
-} model_turn_t;
+} model_entry_t;
 
-static gint turn_compare(gconstpointer left, gconstpointer right) {
-    const model_turn_t *a = left;
-    const model_turn_t *b = right;
+static gint model_entry_compare(gconstpointer left, gconstpointer right) {
+    const model_entry_t *a = left;
+    const model_entry_t *b = right;
     if (a->deadline_ms != b->deadline_ms)
         return a->deadline_ms < b->deadline_ms ? -1 : 1;
     return strcmp(a->model->name, b->model->name);
 }
 
-/* The model whose waiting requests have the tightest deadline comes first. */
+/* Decides for each model of the cell, in the order of the earliest deadline of its waiting
+ * requests. */
 static void models_step(wb_cell_t *cell, int64_t now_ms) {
-    g_autoptr(GArray) turns = g_array_new(FALSE, FALSE, sizeof(model_turn_t));
+    g_autoptr(GArray) entries = g_array_new(FALSE, FALSE, sizeof(model_entry_t));
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->config->models);
@@ -288,27 +298,28 @@
         const wb_model_t *model = value;
         if (strcmp(model->cell, cell->name) != 0)
             continue;
-        cell_busy_t busy = cell_model_busy(cell, model->name);
-        model_turn_t turn = {
-            model, busy, busy.waiting > 0 && busy.deadline_ms > 0 ? busy.deadline_ms : INT64_MAX};
-        g_array_append_val(turns, turn);
+        cell_demand_t demand = cell_model_demand(cell, model->name);
+        model_entry_t entry = {model, demand,
+                               demand.waiting > 0 && demand.deadline_ms > 0 ? demand.deadline_ms
+                                                                            : INT64_MAX};
+        g_array_append_val(entries, entry);
     }
-    g_array_sort(turns, turn_compare);
-    for (guint i = 0; i < turns->len; i++) {
-        const model_turn_t *turn = &g_array_index(turns, model_turn_t, i);
-        model_step(cell, turn->model, turn->busy, now_ms);
+    g_array_sort(entries, model_entry_compare);
+    for (guint i = 0; i < entries->len; i++) {
+        const model_entry_t *entry = &g_array_index(entries, model_entry_t, i);
+        model_step(cell, entry->model, entry->demand, now_ms);
     }
 }
 
 void wb_cell_step(wb_cell_t *cell, int64_t now_ms) {
     if (cell->config == NULL)
         return;
-    gateways_forget(cell, now_ms);
+    gateways_expire(cell, now_ms);
     engines_fence(cell, now_ms);
     slots_step(cell, now_ms);
     strays_unload(cell, now_ms);
     models_step(cell, now_ms);
     slots_step(cell, now_ms);
     cell_adapters_step(cell, now_ms);
-    cell_routes_show(cell, now_ms);
+    cell_routes_send(cell, now_ms);
 }
--- a/src/cell/group.c
+++ b/src/cell/group.c
@@ -1,16 +1,19 @@
-/* Agrees with a cell's other members on the owner and the record. */
+/* Consensus within a cell's group on its owner and its record; group.h names the algorithm.
+ *
+ * Times are milliseconds of the caller's monotonic clock. Messages of lower epochs, and messages
+ * that don't fit the current role, are ignored or answered with the promised epoch. */
 #include "wickbridge/group.h"
 
 #include <string.h>
 
-#define STATE_AGAIN_HEARTBEATS 3
+#define STATE_RESEND_HEARTBEATS 3
 
-/* What the owner knows of another member. */
+/* Another member, as the owner knows it. */
 typedef struct group_peer_t {
     char *node;
-    uint64_t held;    /* last command it is known to hold in our epoch */
-    int64_t acked_ms; /* when it last answered in our epoch */
-    int64_t state_ms; /* when we last sent it the whole record */
+    uint64_t acked_sequence; /* last command it acknowledged in this epoch */
+    int64_t acked_ms;        /* last acknowledgement in this epoch */
+    int64_t record_sent_ms;  /* last time the full record was sent to it */
 } group_peer_t;
 
 struct wb_group_t {
@@ -21,19 +24,19 @@
     GRand *random;
     wb_group_events_t events;
     wb_group_role_t role;
-    uint64_t promised;    /* nothing from lower epochs is taken */
-    uint64_t state_epoch; /* of the owner that sent the last command in `record` */
-    uint64_t sequence;    /* of the last command in `record` */
+    uint64_t promised;    /* messages of lower epochs are rejected */
+    uint64_t state_epoch; /* epoch of the owner that sent the last command in `record` */
+    uint64_t sequence;    /* sequence of the last command in `record` */
     uint64_t committed;   /* owner only */
     wb_record_t *record;
-    char *owner;              /* of `promised`, when known */
-    int64_t heard_ms;         /* from the owner */
-    int64_t timeout_ms;       /* present election time-out, with its random part */
-    int64_t sent_ms;          /* last heartbeat or votes */
-    GHashTable *peers;        /* owner and candidate: name -> group_peer_t */
-    GHashTable *voters;       /* candidate: names that granted */
-    gboolean forced;          /* candidate: the owner handed over */
-    wb_record_t *best_record; /* candidate: the newest among the votes */
+    char *owner;                 /* owner in epoch `promised`, or NULL */
+    int64_t owner_contact_ms;    /* last message of the owner, or start of the election timer */
+    int64_t jittered_timeout_ms; /* current election timeout, with jitter */
+    int64_t sent_ms;             /* last heartbeat or vote request */
+    GHashTable *peers;           /* owner and candidate: name -> group_peer_t */
+    GHashTable *voters;          /* candidate: nodes that granted a vote */
+    gboolean forced;             /* candidate: granted despite an active owner, which handed over */
+    wb_record_t *best_record;    /* candidate: newest record among the votes */
     uint64_t best_epoch;
     uint64_t best_sequence;
 };
@@ -44,9 +47,10 @@
     g_free(peer);
 }
 
-static void timeout_draw(wb_group_t *group) {
-    group->timeout_ms = group->election_timeout_ms +
-                        g_rand_int_range(group->random, 0, (gint32)group->election_timeout_ms + 1);
+static void election_timeout_draw(wb_group_t *group) {
+    group->jittered_timeout_ms =
+        group->election_timeout_ms +
+        g_rand_int_range(group->random, 0, (gint32)group->election_timeout_ms + 1);
 }
 
 wb_group_t *wb_group_create(const wb_group_options_t *options, const wb_group_events_t *events,
@@ -60,8 +64,8 @@
     group->events = *events;
     group->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
     group->voters = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    group->heard_ms = now_ms;
-    timeout_draw(group);
+    group->owner_contact_ms = now_ms;
+    election_timeout_draw(group);
     return group;
 }
 
@@ -103,13 +107,13 @@
     }
 }
 
-/* Follows a higher epoch. */
+/* Promises a higher epoch and becomes a follower in it. */
 static void promise(wb_group_t *group, uint64_t epoch, int64_t now_ms) {
     group->promised = epoch;
     owner_set(group, NULL);
     role_set(group, WB_GROUP_FOLLOWER);
-    group->heard_ms = now_ms;
-    timeout_draw(group);
+    group->owner_contact_ms = now_ms;
+    election_timeout_draw(group);
 }
 
 static group_peer_t *peer_get(wb_group_t *group, const char *node) {
@@ -118,7 +122,7 @@
         peer = g_new0(group_peer_t, 1);
         peer->node = g_strdup(node);
         peer->acked_ms = INT64_MIN / 2;
-        peer->state_ms = INT64_MIN / 2;
+        peer->record_sent_ms = INT64_MIN / 2;
         g_hash_table_insert(group->peers, peer->node, peer);
     }
     return peer;
@@ -131,7 +135,7 @@
     state->epoch = group->promised;
     state->sequence = group->sequence;
     wb_record_to_wire(group->record, &state->record, now_ms);
-    peer_get(group, node)->state_ms = now_ms;
+    peer_get(group, node)->record_sent_ms = now_ms;
     group->events.send(node, &message, group->events.context);
     wb_record_wire_clear(&state->record);
 }
@@ -152,13 +156,13 @@
     return a < b ? 1 : a > b ? -1 : 0;
 }
 
-/* The highest sequence that a majority of the present members holds. */
+/* The highest sequence that a majority of the current members holds. */
 static uint64_t majority_sequence(wb_group_t *group) {
     g_autoptr(GArray) held = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < group->record->members->len; i++) {
         const char *node = group->record->members->pdata[i];
         const group_peer_t *peer = g_hash_table_lookup(group->peers, node);
-        uint64_t sequence = peer != NULL ? peer->held : 0;
+        uint64_t sequence = peer != NULL ? peer->acked_sequence : 0;
         if (strcmp(node, group->self) == 0)
             sequence = group->sequence;
         g_array_append_val(held, sequence);
@@ -169,7 +173,8 @@
     return g_array_index(held, uint64_t, majority(group) - 1);
 }
 
-/* Sees whether more commands count, and whether the new owner may begin. */
+/* Commits the commands that a majority holds. An elected candidate becomes owner once a majority
+ * holds its record. */
 static void commit_advance(wb_group_t *group) {
     uint64_t sequence = majority_sequence(group);
     if (group->role == WB_GROUP_ESTABLISHING && sequence >= group->sequence) {
@@ -185,14 +190,14 @@
     }
 }
 
-/* The record is ours to hand out under the promised epoch. */
+/* Sends the record to all members as the elected owner of the promised epoch. */
 static void establish(wb_group_t *group, int64_t now_ms) {
     group->state_epoch = group->promised;
-    group->sequence++; /* the takeover itself is a step: a majority must hold it in this epoch */
+    group->sequence++; /* for the takeover itself, which a majority must acknowledge */
     g_hash_table_remove_all(group->peers);
     role_set(group, WB_GROUP_ESTABLISHING);
     group->sent_ms = now_ms;
-    group->heard_ms = now_ms;
+    group->owner_contact_ms = now_ms;
     for (guint i = 0; i < group->record->members->len; i++)
         if (strcmp(group->record->members->pdata[i], group->self) != 0)
             state_send(group, group->record->members->pdata[i], now_ms);
@@ -218,11 +223,12 @@
 wb_record_t *wb_group_yield(wb_group_t *group, uint64_t epoch) {
     if (epoch <= group->promised)
         return NULL;
-    promise(group, epoch, group->heard_ms);
+    promise(group, epoch, group->owner_contact_ms);
     return group->record;
 }
 
-static void best_offer(wb_group_t *group, wb_record_t *record, uint64_t epoch, uint64_t sequence) {
+static void best_record_update(wb_group_t *group, wb_record_t *record, uint64_t epoch,
+                               uint64_t sequence) {
     gboolean newer = epoch > group->best_epoch ||
                      (epoch == group->best_epoch && sequence > group->best_sequence);
     if (group->best_record != NULL && !newer) {
@@ -235,8 +241,8 @@
     group->best_sequence = sequence;
 }
 
-/* The candidate has a majority of the members in its own record: it goes on from the newest
- * record among them. */
+/* With votes of a majority of the members in its own record, the candidate continues from the
+ * newest record among them. */
 static void election_check(wb_group_t *group, int64_t now_ms) {
     guint votes = 0;
     for (guint i = 0; i < group->record->members->len; i++)
@@ -253,7 +259,7 @@
     establish(group, now_ms);
 }
 
-static void votes_ask(wb_group_t *group, int64_t now_ms) {
+static void votes_request(wb_group_t *group, int64_t now_ms) {
     wb_wire_message message = {.kind = WB_WIRE_GROUP_VOTE};
     message.wb_wire_message_u.group_vote.cell = group->cell;
     message.wb_wire_message_u.group_vote.epoch = group->promised;
@@ -262,7 +268,7 @@
     send_all(group, &message);
 }
 
-static void candidacy_start(wb_group_t *group, gboolean forced, int64_t now_ms) {
+static void election_start(wb_group_t *group, gboolean forced, int64_t now_ms) {
     promise(group, group->promised + 1, now_ms);
     role_set(group, WB_GROUP_CANDIDATE);
     group->forced = forced;
@@ -272,21 +278,21 @@
     group->best_record = NULL;
     group->best_epoch = group->state_epoch;
     group->best_sequence = group->sequence;
-    votes_ask(group, now_ms);
+    votes_request(group, now_ms);
     election_check(group, now_ms);
 }
 
-static gboolean owner_is_heard(const wb_group_t *group, int64_t now_ms) {
+static gboolean owner_is_active(const wb_group_t *group, int64_t now_ms) {
     if (group->role == WB_GROUP_OWNER)
         return wb_group_has_quorum(group, now_ms);
-    return group->owner != NULL && now_ms - group->heard_ms < group->election_timeout_ms;
+    return group->owner != NULL && now_ms - group->owner_contact_ms < group->election_timeout_ms;
 }
 
-static void vote_take(wb_group_t *group, const char *node, const wb_wire_group_vote *vote,
-                      int64_t now_ms) {
+static void vote_receive(wb_group_t *group, const char *node, const wb_wire_group_vote *vote,
+                         int64_t now_ms) {
     gboolean granted = group->record != NULL && wb_record_has_member(group->record, node) &&
                        vote->epoch > group->promised &&
-                       (vote->forced || !owner_is_heard(group, now_ms));
+                       (vote->forced || !owner_is_active(group, now_ms));
     wb_wire_message message = {.kind = WB_WIRE_GROUP_BALLOT};
     wb_wire_group_ballot *ballot = &message.wb_wire_message_u.group_ballot;
     if (granted)
@@ -304,8 +310,8 @@
         wb_record_wire_clear(&ballot->record);
 }
 
-static void ballot_take(wb_group_t *group, const char *node, const wb_wire_group_ballot *ballot,
-                        int64_t now_ms) {
+static void ballot_receive(wb_group_t *group, const char *node, const wb_wire_group_ballot *ballot,
+                           int64_t now_ms) {
     if (group->role != WB_GROUP_CANDIDATE || ballot->epoch != group->promised)
         return;
     if (!ballot->granted) {
@@ -318,26 +324,26 @@
         ballot->state_epoch > group->best_epoch ||
         (ballot->state_epoch == group->best_epoch && ballot->sequence > group->best_sequence);
     if (newer)
-        best_offer(group, wb_record_from_wire(&ballot->record, now_ms), ballot->state_epoch,
-                   ballot->sequence);
+        best_record_update(group, wb_record_from_wire(&ballot->record, now_ms), ballot->state_epoch,
+                           ballot->sequence);
     election_check(group, now_ms);
 }
 
-/* Follows the sender as owner of this epoch, if it is not outdated. */
+/* Follows the sender as owner of the epoch. Returns FALSE when the epoch is outdated. */
 static gboolean owner_follow(wb_group_t *group, const char *node, uint64_t epoch, int64_t now_ms) {
     if (epoch < group->promised)
         return FALSE;
     if (epoch > group->promised)
         promise(group, epoch, now_ms);
     else if (group->role != WB_GROUP_FOLLOWER)
-        return FALSE; /* our own epoch: nobody else can own it */
+        return FALSE; /* this node's own epoch, which has no other owner */
     owner_set(group, node);
-    group->heard_ms = now_ms;
+    group->owner_contact_ms = now_ms;
     return TRUE;
 }
 
-static void state_take(wb_group_t *group, const char *node, const wb_wire_group_state *state,
-                       int64_t now_ms) {
+static void state_receive(wb_group_t *group, const char *node, const wb_wire_group_state *state,
+                          int64_t now_ms) {
     if (!owner_follow(group, node, state->epoch, now_ms)) {
         ack_send(group, node, FALSE);
         return;
@@ -352,8 +358,8 @@
     ack_send(group, node, FALSE);
 }
 
-static void append_take(wb_group_t *group, const char *node, const wb_wire_group_append *append,
-                        int64_t now_ms) {
+static void append_receive(wb_group_t *group, const char *node, const wb_wire_group_append *append,
+                           int64_t now_ms) {
     if (!owner_follow(group, node, append->epoch, now_ms)) {
         ack_send(group, node, FALSE);
         return;
@@ -372,8 +378,8 @@
     ack_send(group, node, FALSE);
 }
 
-static void ack_take(wb_group_t *group, const char *node, const wb_wire_group_ack *ack,
-                     int64_t now_ms) {
+static void ack_receive(wb_group_t *group, const char *node, const wb_wire_group_ack *ack,
+                        int64_t now_ms) {
     if (ack->epoch > group->promised) {
         promise(group, ack->epoch, now_ms);
         return;
@@ -384,42 +390,42 @@
     group_peer_t *peer = peer_get(group, node);
     peer->acked_ms = now_ms;
     if (ack->need_state) {
-        if (now_ms - peer->state_ms >= group->heartbeat_ms)
+        if (now_ms - peer->record_sent_ms >= group->heartbeat_ms)
             state_send(group, node, now_ms);
         return;
     }
-    peer->held = MAX(peer->held, ack->sequence);
+    peer->acked_sequence = MAX(peer->acked_sequence, ack->sequence);
     commit_advance(group);
 }
 
-static void hand_over_take(wb_group_t *group, const char *node,
-                           const wb_wire_group_hand_over *hand_over, int64_t now_ms) {
+static void hand_over_receive(wb_group_t *group, const char *node,
+                              const wb_wire_group_hand_over *hand_over, int64_t now_ms) {
     if (group->role == WB_GROUP_FOLLOWER && group->record != NULL &&
         hand_over->epoch == group->promised && group->owner != NULL &&
         strcmp(group->owner, node) == 0)
-        candidacy_start(group, TRUE, now_ms);
+        election_start(group, TRUE, now_ms);
 }
 
 void wb_group_message(wb_group_t *group, const char *node, const wb_wire_message *message,
                       int64_t now_ms) {
     switch (message->kind) {
     case WB_WIRE_GROUP_STATE:
-        state_take(group, node, &message->wb_wire_message_u.group_state, now_ms);
+        state_receive(group, node, &message->wb_wire_message_u.group_state, now_ms);
         break;
     case WB_WIRE_GROUP_APPEND:
-        append_take(group, node, &message->wb_wire_message_u.group_append, now_ms);
+        append_receive(group, node, &message->wb_wire_message_u.group_append, now_ms);
         break;
     case WB_WIRE_GROUP_ACK:
-        ack_take(group, node, &message->wb_wire_message_u.group_ack, now_ms);
+        ack_receive(group, node, &message->wb_wire_message_u.group_ack, now_ms);
         break;
     case WB_WIRE_GROUP_VOTE:
-        vote_take(group, node, &message->wb_wire_message_u.group_vote, now_ms);
+        vote_receive(group, node, &message->wb_wire_message_u.group_vote, now_ms);
         break;
     case WB_WIRE_GROUP_BALLOT:
-        ballot_take(group, node, &message->wb_wire_message_u.group_ballot, now_ms);
+        ballot_receive(group, node, &message->wb_wire_message_u.group_ballot, now_ms);
         break;
     case WB_WIRE_GROUP_HAND_OVER:
-        hand_over_take(group, node, &message->wb_wire_message_u.group_hand_over, now_ms);
+        hand_over_receive(group, node, &message->wb_wire_message_u.group_hand_over, now_ms);
         break;
     default:
         break;
@@ -437,15 +443,16 @@
     send_all(group, &message);
 }
 
-/* A member that never answered in our epoch may not know of the group yet: it gets everything. */
-static void states_send_missing(wb_group_t *group, int64_t now_ms) {
+/* Sends the full record to members that have acknowledged nothing in this epoch: they may not know
+ * the group yet. */
+static void states_send_unacknowledged(wb_group_t *group, int64_t now_ms) {
     for (guint i = 0; i < group->record->members->len; i++) {
         const char *node = group->record->members->pdata[i];
         if (strcmp(node, group->self) == 0)
             continue;
         const group_peer_t *peer = peer_get(group, node);
-        if (peer->held == 0 &&
-            now_ms - peer->state_ms >= STATE_AGAIN_HEARTBEATS * group->heartbeat_ms)
+        if (peer->acked_sequence == 0 &&
+            now_ms - peer->record_sent_ms >= STATE_RESEND_HEARTBEATS * group->heartbeat_ms)
             state_send(group, node, now_ms);
     }
 }
@@ -455,21 +462,21 @@
         return;
     switch (group->role) {
     case WB_GROUP_FOLLOWER:
-        if (now_ms - group->heard_ms > group->timeout_ms)
-            candidacy_start(group, FALSE, now_ms);
+        if (now_ms - group->owner_contact_ms > group->jittered_timeout_ms)
+            election_start(group, FALSE, now_ms);
         break;
     case WB_GROUP_CANDIDATE:
-        if (now_ms - group->heard_ms > group->timeout_ms)
-            candidacy_start(group, FALSE, now_ms);
+        if (now_ms - group->owner_contact_ms > group->jittered_timeout_ms)
+            election_start(group, FALSE, now_ms);
         else if (now_ms - group->sent_ms > group->heartbeat_ms)
-            votes_ask(group, now_ms);
+            votes_request(group, now_ms);
         break;
     case WB_GROUP_ESTABLISHING:
     case WB_GROUP_OWNER:
         if (now_ms - group->sent_ms >= group->heartbeat_ms) {
             group->sent_ms = now_ms;
             append_send(group, NULL, 0);
-            states_send_missing(group, now_ms);
+            states_send_unacknowledged(group, now_ms);
         }
         break;
     }
@@ -480,14 +487,14 @@
         return 0;
     gboolean members_change = command->kind == WB_WIRE_COMMAND_MEMBERS;
     if (members_change && group->committed != group->sequence)
-        return 0; /* one change of members at a time, on settled ground */
+        return 0; /* one member change at a time, and only when all commands are committed */
     wb_record_apply(group->record, command, now_ms);
     group->sequence++;
     uint64_t sequence = group->sequence;
     wb_wire_command copy = *command;
     append_send(group, &copy, 1);
     if (members_change)
-        states_send_missing(group, now_ms);
+        states_send_unacknowledged(group, now_ms);
     commit_advance(group);
     return sequence;
 }
@@ -495,7 +502,7 @@
 gboolean wb_group_hand_over_to(wb_group_t *group, const char *node) {
     const group_peer_t *peer = g_hash_table_lookup(group->peers, node);
     if (group->role != WB_GROUP_OWNER || group->committed != group->sequence || peer == NULL ||
-        peer->held != group->sequence || !wb_record_has_member(group->record, node))
+        peer->acked_sequence != group->sequence || !wb_record_has_member(group->record, node))
         return FALSE;
     wb_wire_message message = {.kind = WB_WIRE_GROUP_HAND_OVER};
     message.wb_wire_message_u.group_hand_over.cell = group->cell;
@@ -504,7 +511,7 @@
     return TRUE;
 }
 
-/* The member that answered last comes first. */
+/* Chooses the up-to-date member with the latest acknowledgement. */
 void wb_group_hand_over(wb_group_t *group) {
     const char *best = NULL;
     int64_t best_ms = INT64_MIN;
@@ -513,7 +520,7 @@
     g_hash_table_iter_init(&iterator, group->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const group_peer_t *peer = value;
-        if (peer->held != group->sequence || peer->acked_ms <= best_ms)
+        if (peer->acked_sequence != group->sequence || peer->acked_ms <= best_ms)
             continue;
         best = peer->node;
         best_ms = peer->acked_ms;
@@ -525,23 +532,24 @@
 gboolean wb_group_has_quorum(const wb_group_t *group, int64_t now_ms) {
     if (group->role != WB_GROUP_OWNER)
         return FALSE;
-    guint heard = 1;
+    guint responding = 1;
     for (guint i = 0; i < group->record->members->len; i++) {
         const group_peer_t *peer =
             g_hash_table_lookup(group->peers, group->record->members->pdata[i]);
         if (peer != NULL && now_ms - peer->acked_ms < 2 * group->election_timeout_ms)
-            heard++;
+            responding++;
     }
-    return heard >= majority(group);
+    return responding >= majority(group);
 }
 
 void wb_group_owner_down(wb_group_t *group, const char *node, int64_t now_ms) {
     if (group->role != WB_GROUP_FOLLOWER || group->owner == NULL || strcmp(group->owner, node) != 0)
         return;
     owner_set(group, NULL);
-    /* A short random wait keeps the members from asking all at once. */
-    group->heard_ms = now_ms;
-    group->timeout_ms = g_rand_int_range(group->random, 0, (gint32)group->heartbeat_ms + 1);
+    /* A short random delay keeps members from starting elections at the same time. */
+    group->owner_contact_ms = now_ms;
+    group->jittered_timeout_ms =
+        g_rand_int_range(group->random, 0, (gint32)group->heartbeat_ms + 1);
 }
 
 wb_group_role_t wb_group_role(const wb_group_t *group) {
--- a/src/cell/record.c
+++ b/src/cell/record.c
@@ -1,4 +1,7 @@
-/* Applies commands to a cell's record, and copies records to and from messages. */
+/* Applies commands to a cell's record, and converts records to and from messages.
+ *
+ * Messages carry ages and remaining times in milliseconds rather than clock values; they are
+ * converted with the local clock. Commands for unknown slots or claims are ignored. */
 #include "wickbridge/record.h"
 
 #include <string.h>
@@ -49,7 +52,7 @@
     g_free(record);
 }
 
-static char *claim_index(const char *model, const char *key) {
+static char *claim_hash_key(const char *model, const char *key) {
     return g_strconcat(model, "\n", key, NULL);
 }
 
@@ -115,13 +118,13 @@
 }
 
 static void claim_put(wb_record_t *record, const wb_wire_claim *wire, int64_t now_ms) {
-    g_hash_table_replace(record->claims, claim_index(wire->model, wire->key),
+    g_hash_table_replace(record->claims, claim_hash_key(wire->model, wire->key),
                          claim_from_wire(wire, now_ms));
 }
 
-/* The answer belongs to one attempt; a later attempt's claim is left alone. */
+/* The response belongs to one attempt: the claim of a later attempt is not changed. */
 static void claim_finish(wb_record_t *record, const wb_wire_claim *wire) {
-    g_autofree char *index = claim_index(wire->model, wire->key);
+    g_autofree char *index = claim_hash_key(wire->model, wire->key);
     wb_claim_t *claim = g_hash_table_lookup(record->claims, index);
     if (claim == NULL || strcmp(claim->stream, wire->stream) != 0)
         return;
@@ -189,7 +192,7 @@
     }
 }
 
-/* The wire record borrows all texts; only its lists are allocated. */
+/* Strings are borrowed from `record`; only the lists are allocated. */
 void wb_record_to_wire(const wb_record_t *record, wb_wire_record *wire, int64_t now_ms) {
     memset(wire, 0, sizeof(*wire));
     wire->members.generation = record->generation;
@@ -254,7 +257,7 @@
 }
 
 const wb_claim_t *wb_record_claim(const wb_record_t *record, const char *model, const char *key) {
-    g_autofree char *index = claim_index(model, key);
+    g_autofree char *index = claim_hash_key(model, key);
     return g_hash_table_lookup(record->claims, index);
 }
 
