--- a/src/cell/cell_founding.c
+++ b/src/cell/cell_founding.c
@@ -243,8 +243,7 @@
     return ranked->len;
 }
 
-/* Whether this node is a surviving member. It may hold the newest record, so its delay is shorter.
- */
+/* Whether this node is a surviving member, whose record may be the newest. */
 static gboolean self_is_member(const hosted_cell_t *hosted) {
     const wb_record_t *record = hosted->group != NULL ? wb_group_record(hosted->group) : NULL;
     return record != NULL && wb_record_has_member(record, hosted->host->node);
@@ -260,7 +259,8 @@
     }
     if (hosted->ownerless_since_ms == 0)
         hosted->ownerless_since_ms = now_ms;
-    /* No delay for a cell that never had an owner; otherwise the group has time for an election. */
+    /* No delay for a cell that never had an owner; otherwise the group has time for an election.
+     * Surviving members come first: they may hold the newest record. */
     int64_t delay_ms = owner != NULL ? host->options.orphan_after_ms : 0;
     if (self_is_member(hosted))
         delay_ms /= SURVIVOR_DELAY_DIVISOR;
--- a/src/cell/cell_host.c
+++ b/src/cell/cell_host.c
@@ -44,17 +44,17 @@
 static void cell_send_route(const char *node, const wb_route_t *route, void *context) {
     hosted_cell_t *hosted = context;
     wb_wire_message message = {.kind = WB_WIRE_ROUTE_SHOW};
-    wb_wire_route_show *show = &message.wb_wire_message_u.route_show;
+    wb_wire_route_show *update = &message.wb_wire_message_u.route_show;
     static const wb_wire_route_state states[] = {WB_WIRE_ROUTE_READY, WB_WIRE_ROUTE_WAKING,
                                                  WB_WIRE_ROUTE_REFUSED, WB_WIRE_ROUTE_BUSY};
-    show->model = (char *)route->model;
-    show->adapter = (char *)route->adapter;
-    show->state = states[route->state];
-    show->estimate_ms = (u_int)CLAMP(route->estimate_ms, 0, G_MAXINT32);
-    show->reason = (char *)route->reason;
-    show->replicas.replicas_len = route->replicas->len;
+    update->model = (char *)route->model;
+    update->adapter = (char *)route->adapter;
+    update->state = states[route->state];
+    update->estimate_ms = (u_int)CLAMP(route->estimate_ms, 0, G_MAXINT32);
+    update->reason = (char *)route->reason;
+    update->replicas.replicas_len = route->replicas->len;
     g_autofree wb_wire_replica *replicas = g_new0(wb_wire_replica, route->replicas->len + 1);
-    show->replicas.replicas_val = replicas;
+    update->replicas.replicas_val = replicas;
     for (guint i = 0; i < route->replicas->len; i++) {
         const wb_route_replica_t *replica = &g_array_index(route->replicas, wb_route_replica_t, i);
         replicas[i].engine = (char *)replica->engine;
@@ -269,24 +269,25 @@
     }
 }
 
-static void route_want(wb_cell_host_t *host, const char *node, const wb_wire_route_want *want) {
-    hosted_cell_t *hosted = cell_host_find_model(host, want->model);
+static void demand_receive(wb_cell_host_t *host, const char *node,
+                           const wb_wire_route_want *report) {
+    hosted_cell_t *hosted = cell_host_find_model(host, report->model);
     if (hosted != NULL && hosted->cell != NULL) {
         wb_demand_t demand = {node,
-                              want->model,
-                              want->adapter,
-                              (int)MIN(want->waiting, G_MAXINT32),
-                              (int)MIN(want->running, G_MAXINT32),
-                              want->tightest_deadline_ms};
+                              report->model,
+                              report->adapter,
+                              (int)MIN(report->waiting, G_MAXINT32),
+                              (int)MIN(report->running, G_MAXINT32),
+                              report->tightest_deadline_ms};
         wb_cell_demand(hosted->cell, &demand, wb_clock_ms());
         return;
     }
     wb_wire_message message = {.kind = WB_WIRE_ROUTE_SHOW};
-    wb_wire_route_show *show = &message.wb_wire_message_u.route_show;
-    show->model = want->model;
-    show->adapter = want->adapter;
-    show->state = WB_WIRE_ROUTE_NOT_OWNER;
-    show->reason = "";
+    wb_wire_route_show *update = &message.wb_wire_message_u.route_show;
+    update->model = report->model;
+    update->adapter = report->adapter;
+    update->state = WB_WIRE_ROUTE_NOT_OWNER;
+    update->reason = "";
     host->parts.send(node, &message, host->parts.context);
 }
 
@@ -326,7 +327,7 @@
         group_deliver(host, message->wb_wire_message_u.group_hand_over.cell, node, message);
         return TRUE;
     case WB_WIRE_ROUTE_WANT:
-        route_want(host, node, &message->wb_wire_message_u.route_want);
+        demand_receive(host, node, &message->wb_wire_message_u.route_want);
         return TRUE;
     case WB_WIRE_CLAIM_WANT:
         cell_claim_on_request(host, node, &message->wb_wire_message_u.claim_want);
--- a/src/cell/cell_host_types.h
+++ b/src/cell/cell_host_types.h
@@ -50,7 +50,9 @@
 void cell_balance_tick(wb_cell_host_t *host, int64_t now_ms);
 
 /* cell_founding.c: cells' rows in the table service. */
+/* Creates the group of a cell without an owner, after a delay that differs by node. */
 void cell_bootstrap_tick(hosted_cell_t *hosted, int64_t now_ms);
+/* As the owner, replaces failed members and fills up the group, one member at a time. */
 void cell_members_maintain(hosted_cell_t *hosted, int64_t now_ms);
 
 /* cell_claims.c: claims of requests that are not repeatable. */
@@ -66,6 +68,7 @@
 hosted_cell_t *cell_host_find(wb_cell_host_t *host, const char *name);
 /* The cell of a declared model, or NULL. */
 hosted_cell_t *cell_host_find_model(wb_cell_host_t *host, const char *model);
+/* The cell's group; creates it when there is none. */
 wb_group_t *cell_host_group(hosted_cell_t *hosted);
 
 #endif
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -23,12 +23,12 @@
     char *zone;
     wb_machine_state_t machine;
     gboolean reachable;
-    gboolean fenced;        /* it accepted a fencing token of this epoch */
+    gboolean fenced;        /* it accepted a fencing number of this epoch */
     gboolean settled;       /* no earlier order can still arrive */
     gboolean order_pending; /* an order waits for its response */
     wb_order_action_t order_action;
     int64_t ordered_bytes;     /* size of an adapter whose load may still take effect */
-    uint64_t last_fence;       /* highest fencing token sent */
+    uint64_t last_fence;       /* highest fencing number sent */
     int64_t retry_at_ms;       /* no orders before this */
     wb_inventory_t *inventory; /* NULL until fenced */
     char *reserved_for;        /* model that freed memory is kept for, or NULL */
@@ -101,13 +101,17 @@
 cell_demand_t cell_target_demand(const cell_target_t *target);
 
 const wb_held_model_t *cell_held_model(const cell_engine_t *engine, const char *model);
+/* Whether the engine may get replicas: live, reachable, fenced and not draining. */
 gboolean cell_engine_is_usable(const cell_engine_t *engine);
 /* Whether an order may be sent to the engine now. */
 gboolean cell_engine_is_orderable(const cell_engine_t *engine, int64_t now_ms);
+/* Sends an order with the next fencing number. `adapter` is NULL for the model itself. */
 void cell_order_send(wb_cell_t *cell, cell_engine_t *engine, wb_order_action_t action,
                      const char *model, const char *adapter, int64_t version, int64_t bytes);
 
 /* cell_place.c */
+/* Free memory after all reservations but the one for `except_model`, which may be NULL. The engine
+ * must have an inventory. */
 int64_t cell_engine_free_bytes(const wb_cell_t *cell, const cell_engine_t *engine,
                                const char *except_model);
 guint cell_zone_replicas(const wb_cell_t *cell, const char *model, const char *zone);
@@ -133,14 +137,18 @@
 
 /* cell_route.c */
 void cell_routes_send(wb_cell_t *cell, int64_t now_ms);
+/* Sends the current route to a gateway; if not `always`, only when it differs from the last one. */
 void cell_route_send(wb_cell_t *cell, cell_target_t *target, cell_gateway_t *gateway,
                      gboolean always, int64_t now_ms);
+/* Time until the first replica of the model is loaded. */
 int64_t cell_ready_estimate_ms(const wb_cell_t *cell, const char *model, int64_t now_ms);
 
 /* cell_loads.c */
 void cell_load_record_start(wb_cell_t *cell, const cell_engine_t *engine, const char *model,
                             int64_t bytes, int64_t now_ms);
+/* Ends the loads that a new inventory shows as finished, and measures their speed. */
 void cell_loads_observe(wb_cell_t *cell, const cell_engine_t *engine, int64_t now_ms);
+/* Number of loads in progress from the weight store. */
 guint cell_remote_loads(const wb_cell_t *cell);
 const cell_load_t *cell_load_find(const wb_cell_t *cell, const char *engine, const char *model);
 
--- a/src/cell/group.c
+++ b/src/cell/group.c
@@ -150,7 +150,7 @@
     group->events.send(node, &message, group->events.context);
 }
 
-static gint sequence_compare_down(gconstpointer left, gconstpointer right) {
+static gint sequence_compare_descending(gconstpointer left, gconstpointer right) {
     uint64_t a = *(const uint64_t *)left;
     uint64_t b = *(const uint64_t *)right;
     return a < b ? 1 : a > b ? -1 : 0;
@@ -158,19 +158,19 @@
 
 /* The highest sequence that a majority of the current members holds. */
 static uint64_t majority_sequence(wb_group_t *group) {
-    g_autoptr(GArray) held = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    g_autoptr(GArray) sequences = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < group->record->members->len; i++) {
         const char *node = group->record->members->pdata[i];
         const group_peer_t *peer = g_hash_table_lookup(group->peers, node);
         uint64_t sequence = peer != NULL ? peer->acked_sequence : 0;
         if (strcmp(node, group->self) == 0)
             sequence = group->sequence;
-        g_array_append_val(held, sequence);
+        g_array_append_val(sequences, sequence);
     }
-    if (held->len < majority(group))
+    if (sequences->len < majority(group))
         return 0;
-    g_array_sort(held, sequence_compare_down);
-    return g_array_index(held, uint64_t, majority(group) - 1);
+    g_array_sort(sequences, sequence_compare_descending);
+    return g_array_index(sequences, uint64_t, majority(group) - 1);
 }
 
 /* Commits the commands that a majority holds. An elected candidate becomes owner once a majority
--- a/src/cell/record.c
+++ b/src/cell/record.c
@@ -124,8 +124,8 @@
 
 /* The response belongs to one attempt: the claim of a later attempt is not changed. */
 static void claim_finish(wb_record_t *record, const wb_wire_claim *wire) {
-    g_autofree char *index = claim_hash_key(wire->model, wire->key);
-    wb_claim_t *claim = g_hash_table_lookup(record->claims, index);
+    g_autofree char *hash_key = claim_hash_key(wire->model, wire->key);
+    wb_claim_t *claim = g_hash_table_lookup(record->claims, hash_key);
     if (claim == NULL || strcmp(claim->stream, wire->stream) != 0)
         return;
     claim->done = TRUE;
@@ -257,8 +257,8 @@
 }
 
 const wb_claim_t *wb_record_claim(const wb_record_t *record, const char *model, const char *key) {
-    g_autofree char *index = claim_hash_key(model, key);
-    return g_hash_table_lookup(record->claims, index);
+    g_autofree char *hash_key = claim_hash_key(model, key);
+    return g_hash_table_lookup(record->claims, hash_key);
 }
 
 wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_want *want,
