--- a/src/cell/cell_balance.c
+++ b/src/cell/cell_balance.c
@@ -61,7 +61,7 @@
         if (node == NULL || own < fewest + MIN_DIFFERENCE)
             continue;
         if (wb_group_hand_over_to(hosted->group, node)) {
-            wb_log_message(WB_PART_CELL, "Handing cell %s over to node %s, which owns fewer cells.",
+            wb_log_message(WB_LOG_CELL, "Handing cell %s over to node %s, which owns fewer cells.",
                            hosted->name, node);
             return; /* at most one per interval */
         }
--- a/src/cell/cell_claims.c
+++ b/src/cell/cell_claims.c
@@ -91,7 +91,7 @@
     case WB_CLAIM_PROPOSE:
         claim_propose(hosted, node, message, claim != NULL ? claim->attempt + 1 : 1);
         break;
-    case WB_CLAIM_ASKED_AGAIN:
+    case WB_CLAIM_REPEATED:
         /* an uncommitted claim is answered by cell_claims_on_commit */
         if (wb_group_committed(hosted->group) == wb_group_sequence(hosted->group))
             reply_send(host, node, message->request, WB_WIRE_CLAIM_GRANTED, claim, "");
--- a/src/cell/cell_founding.c
+++ b/src/cell/cell_founding.c
@@ -112,7 +112,7 @@
         record->slots_unsure = TRUE;
         record->unsure_until_ms = now_ms + change->host->options.claim_retention_ms;
     }
-    wb_log_message(WB_PART_CELL, "Cell %s: bootstrapped the group%s, epoch %" G_GUINT64_FORMAT ".",
+    wb_log_message(WB_LOG_CELL, "Cell %s: bootstrapped the group%s, epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, change->recovery ? " again after losing a majority" : "",
                    (guint64)epoch);
     wb_group_found(group, record, change->members, change->generation, epoch, now_ms);
@@ -286,7 +286,7 @@
     members->names.names_len = change->members->len;
     members->names.names_val = (wb_wire_name *)change->members->pdata;
     uint64_t sequence = wb_group_propose(hosted->group, &command, wb_clock_ms());
-    wb_log_message(WB_PART_CELL, "Cell %s: proposing %u members%s.", hosted->name,
+    wb_log_message(WB_LOG_CELL, "Cell %s: proposing %u members%s.", hosted->name,
                    change->members->len,
                    sequence == 0 ? " failed: not the owner, or a command is uncommitted" : "");
 }
--- a/src/cell/cell_host.c
+++ b/src/cell/cell_host.c
@@ -35,7 +35,7 @@
 static void cell_send_order(const wb_order_t *order, void *context) {
     hosted_cell_t *hosted = context;
     static const char *const names[] = {"fence", "load", "unload"};
-    wb_log_info(WB_PART_CELL, "Sending order %s %s%s%s to engine %s.", names[order->action],
+    wb_log_info(WB_LOG_CELL, "Sending order %s %s%s%s to engine %s.", names[order->action],
                 order->model != NULL ? order->model : "", order->adapter != NULL ? "+" : "",
                 order->adapter != NULL ? order->adapter : "", order->engine);
     wb_engine_client_order(hosted->engines, order);
@@ -97,7 +97,7 @@
     const wb_cell_host_options_t *options = &host->options;
     wb_config_t *config = wb_config_store_current(host->parts.config_store);
     g_autoptr(GPtrArray) cells = wb_config_cells(config);
-    wb_log_message(WB_PART_CELL, "Cell %s is now owned by this node, epoch %" G_GUINT64_FORMAT ".",
+    wb_log_message(WB_LOG_CELL, "Cell %s is now owned by this node, epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, (guint64)epoch);
     wb_engine_client_options_t engine_options = {options->engine_scheme, options->order_timeout_ms,
                                                  options->inventory_wait_ms};
@@ -124,7 +124,7 @@
 
 static void group_on_lost(void *context) {
     hosted_cell_t *hosted = context;
-    wb_log_message(WB_PART_CELL, "Cell %s is no longer owned by this node.", hosted->name);
+    wb_log_message(WB_LOG_CELL, "Cell %s is no longer owned by this node.", hosted->name);
     cell_claims_refuse_pending(hosted);
     wb_engine_client_free(hosted->engines);
     hosted->engines = NULL;
@@ -278,7 +278,7 @@
                               report->adapter,
                               (int)MIN(report->waiting, G_MAXINT32),
                               (int)MIN(report->running, G_MAXINT32),
-                              report->tightest_deadline_ms};
+                              report->earliest_deadline_ms};
         wb_cell_demand(hosted->cell, &demand, wb_clock_ms());
         return;
     }
@@ -369,9 +369,8 @@
         done = FALSE;
     }
     if (!done && now_ms - host->hand_over_since_ms > HAND_OVER_TIMEOUT_MS) {
-        wb_log_warning(WB_PART_CELL,
-                       "No member took over this node's cells within " G_STRINGIFY(
-                           HAND_OVER_TIMEOUT_MS) " ms; stopping without a successor.");
+        wb_log_warning(WB_LOG_CELL, "No member took over this node's cells within " G_STRINGIFY(
+                                        HAND_OVER_TIMEOUT_MS) " ms; stopping without a successor.");
         return TRUE;
     }
     return done;
--- a/src/cell/cell_policy.c
+++ b/src/cell/cell_policy.c
@@ -16,7 +16,7 @@
     wb_error_t error;
     if (policy != NULL &&
         wb_policy_compile(&cell->policy, policy->name, policy->program, &error) != APR_SUCCESS)
-        wb_log_warning(WB_PART_CELL,
+        wb_log_warning(WB_LOG_CELL,
                        "Policy of cell %s failed to compile, using the built-in rules: %s.",
                        cell->name, error.message);
 }
@@ -24,7 +24,7 @@
 static void failure_record(wb_cell_t *cell, const wb_error_t *error) {
     g_strlcpy(cell->policy_failure, error->message, sizeof(cell->policy_failure));
     if (cell->policy_failures++ % FAILURES_LOGGED_EVERY == 0)
-        wb_log_warning(WB_PART_CELL, "Policy of cell %s failed, using the built-in rule: %s.",
+        wb_log_warning(WB_LOG_CELL, "Policy of cell %s failed, using the built-in rule: %s.",
                        cell->name, error->message);
 }
 
