--- a/src/gateway/answer.c
+++ b/src/gateway/answer.c
@@ -1,4 +1,7 @@
-/* Ends requests: whole answers, refusals with their verdict, and broken streams. */
+/* Finishes requests: sends the client's response or error, with a verdict on whether the request
+ * ran (not-run, may-have-run, completed), and keeps the last RECENT_MAX outcomes for explain.
+ *
+ * Retry times are in milliseconds and rounded up to seconds in Retry-After. */
 #include "gateway_types.h"
 
 #include "wickbridge/json.h"
@@ -7,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RECENT_KEPT 512
+#define RECENT_MAX 512
 
-static json_t *error_describe(const char *type, const char *code, const char *message,
-                              wb_verdict_t verdict) {
+static json_t *error_body(const char *type, const char *code, const char *message,
+                          wb_verdict_t verdict) {
     return json_pack("{s:{s:s, s:s, s:s, s:n}, s:s}", "error", "message", message, "type", type,
                      "code", code, "param", "verdict", wb_verdict_name(verdict));
 }
@@ -30,11 +33,11 @@
     free(text);
 }
 
-void answer_bad(wb_gateway_t *gateway, wb_http_exchange_t *exchange, unsigned status,
-                const char *code, const char *message) {
+void response_send_rejection(wb_gateway_t *gateway, wb_http_exchange_t *exchange, unsigned status,
+                             const char *code, const char *message) {
     g_atomic_int_inc(&gateway->counters.bad);
     error_send(exchange, status,
-               error_describe("invalid_request_error", code, message, WB_VERDICT_NOT_RUN),
+               error_body("invalid_request_error", code, message, WB_VERDICT_NOT_RUN),
                WB_VERDICT_NOT_RUN, status == 503 ? 1000 : -1);
 }
 
@@ -49,16 +52,16 @@
                   "model", request->model, "adapter", request->adapter, "owner", request->owner,
                   "outcome", outcome, "engine", request->engine != NULL ? request->engine : "",
                   "attempts", request->attempts, "events", request->events, "took_ms",
-                  (json_int_t)(wb_clock_ms() - request->arrived_ms), "why", request->why);
+                  (json_int_t)(wb_clock_ms() - request->arrived_ms), "why", request->reason);
     g_mutex_lock(&gateway->recent_lock);
     g_queue_push_tail(&gateway->recent, entry);
-    if (gateway->recent.length > RECENT_KEPT)
+    if (gateway->recent.length > RECENT_MAX)
         json_free(g_queue_pop_head(&gateway->recent));
     g_mutex_unlock(&gateway->recent_lock);
 }
 
-/* Marks the request as finished; only the first caller may answer. Returns the exchange to answer
- * on, or NULL when the caller is gone or was answered. */
+/* Marks the request as finished. Returns the exchange to respond on, or NULL if the request was
+ * finished already. */
 static wb_http_exchange_t *request_finish(gw_request_t *request, const char *outcome) {
     g_mutex_lock(&request->lock);
     if (request->stage == STAGE_FINISHED) {
@@ -74,7 +77,7 @@
     return exchange;
 }
 
-void answer_headers(gw_request_t *request, const char *verdict) {
+void response_add_headers(gw_request_t *request, const char *verdict) {
     wb_http_exchange_add_header(request->exchange, "Wickbridge-Request-Id", request->id);
     if (verdict != NULL)
         wb_http_exchange_add_header(request->exchange, "Wickbridge-Verdict", verdict);
@@ -82,7 +85,7 @@
         wb_http_exchange_add_header(request->exchange, "Wickbridge-Engine", request->engine);
 }
 
-/* The head has gone out already: the error is an event, and the connection is cut behind it. */
+/* For a stream that has started: sends the error as an event, then aborts the connection. */
 static void stream_error(wb_http_exchange_t *exchange, json_t *body) {
     char *text = wb_json_dump(body);
     json_decref(body);
@@ -92,17 +95,17 @@
     wb_http_exchange_stream_end(exchange, FALSE);
 }
 
-void answer_error(gw_request_t *request, unsigned status, const char *type, const char *code,
-                  wb_verdict_t verdict, int64_t retry_after_ms, const char *message) {
-    gboolean begun = request->stream_begun;
-    if (message != request->why)
-        request_why(request, "%s", message);
+void response_send_error(gw_request_t *request, unsigned status, const char *type, const char *code,
+                         wb_verdict_t verdict, int64_t retry_after_ms, const char *message) {
+    gboolean begun = request->stream_started;
+    if (message != request->reason)
+        request_set_reason(request, "%s", message);
     wb_http_exchange_t *exchange = request_finish(request, wb_verdict_name(verdict));
     if (exchange == NULL)
         return;
     g_atomic_int_inc(verdict == WB_VERDICT_NOT_RUN ? &request->gateway->counters.refused
                                                    : &request->gateway->counters.unsure);
-    json_t *body = error_describe(type, code, message, verdict);
+    json_t *body = error_body(type, code, message, verdict);
     if (begun)
         stream_error(exchange, body);
     else {
@@ -111,27 +114,29 @@
     }
 }
 
-void answer_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
-                    const char *message) {
+void response_send_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
+                           const char *message) {
     if (request->may_have_run) {
-        answer_may_have_run(request, message);
+        response_send_may_have_run(request, message);
         return;
     }
-    /* An earlier try with the same key may have run, as long as nobody has looked. */
+    /* Until the claim is granted, an earlier request with the same key may have run. */
     gboolean unsure = request->key != NULL && !request->claim_granted;
-    answer_error(request, 503, "server_error", code,
-                 unsure ? WB_VERDICT_MAY_HAVE_RUN : WB_VERDICT_NOT_RUN, retry_after_ms, message);
+    response_send_error(request, 503, "server_error", code,
+                        unsure ? WB_VERDICT_MAY_HAVE_RUN : WB_VERDICT_NOT_RUN, retry_after_ms,
+                        message);
 }
 
-void answer_may_have_run(gw_request_t *request, const char *message) {
-    /* A repeatable request can simply be sent again; what ran of it does no harm. */
-    answer_error(request, 502, "server_error", "engine_failed", WB_VERDICT_MAY_HAVE_RUN, 1000,
-                 message);
+void response_send_may_have_run(gw_request_t *request, const char *message) {
+    /* Also for a repeatable request: the client can safely send it again. */
+    response_send_error(request, 502, "server_error", "engine_failed", WB_VERDICT_MAY_HAVE_RUN,
+                        1000, message);
 }
 
-void answer_whole(gw_request_t *request, unsigned status, const char *body, size_t length) {
+void response_send_complete(gw_request_t *request, unsigned status, const char *body,
+                            size_t length) {
     if (request->exchange != NULL)
-        answer_headers(request, wb_verdict_name(WB_VERDICT_COMPLETED));
+        response_add_headers(request, wb_verdict_name(WB_VERDICT_COMPLETED));
     wb_http_exchange_t *exchange = request_finish(request, "completed");
     if (exchange == NULL)
         return;
@@ -139,7 +144,7 @@
     wb_http_exchange_reply(exchange, status, "application/json", body, length);
 }
 
-void answer_stream_end(gw_request_t *request) {
+void response_end_stream(gw_request_t *request) {
     wb_http_exchange_t *exchange = request_finish(request, "completed");
     if (exchange == NULL)
         return;
@@ -147,11 +152,11 @@
     wb_http_exchange_stream_end(exchange, TRUE);
 }
 
-void answer_caller_gone(gw_request_t *request) {
+void response_end_client_gone(gw_request_t *request) {
     wb_http_exchange_t *exchange = request_finish(request, "caller gone");
     if (exchange == NULL)
         return;
-    if (request->stream_begun)
+    if (request->stream_started)
         wb_http_exchange_stream_end(exchange, FALSE);
     else
         wb_http_exchange_reply(exchange, 499, "application/json", "{}", 2);
--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -1,13 +1,17 @@
-/* Asks the owner of a key's cell for the key's one run, and tells it the answer. */
+/* Claims idempotency keys. The owner of the model's cell grants each key one run; requests with the
+ * same key and body get that run's response. Claims without a response are sent again every
+ * CLAIM_RETRY_MS and expire after the option claim_timeout_ms or at the request's deadline.
+ * Messages to owners are sent on the loop's thread. */
 #include "gateway_types.h"
 
 #include "wickbridge/log.h"
 
 #include <string.h>
 
-#define ASK_AGAIN_MS 300 /* also when an owner refused: another may take over */
+#define CLAIM_RETRY_MS 300 /* also after a refusal: the cell may get another owner */
 #define RETRY_AFTER_MS 1000
 
+/* Returns the cell's name, to be freed, or NULL if the model is no longer declared. */
 static char *request_cell(gw_request_t *request) {
     char *cell = NULL;
     g_mutex_lock(&request->gateway->config_lock);
@@ -19,7 +23,7 @@
 }
 
 /* On the loop's thread. */
-static void want_send(gw_request_t *request) {
+static void claim_request_send(gw_request_t *request) {
     wb_gateway_t *gateway = request->gateway;
     request->claim_sent_ms = wb_clock_ms();
     g_autofree char *cell = request_cell(request);
@@ -28,39 +32,39 @@
     if (owner == NULL)
         return;
     wb_wire_message message = {.kind = WB_WIRE_CLAIM_WANT};
-    wb_wire_claim_want *want = &message.wb_wire_message_u.claim_want;
-    want->request = request->claim_number;
-    want->model = request->model;
-    want->key = request->key;
-    want->stream = request->fetching ? "" : request->stream;
-    want->engine = request->engine != NULL ? request->engine : "";
-    want->engine_address = request->engine_address != NULL ? request->engine_address : "";
-    want->node = gateway->node;
-    want->digest = request->digest;
-    want->retry_of = request->claim_attempt;
+    wb_wire_claim_want *claim = &message.wb_wire_message_u.claim_want;
+    claim->request = request->claim_number;
+    claim->model = request->model;
+    claim->key = request->key;
+    claim->stream = request->fetch_only ? "" : request->stream;
+    claim->engine = request->engine != NULL ? request->engine : "";
+    claim->engine_address = request->engine_address != NULL ? request->engine_address : "";
+    claim->node = gateway->node;
+    claim->digest = request->digest;
+    claim->retry_of = request->claim_attempt;
     gateway->parts.send(owner, &message, gateway->parts.context);
 }
 
-static void ask_on_loop(void *context) {
+static void claim_start_on_loop(void *context) {
     gw_request_t *request = context;
     wb_gateway_t *gateway = request->gateway;
     g_mutex_lock(&gateway->claims_lock);
     g_hash_table_insert(gateway->claims, &request->claim_number, request);
     g_mutex_unlock(&gateway->claims_lock);
-    want_send(request);
+    claim_request_send(request);
 }
 
-void claim_ask(gw_request_t *request, uint64_t retry_of) {
+void claim_start(gw_request_t *request, uint64_t retry_of) {
     wb_gateway_t *gateway = request->gateway;
     request->stage = STAGE_CLAIMING;
     request->claim_attempt = retry_of;
     g_mutex_lock(&gateway->claims_lock);
     request->claim_number = ++gateway->claim_count;
     g_mutex_unlock(&gateway->claims_lock);
-    wb_loop_post(gateway->parts.loop, ask_on_loop, request);
+    wb_loop_post(gateway->parts.loop, claim_start_on_loop, request);
 }
 
-static gw_request_t *claim_take(wb_gateway_t *gateway, uint64_t number) {
+static gw_request_t *claim_remove(wb_gateway_t *gateway, uint64_t number) {
     g_mutex_lock(&gateway->claims_lock);
     gw_request_t *request = g_hash_table_lookup(gateway->claims, &number);
     if (request != NULL)
@@ -69,63 +73,64 @@
     return request;
 }
 
-/* The key ran, or runs, elsewhere: read that run's answer. */
-static void claim_follow(gw_request_t *request, const wb_wire_claim_show *show) {
+/* The key has run or is running already: reads that run's response from its engine. */
+static void claim_attach(gw_request_t *request, const wb_wire_claim_show *response) {
     target_release(request, FALSE, FALSE, 0);
     g_free(request->engine);
     g_free(request->engine_address);
-    request->engine = g_strdup(show->engine);
-    request->engine_address = g_strdup(show->engine_address);
-    g_strlcpy(request->stream, show->stream, sizeof(request->stream));
-    request->claim_attempt = show->attempt;
+    request->engine = g_strdup(response->engine);
+    request->engine_address = g_strdup(response->engine_address);
+    g_strlcpy(request->stream, response->stream, sizeof(request->stream));
+    request->claim_attempt = response->attempt;
     request->attached = TRUE;
     request->claim_granted = FALSE;
-    request->attached_done = show->state == WB_WIRE_CLAIM_DONE;
-    request->attached_ms = wb_clock_ms() - (int64_t)show->age_ms;
+    request->first_run_completed = response->state == WB_WIRE_CLAIM_DONE;
+    request->first_run_claimed_ms = wb_clock_ms() - (int64_t)response->age_ms;
     request->may_have_run = TRUE;
-    request->resumes = 0;
-    request_why(request, "follows the first run of its key");
+    request->resume_count = 0;
+    request_set_reason(request, "follows the first run of its key");
     run_attach(request);
 }
 
-static void claim_answer_kept(gw_request_t *request, const wb_wire_claim_show *show) {
-    if (*show->answer == '\0' || request->streaming) {
-        claim_follow(request, show);
+/* Answers with the response that the owner kept; if it kept none, reads it from the engine. */
+static void claim_send_kept_response(gw_request_t *request, const wb_wire_claim_show *response) {
+    if (*response->answer == '\0' || request->streaming) {
+        claim_attach(request, response);
         return;
     }
     target_release(request, FALSE, FALSE, 0);
     g_free(request->engine);
-    request->engine = g_strdup(show->engine);
-    request_why(request, "the first run's answer");
-    answer_whole(request, show->status, show->answer, strlen(show->answer));
+    request->engine = g_strdup(response->engine);
+    request_set_reason(request, "the first run's answer");
+    response_send_complete(request, response->status, response->answer, strlen(response->answer));
     request_unref(request);
 }
 
 static void claim_fail(gw_request_t *request, unsigned status, const char *type, const char *code,
                        const char *message) {
     target_release(request, FALSE, FALSE, 0);
-    answer_error(request, status, type, code, WB_VERDICT_NOT_RUN,
-                 status == 422 ? -1 : RETRY_AFTER_MS, message);
+    response_send_error(request, status, type, code, WB_VERDICT_NOT_RUN,
+                        status == 422 ? -1 : RETRY_AFTER_MS, message);
     request_unref(request);
 }
 
-void claim_show(wb_gateway_t *gateway, const wb_wire_claim_show *show) {
-    if (show->state == WB_WIRE_CLAIM_REFUSED)
-        return; /* claims_check asks again, or gives up */
-    gw_request_t *request = claim_take(gateway, show->request);
+void claim_on_response(wb_gateway_t *gateway, const wb_wire_claim_show *response) {
+    if (response->state == WB_WIRE_CLAIM_REFUSED)
+        return; /* claims_tick sends the claim again, or expires it */
+    gw_request_t *request = claim_remove(gateway, response->request);
     if (request == NULL)
         return;
-    switch (show->state) {
+    switch (response->state) {
     case WB_WIRE_CLAIM_GRANTED:
-        request->claim_attempt = show->attempt;
+        request->claim_attempt = response->attempt;
         request->claim_granted = TRUE;
         run_on_engine(request);
         break;
     case WB_WIRE_CLAIM_TAKEN:
-        claim_follow(request, show);
+        claim_attach(request, response);
         break;
     case WB_WIRE_CLAIM_DONE:
-        claim_answer_kept(request, show);
+        claim_send_kept_response(request, response);
         break;
     case WB_WIRE_CLAIM_MISMATCH:
         claim_fail(request, 422, "invalid_request_error", "idempotency_key_reused",
@@ -137,7 +142,7 @@
     }
 }
 
-typedef struct claim_tell_t {
+typedef struct claim_report_t {
     wb_gateway_t *gateway;
     char *cell;
     char *model;
@@ -145,48 +150,50 @@
     char *stream;
     unsigned status;
     char *answer;
-} claim_tell_t;
+} claim_report_t;
 
-static void tell_on_loop(void *context) {
-    claim_tell_t *tell = context;
-    wb_gateway_t *gateway = tell->gateway;
-    const char *owner = gateway->parts.find_owner(tell->cell, gateway->parts.context);
+static void report_on_loop(void *context) {
+    claim_report_t *report = context;
+    wb_gateway_t *gateway = report->gateway;
+    const char *owner = gateway->parts.find_owner(report->cell, gateway->parts.context);
     wb_wire_message message = {.kind = WB_WIRE_CLAIM_DONE_NOTE};
     wb_wire_claim_done *done = &message.wb_wire_message_u.claim_done;
-    done->model = tell->model;
-    done->key = tell->key;
-    done->stream = tell->stream;
-    done->status = tell->status;
-    done->answer = tell->answer;
+    done->model = report->model;
+    done->key = report->key;
+    done->stream = report->stream;
+    done->status = report->status;
+    done->answer = report->answer;
     if (owner != NULL)
         gateway->parts.send(owner, &message, gateway->parts.context);
-    g_free(tell->cell);
-    g_free(tell->model);
-    g_free(tell->key);
-    g_free(tell->stream);
-    g_free(tell->answer);
-    g_free(tell);
+    g_free(report->cell);
+    g_free(report->model);
+    g_free(report->key);
+    g_free(report->stream);
+    g_free(report->answer);
+    g_free(report);
 }
 
-void claim_tell_done(gw_request_t *request, unsigned status, const char *answer, size_t length) {
+void claim_report_completed(gw_request_t *request, unsigned status, const char *answer,
+                            size_t length) {
     if (request->key == NULL || request->attached)
         return;
     gboolean keep = (int64_t)length <= request->gateway->options.answer_keep_bytes;
-    claim_tell_t *tell = g_new0(claim_tell_t, 1);
-    tell->gateway = request->gateway;
-    tell->cell = request_cell(request);
-    tell->model = g_strdup(request->model);
-    tell->key = g_strdup(request->key);
-    tell->stream = g_strdup(request->stream);
-    tell->status = status;
-    tell->answer = g_strndup(keep ? answer : "", keep ? length : 0);
-    if (tell->cell == NULL)
-        tell->cell = g_strdup("");
-    wb_loop_post(request->gateway->parts.loop, tell_on_loop, tell);
+    claim_report_t *report = g_new0(claim_report_t, 1);
+    report->gateway = request->gateway;
+    report->cell = request_cell(request);
+    report->model = g_strdup(request->model);
+    report->key = g_strdup(request->key);
+    report->stream = g_strdup(request->stream);
+    report->status = status;
+    report->answer = g_strndup(keep ? answer : "", keep ? length : 0);
+    if (report->cell == NULL)
+        report->cell = g_strdup("");
+    wb_loop_post(request->gateway->parts.loop, report_on_loop, report);
 }
 
-/* Splits claims under way into those to ask again and those to give up. */
-static void claims_sort(wb_gateway_t *gateway, int64_t now_ms, GQueue *again, GQueue *over) {
+/* Collects pending claims that are due to be sent again, and removes and collects expired ones. */
+static void claims_collect_due(wb_gateway_t *gateway, int64_t now_ms, GQueue *due,
+                               GQueue *expired) {
     GHashTableIter iterator;
     gpointer value;
     g_mutex_lock(&gateway->claims_lock);
@@ -196,23 +203,23 @@
         int64_t age_ms = now_ms - MAX(request->started_ms, request->arrived_ms);
         if (now_ms >= request->deadline_ms || age_ms > gateway->options.claim_timeout_ms) {
             g_hash_table_iter_remove(&iterator);
-            g_queue_push_tail(over, request);
-        } else if (now_ms - request->claim_sent_ms > ASK_AGAIN_MS)
-            g_queue_push_tail(again, request);
+            g_queue_push_tail(expired, request);
+        } else if (now_ms - request->claim_sent_ms > CLAIM_RETRY_MS)
+            g_queue_push_tail(due, request);
     }
     g_mutex_unlock(&gateway->claims_lock);
 }
 
-void claims_check(wb_gateway_t *gateway, int64_t now_ms) {
-    GQueue again = G_QUEUE_INIT, over = G_QUEUE_INIT;
-    claims_sort(gateway, now_ms, &again, &over);
+void claims_tick(wb_gateway_t *gateway, int64_t now_ms) {
+    GQueue due = G_QUEUE_INIT, expired = G_QUEUE_INIT;
+    claims_collect_due(gateway, now_ms, &due, &expired);
     gw_request_t *request;
-    while ((request = g_queue_pop_head(&again)) != NULL)
-        want_send(request);
-    while ((request = g_queue_pop_head(&over)) != NULL) {
+    while ((request = g_queue_pop_head(&due)) != NULL)
+        claim_request_send(request);
+    while ((request = g_queue_pop_head(&expired)) != NULL) {
         target_release(request, FALSE, FALSE, 0);
-        answer_not_run(request, 2 * RETRY_AFTER_MS, "no_claim",
-                       "The key's single run can't be secured at present.");
+        response_send_not_run(request, 2 * RETRY_AFTER_MS, "no_claim",
+                              "The key's single run can't be secured at present.");
         request_unref(request);
     }
 }
--- a/src/gateway/fair_queue.c
+++ b/src/gateway/fair_queue.c
@@ -1,11 +1,12 @@
-/* Orders waiting requests fairly over their owners. */
+/* Weighted fair queueing of items over owners (start-time fair queueing); see fair_queue.h. Tags
+ * and virtual time are in units of cost / share. No errors, no locks. */
 #include "wickbridge/fair_queue.h"
 
 #include <string.h>
 
 typedef struct queue_item_t {
     gpointer item;
-    double cost; /* 0: already paid for */
+    double cost; /* 0 for an item that was put back: its cost is charged already */
 } queue_item_t;
 
 typedef struct queue_owner_t {
@@ -113,8 +114,8 @@
     g_hash_table_iter_init(&iterator, queue->owners);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const queue_owner_t *owner = value;
-        for (GList *place = owner->items.head; place != NULL; place = place->next)
-            visit(((queue_item_t *)place->data)->item, context);
+        for (GList *position = owner->items.head; position != NULL; position = position->next)
+            visit(((queue_item_t *)position->data)->item, context);
     }
 }
 
@@ -125,16 +126,16 @@
     g_hash_table_iter_init(&iterator, queue->owners);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         queue_owner_t *owner = value;
-        GList *place = owner->items.head;
-        while (place != NULL) {
-            GList *next = place->next;
-            queue_item_t *entry = place->data;
+        GList *position = owner->items.head;
+        while (position != NULL) {
+            GList *next = position->next;
+            queue_item_t *entry = position->data;
             if (test(entry->item, context)) {
-                g_queue_delete_link(&owner->items, place);
+                g_queue_delete_link(&owner->items, position);
                 g_free(entry);
                 queue->length--;
             }
-            place = next;
+            position = next;
         }
     }
 }
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -1,4 +1,6 @@
-/* Takes callers' requests in and gives them to their targets. */
+/* The gateway's public functions: accepts clients' requests, admits them to their targets' queues,
+ * and dispatches messages. See gateway.h for threads and locks. Times are in milliseconds; errors
+ * are sent to the client as HTTP responses. */
 #include "gateway_types.h"
 
 #include "wickbridge/json.h"
@@ -31,7 +33,7 @@
     g_mutex_init(&gateway->recent_lock);
     g_queue_init(&gateway->recent);
     gateway->claims = g_hash_table_new(g_int64_hash, g_int64_equal);
-    gateway->tick_timer = wb_loop_every(parts->loop, TICK_MS, wants_tick, gateway);
+    gateway->tick_timer = wb_loop_every(parts->loop, TICK_MS, demand_tick, gateway);
     return gateway;
 }
 
@@ -65,7 +67,8 @@
     g_atomic_int_set(&gateway->draining, 1);
 }
 
-static char *cell_of(wb_gateway_t *gateway, const char *name) {
+/* Returns the name of the model's cell, to be freed; "" if the model isn't declared. */
+static char *model_cell(wb_gateway_t *gateway, const char *name) {
     g_mutex_lock(&gateway->config_lock);
     const wb_model_t *model = wb_config_model(gateway->config, name);
     char *cell = g_strdup(model != NULL ? model->cell : "");
@@ -73,19 +76,20 @@
     return cell;
 }
 
-/* Why a new request can't be served in time, or NULL. The shard's lock is held. */
+/* Returns why a new request can't be served by its deadline, and when to retry, or NULL if it can.
+ * The shard's lock must be held. */
 static const char *admission_check(const wb_gateway_t *gateway, const gw_target_t *target,
                                    const gw_request_t *request, int64_t *retry_after_ms) {
     *retry_after_ms = RETRY_AFTER_MS;
     if ((int64_t)wb_fair_queue_length(target->queue) >= gateway->options.queue_limit)
         return "Too many requests wait for this model.";
     int64_t now_ms = wb_clock_ms();
-    if (target->state == ROUTE_WAKING && target->replicas->len == 0 &&
+    if (target->state == ROUTE_LOADING && target->replicas->len == 0 &&
         target->ready_at_ms > request->deadline_ms) {
         *retry_after_ms = target->ready_at_ms - now_ms;
         return "The model can't be loaded before the deadline.";
     }
-    int64_t wait_ms = target_predict_ms(target);
+    int64_t wait_ms = target_estimate_wait_ms(target);
     if (now_ms + wait_ms > request->deadline_ms) {
         *retry_after_ms = wait_ms;
         return "The queue is longer than the deadline allows.";
@@ -95,11 +99,11 @@
 
 static void request_admit(gw_request_t *request) {
     wb_gateway_t *gateway = request->gateway;
-    g_autofree char *cell = cell_of(gateway, request->model);
+    g_autofree char *cell = model_cell(gateway, request->model);
     GQueue starting = G_QUEUE_INIT;
     int64_t retry_after_ms;
     int64_t now_ms = wb_clock_ms();
-    request->shard = shard_of(gateway, request->model, request->adapter);
+    request->shard = shard_find(gateway, request->model, request->adapter);
     g_mutex_lock(&request->shard->lock);
     gw_target_t *target =
         target_get(request->shard, request->model, request->adapter, cell, now_ms);
@@ -108,23 +112,23 @@
         target_enqueue(target, request, FALSE);
         target_dispatch(gateway, target, &starting, now_ms);
     }
-    gboolean waits = wb_fair_queue_length(target->queue) > 0;
+    gboolean has_waiting = wb_fair_queue_length(target->queue) > 0;
     g_mutex_unlock(&request->shard->lock);
     if (refusal != NULL) {
-        answer_not_run(request, retry_after_ms, "overloaded", refusal);
+        response_send_not_run(request, retry_after_ms, "overloaded", refusal);
         request_unref(request);
         return;
     }
     run_start_all(&starting);
-    if (waits)
-        want_now(gateway);
+    if (has_waiting)
+        demand_report_now(gateway);
 }
 
-/* An answer by key needs no engine of its own. */
+/* Fetches a response by key: it needs no replica, so it isn't queued. */
 static void fetch_start(gw_request_t *request) {
-    request->shard = shard_of(request->gateway, request->model, request->adapter);
+    request->shard = shard_find(request->gateway, request->model, request->adapter);
     request->started_ms = wb_clock_ms();
-    claim_ask(request, 0);
+    claim_start(request, 0);
 }
 
 static void models_list(wb_gateway_t *gateway, wb_http_exchange_t *exchange) {
@@ -151,7 +155,8 @@
     free(text);
 }
 
-/* The kind of request that a path stands for; FALSE for other paths. */
+/* Returns FALSE if the path isn't that of a request to an engine. service is to be freed;
+ * call_path points into path. */
 static gboolean path_parse(const char *path, gw_kind_t *kind, char **service,
                            const char **call_path) {
     static const char call_prefix[] = "/v1/services/";
@@ -179,17 +184,18 @@
            g_atomic_int_get(&gateway->draining) == 0;
 }
 
-/* Sends away what needs no reading. Returns TRUE when it did. */
-static gboolean turned_away(wb_gateway_t *gateway, wb_http_exchange_t *exchange,
-                            const char *method) {
+/* Rejects a wrong method, and everything while the node isn't ready. Returns TRUE if it did. */
+static gboolean rejected_early(wb_gateway_t *gateway, wb_http_exchange_t *exchange,
+                               const char *method) {
     if (strcmp(wb_http_exchange_method(exchange), method) != 0) {
         wb_http_exchange_add_header(exchange, "Allow", method);
-        answer_bad(gateway, exchange, 405, "method_not_allowed", "Use another method here.");
+        response_send_rejection(gateway, exchange, 405, "method_not_allowed",
+                                "Use another method here.");
         return TRUE;
     }
     if (!is_ready(gateway)) {
-        answer_bad(gateway, exchange, 503, "not_ready",
-                   "This node is starting or stopping; try another one.");
+        response_send_rejection(gateway, exchange, 503, "not_ready",
+                                "This node is starting or stopping; try another one.");
         return TRUE;
     }
     return FALSE;
@@ -203,10 +209,10 @@
     const char *call_path;
     gw_request_t *request = NULL;
     if (strcmp(path, "/v1/models") == 0) {
-        if (!turned_away(gateway, exchange, "GET"))
+        if (!rejected_early(gateway, exchange, "GET"))
             models_list(gateway, exchange);
     } else if (g_str_has_prefix(path, fetch_prefix)) {
-        if (turned_away(gateway, exchange, "GET"))
+        if (rejected_early(gateway, exchange, "GET"))
             return TRUE;
         request = request_read_fetch(gateway, exchange, path + sizeof(fetch_prefix) - 1);
         if (request != NULL) {
@@ -214,7 +220,7 @@
             fetch_start(request);
         }
     } else if (path_parse(path, &kind, &service, &call_path)) {
-        if (turned_away(gateway, exchange, "POST"))
+        if (rejected_early(gateway, exchange, "POST"))
             return TRUE;
         request = request_read(gateway, exchange, kind, service, call_path);
         if (request != NULL) {
@@ -231,9 +237,9 @@
                             const wb_wire_message *message) {
     (void)node;
     if (message->kind == WB_WIRE_ROUTE_SHOW)
-        target_show(gateway, &message->wb_wire_message_u.route_show);
+        target_apply_route(gateway, &message->wb_wire_message_u.route_show);
     else if (message->kind == WB_WIRE_CLAIM_SHOW)
-        claim_show(gateway, &message->wb_wire_message_u.claim_show);
+        claim_on_response(gateway, &message->wb_wire_message_u.claim_show);
     else
         return FALSE;
     return TRUE;
@@ -252,10 +258,11 @@
     json_t *replicas = json_array();
     for (guint i = 0; i < target->replicas->len; i++) {
         const gw_replica_t *replica = target->replicas->pdata[i];
-        json_array_append_new(
-            replicas, json_pack("{s:s, s:i, s:f, s:b, s:b}", "engine", replica->engine, "running",
-                                replica->running, "window", replica->window, "shown",
-                                replica->shown, "resting", wb_clock_ms() < replica->down_until_ms));
+        json_array_append_new(replicas,
+                              json_pack("{s:s, s:i, s:f, s:b, s:b}", "engine", replica->engine,
+                                        "running", replica->running, "window", replica->window,
+                                        "shown", replica->in_route, "resting",
+                                        wb_clock_ms() < replica->down_until_ms));
     }
     return json_pack("{s:s, s:s, s:s, s:s, s:i, s:i, s:f, s:o}", "model", target->model, "adapter",
                      target->adapter, "route", states[target->state], "reason",
@@ -283,9 +290,10 @@
 json_t *wb_gateway_explain_request(wb_gateway_t *gateway, const char *request_id) {
     json_t *found = NULL;
     g_mutex_lock(&gateway->recent_lock);
-    for (GList *place = gateway->recent.tail; place != NULL && found == NULL; place = place->prev)
-        if (strcmp(wb_json_text(place->data, "request", ""), request_id) == 0)
-            found = json_incref(place->data);
+    for (GList *position = gateway->recent.tail; position != NULL && found == NULL;
+         position = position->prev)
+        if (strcmp(wb_json_text(position->data, "request", ""), request_id) == 0)
+            found = json_incref(position->data);
     g_mutex_unlock(&gateway->recent_lock);
     return found;
 }
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -1,4 +1,8 @@
-/* Inner types of the gateway, shared by its files. */
+/* Internal types and functions of the gateway, shared by the files of src/gateway.
+ *
+ * Times are wb_clock_ms() values or durations, in milliseconds. Errors aren't returned: a request
+ * that fails is answered through the functions of answer.c. Lock order: a shard's lock before a
+ * request's. gateway.h says which thread runs what. */
 #ifndef WICKBRIDGE_GATEWAY_TYPES_H
 #define WICKBRIDGE_GATEWAY_TYPES_H
 
@@ -11,28 +15,28 @@
 typedef struct gw_target_t gw_target_t;
 typedef struct gw_request_t gw_request_t;
 
-/* An engine that has the target ready. */
+/* An engine that has the target's model loaded. Guarded by the shard's lock. */
 typedef struct gw_replica_t {
     char *engine;
     char *address;
     char *zone;
     int batch;
-    int running;           /* requests of ours on it */
-    double window;         /* most that we run on it at once; learnt from its refusals */
-    int64_t cut_ms;        /* when its window was last cut */
-    int64_t down_until_ms; /* it couldn't be reached or refused to take work */
-    gboolean shown;        /* in the newest route */
+    int running;           /* requests of this gateway on it */
+    double window;         /* limit on running; adapts to successes and full-queue refusals */
+    int64_t window_cut_ms; /* time of the last reduction of the window */
+    int64_t down_until_ms; /* not used until then: unreachable, draining or its queue is full */
+    gboolean in_route;     /* listed in the latest route update */
 } gw_replica_t;
 
 typedef enum gw_route_state_t {
     ROUTE_UNKNOWN,
     ROUTE_READY,
-    ROUTE_WAKING,
-    ROUTE_REFUSED, /* no engine can be used at all */
-    ROUTE_BUSY     /* all that is loaded is in use */
+    ROUTE_LOADING,
+    ROUTE_UNAVAILABLE, /* no usable engine */
+    ROUTE_BUSY         /* all loaded replicas are in use */
 } gw_route_state_t;
 
-/* A model, or a model with an adapter, that was asked for here. Guarded by its shard's lock. */
+/* A model, or a model with an adapter, requested at this gateway. Guarded by its shard's lock. */
 struct gw_target_t {
     char *model;
     char *adapter; /* "" for none */
@@ -41,15 +45,15 @@
     GPtrArray *replicas;
     int running;
     gw_route_state_t state;
-    int64_t ready_at_ms;   /* waking: the estimate */
-    int64_t shown_ms;      /* when the route came */
-    int64_t owner_lost_ms; /* since when no owner answers; 0: one does */
-    int64_t busy_since_ms; /* since when the owner has no room; 0: it has */
-    char *reason;
-    int64_t used_ms;
-    int64_t wanted_ms;  /* when the owner was last told */
-    int wanted_waiting; /* what it was told */
-    int wanted_running;
+    int64_t ready_at_ms; /* estimated end of the load; for ROUTE_LOADING */
+    int64_t route_received_ms;
+    int64_t owner_lost_ms; /* since when the cell has no reachable owner; 0: it has one */
+    int64_t busy_since_ms; /* since when the state is ROUTE_BUSY; 0: it is another */
+    char *reason;          /* from the owner, for explain */
+    int64_t last_used_ms;
+    int64_t demand_sent_ms; /* time of the last demand message; 0: none yet */
+    int sent_waiting;       /* values in that message */
+    int sent_running;
     double service_ms; /* moving average of a request's time on an engine */
 };
 
@@ -62,12 +66,13 @@
 
 typedef enum gw_stage_t {
     STAGE_WAITING,  /* in its target's queue */
-    STAGE_CLAIMING, /* asks for its key's one run */
-    STAGE_RUNNING,  /* a call to an engine is under way */
+    STAGE_CLAIMING, /* awaits the cell owner's response to its claim */
+    STAGE_RUNNING,  /* a call to an engine is in progress */
     STAGE_FINISHED
 } gw_stage_t;
 
-/* One caller's request. The lock guards what more than one thread touches at a time. */
+/* A client's request. It moves from thread to thread, with one at a time in charge of it; the lock
+ * guards the members that others access meanwhile (stage, exchange, call, client_gone). */
 struct gw_request_t {
     int references;
     GMutex lock;
@@ -75,45 +80,45 @@
     wb_http_exchange_t *exchange; /* NULL once answered */
     char id[REQUEST_ID_SIZE];
     gw_kind_t kind;
-    char *model;   /* as declared */
+    char *model;   /* name in the configuration */
     char *adapter; /* "" for none */
     char *owner;
     double share;
-    char *key; /* owner and idempotency key, or NULL */
+    char *key; /* "owner/idempotency key", or NULL */
     gboolean repeatable;
     gboolean streaming;
-    gboolean fetching; /* wants the answer of an earlier request with its key */
+    gboolean fetch_only; /* GET of the response to an earlier request with this key */
     char *body;
     size_t body_length;
-    uint64_t digest;
+    uint64_t digest; /* of body, kind and path; a key is valid for one digest */
     int64_t arrived_ms;
     int64_t deadline_ms;
-    int64_t started_ms; /* on the present engine */
+    int64_t started_ms; /* start of the current attempt */
     gw_stage_t stage;
     int attempts;
     gw_shard_t *shard;
-    char *engine; /* present or last engine */
+    char *engine; /* current or last engine */
     char *engine_address;
-    char stream[REQUEST_ID_SIZE]; /* its name on the engine, new for each run */
-    uint64_t claim_number;        /* of the claim under way */
-    uint64_t claim_attempt;
+    char stream[REQUEST_ID_SIZE]; /* stream id on the engine, new for each run */
+    uint64_t claim_number;        /* key of the pending claim in the gateway's table */
+    uint64_t claim_attempt;       /* in the owner's last claim response; sent as retry_of */
     int64_t claim_sent_ms;
-    gboolean claim_granted; /* no other run of the key can have happened */
-    gboolean holds_replica; /* counted in the replica's running */
-    gboolean attached;      /* the stream belongs to an earlier run with the same key */
-    gboolean attached_done; /* and that run has ended with an answer */
-    int64_t attached_ms;    /* when that run was claimed */
-    char *path;             /* of an opaque call, behind the service's name; else NULL */
-    gboolean may_have_run;  /* an engine may have started it */
-    int resumes;            /* tries to take up the present stream again */
+    gboolean claim_granted;       /* no other run of the key can have happened */
+    gboolean holds_replica;       /* counted in the replica's running */
+    gboolean attached;            /* the stream belongs to an earlier run with the same key */
+    gboolean first_run_completed; /* that run ended with a response */
+    int64_t first_run_claimed_ms; /* when that run was claimed */
+    char *path;            /* of an opaque call: what follows the service's name; else NULL */
+    gboolean may_have_run; /* an engine may have started it */
+    int resume_count;      /* attempts to resume the current stream */
     wb_http_call_t *call;
-    gboolean caller_gone;
-    gboolean stream_begun; /* the answer's head went to the caller */
-    gboolean done_seen;    /* the stream's last event went to the caller */
-    int events;            /* whole events passed on */
-    char *seed;            /* of the run that the caller sees */
-    GString *partial;      /* the start of an event */
-    char why[160];         /* last reason to wait, move or refuse */
+    gboolean client_gone;
+    gboolean stream_started; /* the response head was sent to the client */
+    gboolean done_forwarded; /* the stream's last event was sent to the client */
+    int events;              /* complete events forwarded */
+    char *seed;              /* of the run whose output the client receives */
+    GString *partial_event;  /* received part of an incomplete event */
+    char reason[160];        /* last reason to wait, retry or refuse; for explain */
 };
 
 struct wb_gateway_t {
@@ -138,64 +143,89 @@
 /* request.c */
 gw_request_t *request_ref(gw_request_t *request);
 void request_unref(gw_request_t *request);
-/* Reads a request, or answers it with what is wrong. Returns NULL then. */
+/* Parses a request. If it is invalid, answers it with an error and returns NULL. */
 gw_request_t *request_read(wb_gateway_t *gateway, wb_http_exchange_t *exchange, gw_kind_t kind,
                            const char *service, const char *call_path);
+/* The same for the GET of a response by its idempotency key. */
 gw_request_t *request_read_fetch(wb_gateway_t *gateway, wb_http_exchange_t *exchange,
                                  const char *key);
-void request_name_stream(gw_request_t *request);
+void request_new_stream_id(gw_request_t *request);
 int64_t request_time_left_ms(const gw_request_t *request);
-void request_why(gw_request_t *request, const char *format, ...) G_GNUC_PRINTF(2, 3);
-
-/* answer.c: each ends the request */
-void answer_error(gw_request_t *request, unsigned status, const char *type, const char *code,
-                  wb_verdict_t verdict, int64_t retry_after_ms, const char *message);
-void answer_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
-                    const char *message);
-void answer_may_have_run(gw_request_t *request, const char *message);
-void answer_whole(gw_request_t *request, unsigned status, const char *body, size_t length);
-void answer_stream_end(gw_request_t *request);
-void answer_caller_gone(gw_request_t *request);
-/* An error for something that never became a request. */
-void answer_bad(wb_gateway_t *gateway, wb_http_exchange_t *exchange, unsigned status,
-                const char *code, const char *message);
-/* Adds the usual headers; a stream's head goes out before its verdict is known, which is NULL. */
-void answer_headers(gw_request_t *request, const char *verdict);
+void request_set_reason(gw_request_t *request, const char *format, ...) G_GNUC_PRINTF(2, 3);
+
+/* answer.c. All but response_add_headers finish a request; only the first call for a request has
+ * an effect. They don't drop the caller's reference. */
+/* retry_after_ms < 0: no Retry-After header. Ends a started stream with an error event. */
+void response_send_error(gw_request_t *request, unsigned status, const char *type, const char *code,
+                         wb_verdict_t verdict, int64_t retry_after_ms, const char *message);
+void response_send_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
+                           const char *message);
+void response_send_may_have_run(gw_request_t *request, const char *message);
+void response_send_complete(gw_request_t *request, unsigned status, const char *body,
+                            size_t length);
+void response_end_stream(gw_request_t *request);
+void response_end_client_gone(gw_request_t *request);
+/* An error for an HTTP exchange that has no gw_request_t, or whose request is invalid. */
+void response_send_rejection(wb_gateway_t *gateway, wb_http_exchange_t *exchange, unsigned status,
+                             const char *code, const char *message);
+/* Adds request id, engine and verdict; NULL for a stream, whose verdict isn't known at its start.
+ */
+void response_add_headers(gw_request_t *request, const char *verdict);
 
 /* target.c */
-gw_shard_t *shard_of(wb_gateway_t *gateway, const char *model, const char *adapter);
-/* With the shard's lock held. */
+gw_shard_t *shard_find(wb_gateway_t *gateway, const char *model, const char *adapter);
+/* Returns the target, creating it if missing. The shard's lock must be held. */
 gw_target_t *target_get(gw_shard_t *shard, const char *model, const char *adapter, const char *cell,
                         int64_t now_ms);
-gw_target_t *target_of(const gw_request_t *request);
+/* Returns the request's target or NULL. The shard's lock must be held. */
+gw_target_t *target_find(const gw_request_t *request);
 void target_free(gpointer data);
+/* The shard's lock must be held. Takes over the caller's reference to the request. */
 void target_enqueue(gw_target_t *target, gw_request_t *request, gboolean front);
-/* Takes requests off the queue that may run now; they are returned for starting without locks. */
+/* Assigns queued requests to replicas with free capacity. Appends them to starting; the caller
+ * passes them to run_start_all after it unlocked the shard. */
 void target_dispatch(wb_gateway_t *gateway, gw_target_t *target, GQueue *starting, int64_t now_ms);
-void target_release(gw_request_t *request, gboolean success, gboolean refused, int64_t down_ms);
-/* Notes whether the owner could be told of what waits. Returns TRUE when those that wait have
- * waited long enough for one. */
+/* Ends the request's use of its replica, if any, and starts queued requests. queue_full: the engine
+ * refused it because its queue is full. down_ms > 0: use the replica no more for that time. Must
+ * be called without the shard's lock. */
+void target_release(gw_request_t *request, gboolean success, gboolean queue_full, int64_t down_ms);
+/* Records whether demand could not be sent to the cell's owner (lost). Returns TRUE when there are
+ * queued requests, no replica, and no reachable owner for wait_ms. The shard's lock must be held.
+ */
 gboolean target_owner_is_missing(gw_target_t *target, gboolean lost, int64_t now_ms,
                                  int64_t wait_ms);
-int64_t target_predict_ms(const gw_target_t *target);
-void target_show(wb_gateway_t *gateway, const wb_wire_route_show *show);
+/* Returns the estimated queueing time of a new request, 0 if unknown. */
+int64_t target_estimate_wait_ms(const gw_target_t *target);
+/* Applies an owner's route update: starts or refuses queued requests accordingly. */
+void target_apply_route(wb_gateway_t *gateway, const wb_wire_route_show *update);
 
 /* run.c */
+/* Starts the requests, those with a key by claiming the key. Call without locks. */
 void run_start_all(GQueue *starting);
-/* Puts a request back in its queue, to run on another engine. */
-void run_again(gw_request_t *request, const char *why);
+/* Queues a request for a retry on another engine, or refuses it if attempts or time are used up. */
+void run_retry(gw_request_t *request, const char *reason);
+/* Sends the request to its engine. */
 void run_on_engine(gw_request_t *request);
+/* Reads the stream request->stream from the engine, from the next event that the client needs. */
 void run_attach(gw_request_t *request);
+/* Asks the engine to cancel the request's stream. */
 void run_cancel(gw_request_t *request);
 
 /* claim.c */
-void claim_ask(gw_request_t *request, uint64_t retry_of);
-void claim_show(wb_gateway_t *gateway, const wb_wire_claim_show *show);
-void claim_tell_done(gw_request_t *request, unsigned status, const char *answer, size_t length);
-void claims_check(wb_gateway_t *gateway, int64_t now_ms);
+/* Claims the key's run from the cell's owner. retry_of: the attempt that this one replaces, known
+ * not to have run; 0: none. */
+void claim_start(gw_request_t *request, uint64_t retry_of);
+void claim_on_response(wb_gateway_t *gateway, const wb_wire_claim_show *response);
+/* Reports the first run's response to the cell's owner, which keeps it for retries. */
+void claim_report_completed(gw_request_t *request, unsigned status, const char *answer,
+                            size_t length);
+/* Sends unanswered claims again and refuses expired ones. On the loop's thread. */
+void claims_tick(wb_gateway_t *gateway, int64_t now_ms);
 
 /* want.c */
-void wants_tick(void *context);
-void want_now(wb_gateway_t *gateway);
+/* Timer callback: sends demand that is due, refuses expired requests, dispatches the others. */
+void demand_tick(void *context);
+/* Runs demand_tick on the loop's thread as soon as possible. */
+void demand_report_now(wb_gateway_t *gateway);
 
 #endif
--- a/src/gateway/request.c
+++ b/src/gateway/request.c
@@ -1,4 +1,5 @@
-/* Reads callers' requests and checks them. */
+/* Parses and validates clients' requests: path, headers and JSON body. An invalid one is answered
+ * with HTTP status 400 or 404. Deadlines are in milliseconds. */
 #include "gateway_types.h"
 
 #include "wickbridge/json.h"
@@ -8,9 +9,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define DEADLINE_LIMIT_MS 86400000
-#define KEY_LIMIT 128
-#define PATH_LIMIT 200
+#define DEADLINE_MAX_MS 86400000
+#define KEY_MAX_LENGTH 128
+#define PATH_MAX_LENGTH 200
 #define OWNER_DEFAULT "default"
 
 gw_request_t *request_ref(gw_request_t *request) {
@@ -33,27 +34,27 @@
     g_free(request->engine);
     g_free(request->engine_address);
     g_free(request->seed);
-    g_string_free(request->partial, TRUE);
+    g_string_free(request->partial_event, TRUE);
     g_free(request);
 }
 
-static void random_name(char *name, const char *prefix) {
+static void random_id(char *name, const char *prefix) {
     g_snprintf(name, REQUEST_ID_SIZE, "%s%08x%08x%08x", prefix, g_random_int(), g_random_int(),
                g_random_int());
 }
 
-void request_name_stream(gw_request_t *request) {
-    random_name(request->stream, "s-");
+void request_new_stream_id(gw_request_t *request) {
+    random_id(request->stream, "s-");
 }
 
 int64_t request_time_left_ms(const gw_request_t *request) {
     return request->deadline_ms - wb_clock_ms();
 }
 
-void request_why(gw_request_t *request, const char *format, ...) {
+void request_set_reason(gw_request_t *request, const char *format, ...) {
     va_list arguments;
     va_start(arguments, format);
-    g_vsnprintf(request->why, sizeof(request->why), format, arguments);
+    g_vsnprintf(request->reason, sizeof(request->reason), format, arguments);
     va_end(arguments);
 }
 
@@ -63,16 +64,16 @@
     g_mutex_init(&request->lock);
     request->gateway = gateway;
     request->exchange = exchange;
-    request->partial = g_string_new(NULL);
+    request->partial_event = g_string_new(NULL);
     request->arrived_ms = wb_clock_ms();
-    random_name(request->id, "r-");
-    request_name_stream(request);
+    random_id(request->id, "r-");
+    request_new_stream_id(request);
     return request;
 }
 
-/* Finds what a name means: a model, an adapter, or "model:adapter". */
-static const wb_model_t *model_resolve(const wb_config_t *config, const char *name,
-                                       const char **adapter) {
+/* Looks up a model, an adapter, or "model:adapter". Sets adapter to "" if the name has none. */
+static const wb_model_t *model_lookup(const wb_config_t *config, const char *name,
+                                      const char **adapter) {
     *adapter = "";
     const wb_model_t *model = wb_config_model(config, name);
     if (model != NULL)
@@ -91,21 +92,21 @@
     return wb_config_model(config, found->model);
 }
 
-/* Returns FALSE for a header that is no number of milliseconds in range. */
-static gboolean deadline_read(wb_http_exchange_t *exchange, int64_t *deadline_ms) {
+/* Returns FALSE if the header isn't an integer from 1 to DEADLINE_MAX_MS. */
+static gboolean deadline_parse(wb_http_exchange_t *exchange, int64_t *deadline_ms) {
     const char *text = wb_http_exchange_header(exchange, "Wickbridge-Deadline-Ms");
     if (text == NULL)
         return TRUE;
     char *end;
     int64_t value = g_ascii_strtoll(text, &end, 10);
-    if (end == text || *end != '\0' || value < 1 || value > DEADLINE_LIMIT_MS)
+    if (end == text || *end != '\0' || value < 1 || value > DEADLINE_MAX_MS)
         return FALSE;
     *deadline_ms = value;
     return TRUE;
 }
 
-/* Returns FALSE for a header that is neither "yes" nor "no". */
-static gboolean repeatable_read(wb_http_exchange_t *exchange, gboolean *repeatable) {
+/* Returns FALSE if the header is neither "yes" nor "no". */
+static gboolean repeatable_parse(wb_http_exchange_t *exchange, gboolean *repeatable) {
     const char *text = wb_http_exchange_header(exchange, "Wickbridge-Repeatable");
     if (text == NULL)
         return TRUE;
@@ -115,14 +116,14 @@
     return TRUE;
 }
 
-/* What is wrong with the headers, or NULL. */
-static const char *headers_take(gw_request_t *request, const wb_config_t *config,
-                                const wb_service_t *service) {
+/* Returns the error message for the client, or NULL if the headers are valid. */
+static const char *headers_parse(gw_request_t *request, const wb_config_t *config,
+                                 const wb_service_t *service) {
     int64_t deadline_ms = service->default_deadline_ms;
     request->repeatable = service->repeatable;
-    if (!deadline_read(request->exchange, &deadline_ms))
+    if (!deadline_parse(request->exchange, &deadline_ms))
         return "Wickbridge-Deadline-Ms must be a whole number from 1 to 86400000.";
-    if (!repeatable_read(request->exchange, &request->repeatable))
+    if (!repeatable_parse(request->exchange, &request->repeatable))
         return "Wickbridge-Repeatable must be yes or no.";
     request->deadline_ms = request->arrived_ms + deadline_ms;
     const char *owner = wb_http_exchange_header(request->exchange, "Wickbridge-Owner");
@@ -132,40 +133,42 @@
         return "Wickbridge-Owner names no declared owner.";
     request->share = declared != NULL ? (double)declared->share : 1.0;
     const char *key = wb_http_exchange_header(request->exchange, "Idempotency-Key");
-    if (key != NULL && (*key == '\0' || strlen(key) > KEY_LIMIT))
+    if (key != NULL && (*key == '\0' || strlen(key) > KEY_MAX_LENGTH))
         return "Idempotency-Key must have 1 to 128 characters.";
     if (key != NULL)
         request->key = g_strconcat(request->owner, "/", key, NULL);
     return NULL;
 }
 
-static gw_request_t *request_fail(gw_request_t *request, unsigned status, const char *code,
-                                  const char *message) {
-    answer_bad(request->gateway, request->exchange, status, code, message);
+static gw_request_t *request_reject(gw_request_t *request, unsigned status, const char *code,
+                                    const char *message) {
+    response_send_rejection(request->gateway, request->exchange, status, code, message);
     request_unref(request);
     return NULL;
 }
 
-/* Sets the model and the headers' values. Returns NULL after an answer was sent. */
+/* Sets the model and the values of the headers. On an error, answers, frees the request and returns
+ * NULL. */
 static gw_request_t *request_resolve(gw_request_t *request, const wb_config_t *config,
                                      const char *name, const char *service_name) {
     const char *adapter;
-    const wb_model_t *model = model_resolve(config, name, &adapter);
+    const wb_model_t *model = model_lookup(config, name, &adapter);
     if (model == NULL || (service_name != NULL && strcmp(model->service, service_name) != 0)) {
         g_autofree char *message = g_strdup_printf("The model '%.100s' does not exist.", name);
-        return request_fail(request, 404, "model_not_found", message);
+        return request_reject(request, 404, "model_not_found", message);
     }
     request->model = g_strdup(model->name);
     request->adapter = g_strdup(adapter);
-    const char *wrong = headers_take(request, config, wb_config_service(config, model->service));
-    if (wrong != NULL)
-        return request_fail(request, 400, "invalid_header", wrong);
+    const char *invalid = headers_parse(request, config, wb_config_service(config, model->service));
+    if (invalid != NULL)
+        return request_reject(request, 400, "invalid_header", invalid);
     return request;
 }
 
-/* An opaque call names its model in a header, or its service has just one. */
-static const char *call_model(const wb_config_t *config, wb_http_exchange_t *exchange,
-                              const char *service) {
+/* Returns the model of an opaque call: from its header, or the only model of its service; "" if
+ * the service has none or several. */
+static const char *call_model_name(const wb_config_t *config, wb_http_exchange_t *exchange,
+                                   const char *service) {
     const char *name = wb_http_exchange_header(exchange, "Wickbridge-Model");
     if (name != NULL)
         return name;
@@ -183,7 +186,8 @@
     return name != NULL ? name : "";
 }
 
-static const char *body_check(const json_t *body, gw_kind_t kind) {
+/* Returns the error message for the client, or NULL if the body is valid. */
+static const char *body_validate(const json_t *body, gw_kind_t kind) {
     if (kind == KIND_CALL)
         return NULL;
     if (!json_is_object(body))
@@ -200,6 +204,7 @@
     return NULL;
 }
 
+/* Returns a new reference, or NULL. */
 static wb_config_t *config_get(wb_gateway_t *gateway) {
     g_mutex_lock(&gateway->config_lock);
     wb_config_t *config = gateway->config != NULL ? wb_config_ref(gateway->config) : NULL;
@@ -207,7 +212,7 @@
     return config;
 }
 
-/* Escaped, so that nothing in it can end the header that carries it to the engine. */
+/* Escapes the path, so that it can't inject a line break into the Engine-Path header. */
 static char *path_escape(const char *path) {
     return g_uri_escape_string(path, G_URI_RESERVED_CHARS_ALLOWED_IN_PATH, FALSE);
 }
@@ -218,8 +223,8 @@
     request->kind = kind;
     if (kind == KIND_CALL)
         request->path = path_escape(call_path);
-    if (request->path != NULL && strlen(request->path) > PATH_LIMIT)
-        return request_fail(request, 400, "invalid_path", "The path is too long.");
+    if (request->path != NULL && strlen(request->path) > PATH_MAX_LENGTH)
+        return request_reject(request, 400, "invalid_path", "The path is too long.");
     size_t length;
     const char *text = wb_http_exchange_body(exchange, &length);
     json_error_t failure;
@@ -227,16 +232,16 @@
     if (body == NULL) {
         g_autofree char *message =
             g_strdup_printf("The body is not valid JSON: line %d: %s.", failure.line, failure.text);
-        return request_fail(request, 400, "invalid_json", message);
+        return request_reject(request, 400, "invalid_json", message);
     }
-    const char *wrong = body_check(body, kind);
-    if (wrong != NULL) {
+    const char *invalid = body_validate(body, kind);
+    if (invalid != NULL) {
         json_decref(body);
-        return request_fail(request, 400, "invalid_request", wrong);
+        return request_reject(request, 400, "invalid_request", invalid);
     }
     wb_config_t *config = config_get(gateway);
-    const char *name =
-        kind == KIND_CALL ? call_model(config, exchange, service) : wb_json_text(body, "model", "");
+    const char *name = kind == KIND_CALL ? call_model_name(config, exchange, service)
+                                         : wb_json_text(body, "model", "");
     request->streaming = kind != KIND_CALL && wb_json_boolean(body, "stream", FALSE);
     request->body = g_strndup(text, length);
     request->body_length = length;
@@ -255,10 +260,10 @@
     const char *name = wb_http_exchange_query(exchange, "model");
     const char *stream = wb_http_exchange_query(exchange, "stream");
     if (name == NULL)
-        return request_fail(request, 400, "invalid_request",
-                            "The query must name the model: ?model=NAME");
+        return request_reject(request, 400, "invalid_request",
+                              "The query must name the model: ?model=NAME");
     wb_config_t *config = config_get(gateway);
-    request->fetching = TRUE;
+    request->fetch_only = TRUE;
     request->streaming = stream != NULL && strcmp(stream, "true") == 0;
     request = request_resolve(request, config, name, NULL);
     wb_config_unref(config);
--- a/src/gateway/target.c
+++ b/src/gateway/target.c
@@ -1,4 +1,8 @@
-/* Keeps what is known of a model here: its queue, its replicas, and how much each may run. */
+/* Targets: the queue, route and replicas of a model, or of a model with an adapter.
+ *
+ * Chooses a replica for each queued request. Each replica has a window, a limit on concurrent
+ * requests that grows with successes and shrinks when the engine's queue is full. Times are in
+ * milliseconds. */
 #include "gateway_types.h"
 
 #include "wickbridge/log.h"
@@ -6,17 +10,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define SERVICE_WEIGHT 0.1   /* of a new measurement in the moving average */
-#define WINDOW_PER_BATCH 2.0 /* an engine's own queue keeps its batch full */
-#define WINDOW_CUT 0.8       /* after a refusal for a full queue */
+#define SERVICE_SAMPLE_WEIGHT 0.1 /* of a new measurement in the moving average */
+#define WINDOW_PER_BATCH 2.0      /* max window; the engine's own queue keeps its batch full */
+#define WINDOW_CUT_FACTOR 0.8     /* after a refusal because of a full queue */
 #define WINDOW_CUT_INTERVAL_MS 200
 
-static char *pair_name(const char *model, const char *adapter) {
+static char *target_key(const char *model, const char *adapter) {
     return g_strconcat(model, "\n", adapter, NULL);
 }
 
-gw_shard_t *shard_of(wb_gateway_t *gateway, const char *model, const char *adapter) {
-    g_autofree char *name = pair_name(model, adapter);
+gw_shard_t *shard_find(wb_gateway_t *gateway, const char *model, const char *adapter) {
+    g_autofree char *name = target_key(model, adapter);
     return &gateway->shards[XXH64(name, strlen(name), 0) % GATEWAY_SHARDS];
 }
 
@@ -41,7 +45,7 @@
 
 gw_target_t *target_get(gw_shard_t *shard, const char *model, const char *adapter, const char *cell,
                         int64_t now_ms) {
-    g_autofree char *name = pair_name(model, adapter);
+    g_autofree char *name = target_key(model, adapter);
     gw_target_t *target = g_hash_table_lookup(shard->targets, name);
     if (target == NULL) {
         target = g_new0(gw_target_t, 1);
@@ -52,12 +56,12 @@
         target->replicas = g_ptr_array_new_with_free_func(replica_free);
         g_hash_table_insert(shard->targets, g_steal_pointer(&name), target);
     }
-    target->used_ms = now_ms;
+    target->last_used_ms = now_ms;
     return target;
 }
 
-gw_target_t *target_of(const gw_request_t *request) {
-    g_autofree char *name = pair_name(request->model, request->adapter);
+gw_target_t *target_find(const gw_request_t *request) {
+    g_autofree char *name = target_key(request->model, request->adapter);
     return g_hash_table_lookup(request->shard->targets, name);
 }
 
@@ -69,29 +73,31 @@
         wb_fair_queue_push(target->queue, request->owner, request->share, 1.0, request);
 }
 
-static gboolean replica_has_space(const gw_replica_t *replica, int64_t now_ms) {
-    return replica->shown && now_ms >= replica->down_until_ms &&
+static gboolean replica_has_capacity(const gw_replica_t *replica, int64_t now_ms) {
+    return replica->in_route && now_ms >= replica->down_until_ms &&
            replica->running + 1 <= MAX(replica->window, 1.0);
 }
 
 static double replica_load(const gw_replica_t *replica, const char *zone) {
-    /* Of two equally loaded replicas, the one in our zone. */
-    double distance = strcmp(replica->zone, zone) == 0 ? 0.0 : 0.01;
-    return (double)replica->running / MAX(replica->window, 1.0) + distance;
+    /* Prefers the replica in this node's zone when both are equally loaded. */
+    double zone_penalty = strcmp(replica->zone, zone) == 0 ? 0.0 : 0.01;
+    return (double)replica->running / MAX(replica->window, 1.0) + zone_penalty;
 }
 
-/* Power of two choices (Mitzenmacher 2001) among replicas with space. */
+/* Power of two choices (Mitzenmacher 2001) among replicas with capacity. Returns NULL if none has
+ * any. */
 static gw_replica_t *replica_choose(const wb_gateway_t *gateway, const gw_target_t *target,
                                     int64_t now_ms) {
-    g_autoptr(GPtrArray) free_replicas = g_ptr_array_new();
+    g_autoptr(GPtrArray) candidates = g_ptr_array_new();
     for (guint i = 0; i < target->replicas->len; i++)
-        if (replica_has_space(target->replicas->pdata[i], now_ms))
-            g_ptr_array_add(free_replicas, target->replicas->pdata[i]);
-    if (free_replicas->len == 0)
+        if (replica_has_capacity(target->replicas->pdata[i], now_ms))
+            g_ptr_array_add(candidates, target->replicas->pdata[i]);
+    if (candidates->len == 0)
         return NULL;
-    gw_replica_t *one = free_replicas->pdata[g_random_int_range(0, (gint32)free_replicas->len)];
-    gw_replica_t *two = free_replicas->pdata[g_random_int_range(0, (gint32)free_replicas->len)];
-    return replica_load(one, gateway->zone) <= replica_load(two, gateway->zone) ? one : two;
+    gw_replica_t *first = candidates->pdata[g_random_int_range(0, (gint32)candidates->len)];
+    gw_replica_t *second = candidates->pdata[g_random_int_range(0, (gint32)candidates->len)];
+    return replica_load(first, gateway->zone) <= replica_load(second, gateway->zone) ? first
+                                                                                     : second;
 }
 
 void target_dispatch(wb_gateway_t *gateway, gw_target_t *target, GQueue *starting, int64_t now_ms) {
@@ -123,43 +129,43 @@
     return NULL;
 }
 
-/* A replica that is no longer shown stays until our requests on it have ended. */
+/* Removes replicas that have left the route, once this gateway's requests on them have ended. */
 static void replicas_sweep(gw_target_t *target) {
     for (guint i = target->replicas->len; i-- > 0;) {
         const gw_replica_t *replica = target->replicas->pdata[i];
-        if (!replica->shown && replica->running == 0)
+        if (!replica->in_route && replica->running == 0)
             g_ptr_array_remove_index_fast(target->replicas, i);
     }
 }
 
-/* The engine's queue was full. One burst of refusals is one sign, so it cuts once. */
+/* Reduces the window after a full-queue refusal, once per burst of refusals. */
 static void window_cut(gw_replica_t *replica, int64_t now_ms) {
-    if (now_ms - replica->cut_ms < WINDOW_CUT_INTERVAL_MS)
+    if (now_ms - replica->window_cut_ms < WINDOW_CUT_INTERVAL_MS)
         return;
-    replica->cut_ms = now_ms;
-    replica->window = MAX(MIN(replica->window, replica->running + 1) * WINDOW_CUT, 1.0);
+    replica->window_cut_ms = now_ms;
+    replica->window = MAX(MIN(replica->window, replica->running + 1) * WINDOW_CUT_FACTOR, 1.0);
 }
 
-/* Fast up to the engine's batch, then by one for each window's worth of successes. */
+/* Grows by 1 per success up to the engine's batch, then by 1 per window of successes. */
 static void window_grow(gw_replica_t *replica) {
     double step = replica->window < replica->batch ? 1.0 : 1.0 / replica->window;
     replica->window = MIN(replica->window + step, WINDOW_PER_BATCH * replica->batch);
 }
 
-void target_release(gw_request_t *request, gboolean success, gboolean refused, int64_t down_ms) {
+void target_release(gw_request_t *request, gboolean success, gboolean queue_full, int64_t down_ms) {
     GQueue starting = G_QUEUE_INIT;
     int64_t now_ms = wb_clock_ms();
     g_mutex_lock(&request->shard->lock);
-    gw_target_t *target = target_of(request);
+    gw_target_t *target = target_find(request);
     gboolean held = request->holds_replica;
     request->holds_replica = FALSE;
     if (target != NULL && held) {
         target->running--;
-        target->used_ms = now_ms;
+        target->last_used_ms = now_ms;
         gw_replica_t *replica = replica_find(target, request->engine);
         if (replica != NULL) {
             replica->running--;
-            if (refused)
+            if (queue_full)
                 window_cut(replica, now_ms);
             else if (success)
                 window_grow(replica);
@@ -168,10 +174,10 @@
         }
         if (success) {
             double took_ms = (double)(now_ms - request->started_ms);
-            target->service_ms =
-                target->service_ms <= 0.0
-                    ? took_ms
-                    : (1.0 - SERVICE_WEIGHT) * target->service_ms + SERVICE_WEIGHT * took_ms;
+            target->service_ms = target->service_ms <= 0.0
+                                     ? took_ms
+                                     : (1.0 - SERVICE_SAMPLE_WEIGHT) * target->service_ms +
+                                           SERVICE_SAMPLE_WEIGHT * took_ms;
         }
         replicas_sweep(target);
         target_dispatch(request->gateway, target, &starting, now_ms);
@@ -183,23 +189,22 @@
 gboolean target_owner_is_missing(gw_target_t *target, gboolean lost, int64_t now_ms,
                                  int64_t wait_ms) {
     if (wb_fair_queue_length(target->queue) == 0) {
-        /* Time in which nobody waited is no wait: an earlier loss may long be over. */
+        /* Time without queued requests doesn't count: an earlier loss may have ended. */
         target->owner_lost_ms = 0;
         return FALSE;
     }
     if (lost && target->owner_lost_ms == 0)
         target->owner_lost_ms = now_ms;
-    /* Routes stay good without an owner; only requests without a replica are given up. */
+    /* Known replicas stay usable without an owner. */
     return target->replicas->len == 0 && target->owner_lost_ms > 0 &&
            now_ms - target->owner_lost_ms >= wait_ms;
 }
 
-/* How long a new request would wait, as far as is known; 0 when nothing is known. */
-int64_t target_predict_ms(const gw_target_t *target) {
+int64_t target_estimate_wait_ms(const gw_target_t *target) {
     double windows = 0.0;
     for (guint i = 0; i < target->replicas->len; i++) {
         const gw_replica_t *replica = target->replicas->pdata[i];
-        if (replica->shown)
+        if (replica->in_route)
             windows += MAX(replica->window, 1.0);
     }
     if (windows < 1.0 || target->service_ms <= 0.0)
@@ -208,11 +213,11 @@
     return ahead <= 0.0 ? 0 : (int64_t)(ahead / windows * target->service_ms);
 }
 
-static void replicas_update(gw_target_t *target, const wb_wire_route_show *show) {
+static void replicas_apply(gw_target_t *target, const wb_wire_route_show *update) {
     for (guint i = 0; i < target->replicas->len; i++)
-        ((gw_replica_t *)target->replicas->pdata[i])->shown = FALSE;
-    for (u_int i = 0; i < show->replicas.replicas_len; i++) {
-        const wb_wire_replica *wire = &show->replicas.replicas_val[i];
+        ((gw_replica_t *)target->replicas->pdata[i])->in_route = FALSE;
+    for (u_int i = 0; i < update->replicas.replicas_len; i++) {
+        const wb_wire_replica *wire = &update->replicas.replicas_val[i];
         gw_replica_t *replica = replica_find(target, wire->engine);
         if (replica == NULL) {
             replica = g_new0(gw_replica_t, 1);
@@ -223,76 +228,77 @@
             replica->window = replica->batch;
             g_ptr_array_add(target->replicas, replica);
         }
-        replica->shown = TRUE;
+        replica->in_route = TRUE;
     }
     replicas_sweep(target);
 }
 
-/* What a refused wake means for a request that waits. */
-typedef struct wake_check_t {
+/* Context of request_is_refused. */
+typedef struct route_check_t {
     gw_target_t *target;
     int64_t now_ms;
     int64_t busy_wait_ms;
     GQueue refused;
-} wake_check_t;
+} route_check_t;
 
-static gboolean wake_is_too_late(gpointer item, gpointer context) {
+/* Whether the route update means that a queued request can't be served in time. */
+static gboolean request_is_refused(gpointer item, gpointer context) {
     gw_request_t *request = item;
-    wake_check_t *check = context;
+    route_check_t *check = context;
     const gw_target_t *target = check->target;
-    gboolean too_late = target->state == ROUTE_WAKING && target->replicas->len == 0 &&
+    gboolean too_late = target->state == ROUTE_LOADING && target->replicas->len == 0 &&
                         target->ready_at_ms > request->deadline_ms;
-    gboolean no_room =
+    gboolean no_capacity =
         target->state == ROUTE_BUSY &&
         check->now_ms - MAX(target->busy_since_ms, request->arrived_ms) >= check->busy_wait_ms;
-    gboolean refused = too_late || no_room || target->state == ROUTE_REFUSED;
+    gboolean refused = too_late || no_capacity || target->state == ROUTE_UNAVAILABLE;
     if (refused)
         g_queue_push_tail(&check->refused, request);
     return refused;
 }
 
-static void refused_answer(GQueue *refused, const char *code, const char *message,
-                           int64_t retry_after_ms) {
+static void refused_respond(GQueue *refused, const char *code, const char *message,
+                            int64_t retry_after_ms) {
     gw_request_t *request;
     while ((request = g_queue_pop_head(refused)) != NULL) {
-        answer_not_run(request, retry_after_ms, code, message);
+        response_send_not_run(request, retry_after_ms, code, message);
         request_unref(request);
     }
 }
 
-void target_show(wb_gateway_t *gateway, const wb_wire_route_show *show) {
-    static const gw_route_state_t states[] = {ROUTE_READY, ROUTE_WAKING, ROUTE_REFUSED,
+void target_apply_route(wb_gateway_t *gateway, const wb_wire_route_show *update) {
+    static const gw_route_state_t states[] = {ROUTE_READY, ROUTE_LOADING, ROUTE_UNAVAILABLE,
                                               ROUTE_UNKNOWN, ROUTE_BUSY};
-    gw_shard_t *shard = shard_of(gateway, show->model, show->adapter);
-    g_autofree char *name = pair_name(show->model, show->adapter);
+    gw_shard_t *shard = shard_find(gateway, update->model, update->adapter);
+    g_autofree char *name = target_key(update->model, update->adapter);
     GQueue starting = G_QUEUE_INIT;
-    wake_check_t check = {NULL, wb_clock_ms(), gateway->options.busy_wait_ms, G_QUEUE_INIT};
+    route_check_t check = {NULL, wb_clock_ms(), gateway->options.busy_wait_ms, G_QUEUE_INIT};
     g_autofree char *message = NULL;
-    int64_t retry_after_ms = show->estimate_ms;
+    int64_t retry_after_ms = update->estimate_ms;
     g_mutex_lock(&shard->lock);
     gw_target_t *target = g_hash_table_lookup(shard->targets, name);
-    if (target == NULL || show->state == WB_WIRE_ROUTE_NOT_OWNER) {
+    if (target == NULL || update->state == WB_WIRE_ROUTE_NOT_OWNER) {
         g_mutex_unlock(&shard->lock);
         return;
     }
-    target->state = states[show->state];
-    target->shown_ms = check.now_ms;
+    target->state = states[update->state];
+    target->route_received_ms = check.now_ms;
     target->owner_lost_ms = 0;
-    target->ready_at_ms = check.now_ms + show->estimate_ms;
+    target->ready_at_ms = check.now_ms + update->estimate_ms;
     g_free(target->reason);
-    target->reason = g_strdup(show->reason);
+    target->reason = g_strdup(update->reason);
     if (target->state != ROUTE_BUSY)
         target->busy_since_ms = 0;
     else if (target->busy_since_ms == 0)
         target->busy_since_ms = check.now_ms;
-    replicas_update(target, show);
+    replicas_apply(target, update);
     target_dispatch(gateway, target, &starting, check.now_ms);
     check.target = target;
-    wb_fair_queue_remove(target->queue, wake_is_too_late, &check);
-    message = target->state != ROUTE_WAKING
-                  ? g_strdup_printf("The model can't be loaded now: %s.", show->reason)
+    wb_fair_queue_remove(target->queue, request_is_refused, &check);
+    message = target->state != ROUTE_LOADING
+                  ? g_strdup_printf("The model can't be loaded now: %s.", update->reason)
                   : g_strdup("The model can't be loaded before the deadline.");
     g_mutex_unlock(&shard->lock);
-    refused_answer(&check.refused, "no_capacity", message, retry_after_ms);
+    refused_respond(&check.refused, "no_capacity", message, retry_after_ms);
     run_start_all(&starting);
 }
--- a/src/gateway/want.c
+++ b/src/gateway/want.c
@@ -1,89 +1,92 @@
-/* Tells cells' owners what waits and runs here, and gives up on requests that can't be served. */
+/* Demand: reports each target's queued and running requests to its cell's owner, and refuses queued
+ * requests that expired or whose cell has no owner. Runs on the loop's thread. */
 #include "gateway_types.h"
 
 #include "wickbridge/log.h"
 
 #include <string.h>
 
-#define ACTIVE_INTERVAL_MS 1000 /* while something waits or runs */
-#define CHANGE_INTERVAL_MS 100  /* between two messages when figures change */
-#define TARGET_FORGET_MS 300000
+#define ACTIVE_INTERVAL_MS 1000 /* between messages while requests are queued or running */
+#define CHANGE_INTERVAL_MS 100  /* min between messages while the owner must act or demand ends */
+#define TARGET_RETENTION_MS 300000
 #define RETRY_AFTER_MS 1000
 
-static void smallest_deadline(gpointer item, gpointer context) {
+static void earliest_deadline(gpointer item, gpointer context) {
     const gw_request_t *request = item;
     int64_t *deadline_ms = context;
     if (*deadline_ms == 0 || request->deadline_ms < *deadline_ms)
         *deadline_ms = request->deadline_ms;
 }
 
-static gboolean want_is_due(const gw_target_t *target, int64_t now_ms) {
+static gboolean demand_is_due(const gw_target_t *target, int64_t now_ms) {
     int waiting = (int)wb_fair_queue_length(target->queue);
-    int64_t age_ms = now_ms - target->wanted_ms;
-    if (target->wanted_ms == 0)
+    int64_t age_ms = now_ms - target->demand_sent_ms;
+    if (target->demand_sent_ms == 0)
         return waiting + target->running > 0;
-    if (waiting > 0 && target->wanted_waiting == 0)
+    if (waiting > 0 && target->sent_waiting == 0)
         return TRUE;
-    gboolean changed =
-        waiting != target->wanted_waiting || target->running != target->wanted_running;
+    gboolean changed = waiting != target->sent_waiting || target->running != target->sent_running;
     gboolean ended = changed && waiting + target->running == 0;
     if (ended || (waiting > 0 && target->state != ROUTE_READY))
         return age_ms >= CHANGE_INTERVAL_MS;
     return waiting + target->running > 0 && age_ms >= ACTIVE_INTERVAL_MS;
 }
 
-/* Tells the owner. Returns FALSE when there is none. The shard's lock is held. */
-static gboolean want_send(wb_gateway_t *gateway, gw_target_t *target, int64_t now_ms) {
+/* Sends demand to the cell's owner. Returns FALSE if there is none or it isn't reachable. The
+ * shard's lock must be held. */
+static gboolean demand_send(wb_gateway_t *gateway, gw_target_t *target, int64_t now_ms) {
     const char *owner = gateway->parts.find_owner(target->cell, gateway->parts.context);
     if (owner == NULL)
         return FALSE;
     int64_t deadline_ms = 0;
-    wb_fair_queue_each(target->queue, smallest_deadline, &deadline_ms);
+    wb_fair_queue_each(target->queue, earliest_deadline, &deadline_ms);
     wb_wire_message message = {.kind = WB_WIRE_ROUTE_WANT};
-    wb_wire_route_want *want = &message.wb_wire_message_u.route_want;
-    want->model = target->model;
-    want->adapter = target->adapter;
-    want->waiting = wb_fair_queue_length(target->queue);
-    want->running = (u_int)target->running;
-    want->tightest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
-    target->wanted_ms = now_ms;
-    target->wanted_waiting = (int)want->waiting;
-    target->wanted_running = target->running;
+    wb_wire_route_want *demand = &message.wb_wire_message_u.route_want;
+    demand->model = target->model;
+    demand->adapter = target->adapter;
+    demand->waiting = wb_fair_queue_length(target->queue);
+    demand->running = (u_int)target->running;
+    demand->tightest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
+    target->demand_sent_ms = now_ms;
+    target->sent_waiting = (int)demand->waiting;
+    target->sent_running = target->running;
     return gateway->parts.send(owner, &message, gateway->parts.context);
 }
 
+/* Requests to be answered after the shard's lock is released. */
 typedef struct expiry_t {
     int64_t now_ms;
     gboolean no_owner;
-    GQueue late;
-    GQueue unowned;
+    GQueue expired_requests;
+    GQueue ownerless_requests;
 } expiry_t;
 
-static gboolean request_is_over(gpointer item, gpointer context) {
+/* Collects a request that must leave the queue; returns FALSE if it stays. */
+static gboolean request_is_expired(gpointer item, gpointer context) {
     gw_request_t *request = item;
     expiry_t *expiry = context;
-    if (request->caller_gone || expiry->now_ms >= request->deadline_ms)
-        g_queue_push_tail(&expiry->late, request);
+    if (request->client_gone || expiry->now_ms >= request->deadline_ms)
+        g_queue_push_tail(&expiry->expired_requests, request);
     else if (expiry->no_owner)
-        g_queue_push_tail(&expiry->unowned, request);
+        g_queue_push_tail(&expiry->ownerless_requests, request);
     else
         return FALSE;
     return TRUE;
 }
 
-static void over_answer(expiry_t *expiry) {
+static void expired_respond(expiry_t *expiry) {
     gw_request_t *request;
-    while ((request = g_queue_pop_head(&expiry->late)) != NULL) {
-        if (request->caller_gone)
-            answer_caller_gone(request);
+    while ((request = g_queue_pop_head(&expiry->expired_requests)) != NULL) {
+        if (request->client_gone)
+            response_end_client_gone(request);
         else
-            answer_not_run(request, RETRY_AFTER_MS, "deadline_exceeded",
-                           "The deadline passed before an engine was free.");
+            response_send_not_run(request, RETRY_AFTER_MS, "deadline_exceeded",
+                                  "The deadline passed before an engine was free.");
         request_unref(request);
     }
-    while ((request = g_queue_pop_head(&expiry->unowned)) != NULL) {
-        answer_not_run(request, 2 * RETRY_AFTER_MS, "no_owner",
-                       "No node can decide on this model at present.");
+    while ((request = g_queue_pop_head(&expiry->ownerless_requests)) != NULL) {
+        response_send_not_run(request, 2 * RETRY_AFTER_MS, "no_owner",
+                              "No node can decide on this model at present.");
         request_unref(request);
     }
 }
@@ -91,14 +94,14 @@
 static void target_tick(wb_gateway_t *gateway, gw_target_t *target, expiry_t *expiry,
                         GQueue *starting) {
     int64_t now_ms = expiry->now_ms;
-    gboolean lost = want_is_due(target, now_ms) && !want_send(gateway, target, now_ms);
+    gboolean owner_lost = demand_is_due(target, now_ms) && !demand_send(gateway, target, now_ms);
     expiry->no_owner =
-        target_owner_is_missing(target, lost, now_ms, gateway->options.no_owner_wait_ms);
-    wb_fair_queue_remove(target->queue, request_is_over, expiry);
+        target_owner_is_missing(target, owner_lost, now_ms, gateway->options.no_owner_wait_ms);
+    wb_fair_queue_remove(target->queue, request_is_expired, expiry);
     target_dispatch(gateway, target, starting, now_ms);
 }
 
-void wants_tick(void *context) {
+void demand_tick(void *context) {
     wb_gateway_t *gateway = context;
     for (int i = 0; i < GATEWAY_SHARDS; i++) {
         gw_shard_t *shard = &gateway->shards[i];
@@ -112,16 +115,16 @@
             gw_target_t *target = value;
             target_tick(gateway, target, &expiry, &starting);
             if (target->running == 0 && wb_fair_queue_length(target->queue) == 0 &&
-                expiry.now_ms - target->used_ms > TARGET_FORGET_MS)
+                expiry.now_ms - target->last_used_ms > TARGET_RETENTION_MS)
                 g_hash_table_iter_remove(&iterator);
         }
         g_mutex_unlock(&shard->lock);
-        over_answer(&expiry);
+        expired_respond(&expiry);
         run_start_all(&starting);
     }
-    claims_check(gateway, wb_clock_ms());
+    claims_tick(gateway, wb_clock_ms());
 }
 
-void want_now(wb_gateway_t *gateway) {
-    wb_loop_post(gateway->parts.loop, wants_tick, gateway);
+void demand_report_now(wb_gateway_t *gateway) {
+    wb_loop_post(gateway->parts.loop, demand_tick, gateway);
 }
