--- a/src/node/main.c
+++ b/src/node/main.c
@@ -1,4 +1,6 @@
-/* The node program: settings, threads, servers, and a planned stop on SIGTERM. */
+/* wickbridged, the node program: reads settings, starts threads and HTTP servers, and drains the
+ * node on SIGTERM or SIGINT. Exit codes: 0 after a stop, 1 if the start failed, 2 for invalid
+ * settings; errors go to stderr. */
 #include "node_settings.h"
 #include "operators.h"
 
@@ -12,7 +14,7 @@
 
 #define LOOP_CAPACITY 4096
 #define DRAIN_CHECK_MS 50
-#define FAREWELL_MS 300 /* lets the last gossip and the last bytes leave */
+#define FLUSH_DELAY_MS 300 /* for the last gossip and responses to be sent */
 
 typedef struct daemon_t {
     wb_node_settings_t settings;
@@ -21,8 +23,8 @@
     wb_http_client_t **stream_clients;
     wb_node_t *node;
     wb_operators_t operators;
-    wb_http_server_t *callers;
-    wb_http_server_t *operators_server;
+    wb_http_server_t *client_server;
+    wb_http_server_t *operator_server;
     GMutex drain_lock;
     GCond drain_changed;
     gboolean drained;
@@ -33,7 +35,7 @@
     return 1;
 }
 
-static void caller_handle(wb_http_exchange_t *exchange, void *context) {
+static void client_handle(wb_http_exchange_t *exchange, void *context) {
     static const char missing[] = "{\"error\":{\"message\":\"There is nothing at this path.\","
                                   "\"type\":\"invalid_request_error\",\"code\":\"not_found\","
                                   "\"param\":null},\"verdict\":\"not-run\"}";
@@ -59,7 +61,7 @@
     return status;
 }
 
-/* Reads a PEM file; an empty name is fine and gives NULL. */
+/* Reads a PEM file; text is NULL if path is empty. Returns APR_EINVAL if it can't be read. */
 static apr_status_t pem_read(const char *path, char **text, wb_error_t *error) {
     *text = NULL;
     g_autoptr(GError) failure = NULL;
@@ -78,31 +80,33 @@
         status = pem_read(settings->tls_trust, &trust, error);
     if (status != APR_SUCCESS)
         return status;
-    wb_http_server_options_t callers = {.address = settings->listen_callers,
-                                        .body_limit_bytes = (size_t)settings->body_limit_bytes,
-                                        .thread_count = (unsigned)settings->http_threads,
-                                        .idle_timeout_s = (unsigned)settings->sender_timeout_s,
-                                        .tls_key_pem = key,
-                                        .tls_cert_pem = certificate,
-                                        .handler = caller_handle,
-                                        .handler_context = daemon};
+    wb_http_server_options_t client_options = {
+        .address = settings->listen_callers,
+        .body_limit_bytes = (size_t)settings->body_limit_bytes,
+        .thread_count = (unsigned)settings->http_threads,
+        .idle_timeout_s = (unsigned)settings->sender_timeout_s,
+        .tls_key_pem = key,
+        .tls_cert_pem = certificate,
+        .handler = client_handle,
+        .handler_context = daemon};
     daemon->operators = (wb_operators_t){daemon->node, daemon->loop};
-    wb_http_server_options_t operators = callers;
-    operators.address = settings->listen_operators;
-    operators.thread_count = 1;
-    operators.tls_trust_pem = trust;
-    operators.handler = wb_operators_handle;
-    operators.handler_context = &daemon->operators;
-    status = wb_http_server_start(&daemon->operators_server, &operators, error);
+    wb_http_server_options_t operator_options = client_options;
+    operator_options.address = settings->listen_operators;
+    operator_options.thread_count = 1;
+    operator_options.tls_trust_pem = trust;
+    operator_options.handler = wb_operators_handle;
+    operator_options.handler_context = &daemon->operators;
+    status = wb_http_server_start(&daemon->operator_server, &operator_options, error);
     if (status == APR_SUCCESS)
-        status = wb_http_server_start(&daemon->callers, &callers, error);
+        status = wb_http_server_start(&daemon->client_server, &client_options, error);
     return status;
 }
 
-static void drained_check(void *context) {
+/* Polls until the node is drained, then makes it leave the cluster and wakes drain_and_wait. */
+static void drain_poll(void *context) {
     daemon_t *daemon = context;
     if (!wb_node_is_drained(daemon->node)) {
-        wb_loop_after(daemon->loop, DRAIN_CHECK_MS, drained_check, daemon);
+        wb_loop_after(daemon->loop, DRAIN_CHECK_MS, drain_poll, daemon);
         return;
     }
     wb_node_leave(daemon->node);
@@ -115,11 +119,12 @@
 static void drain_begin(void *context) {
     daemon_t *daemon = context;
     wb_node_drain(daemon->node);
-    drained_check(daemon);
+    drain_poll(daemon);
 }
 
-/* Waits until nothing is open here and other nodes own the cells. */
-static void drain_wait(daemon_t *daemon) {
+/* Drains the node: waits until no request is open and other nodes own its cells, or until the
+ * setting drain-timeout-s has passed. */
+static void drain_and_wait(daemon_t *daemon) {
     int64_t until_us = g_get_monotonic_time() + daemon->settings.drain_timeout_s * G_USEC_PER_SEC;
     wb_loop_post(daemon->loop, drain_begin, daemon);
     g_mutex_lock(&daemon->drain_lock);
@@ -127,9 +132,10 @@
         if (!g_cond_wait_until(&daemon->drain_changed, &daemon->drain_lock, until_us))
             break;
     g_mutex_unlock(&daemon->drain_lock);
-    g_usleep(FAREWELL_MS * 1000);
+    g_usleep(FLUSH_DELAY_MS * 1000);
 }
 
+/* Before any thread starts, so that only sigwait receives SIGTERM and SIGINT. */
 static void signals_block(sigset_t *set) {
     sigemptyset(set);
     sigaddset(set, SIGTERM);
@@ -177,11 +183,11 @@
     wb_loop_start(daemon.loop);
     if (servers_start(&daemon, &error) != APR_SUCCESS)
         return fail(&error);
-    wb_log_message(WB_PART_NODE, "Node %s serves callers on %s.", wb_node_name(daemon.node),
+    wb_log_message(WB_PART_NODE, "Node %s serves clients on %s.", wb_node_name(daemon.node),
                    daemon.settings.listen_callers);
     int received;
     sigwait(&signals, &received);
-    drain_wait(&daemon);
-    wb_log_message(WB_PART_NODE, "Node %s has stopped.", wb_node_name(daemon.node));
+    drain_and_wait(&daemon);
+    wb_log_message(WB_PART_NODE, "Node %s stopped.", wb_node_name(daemon.node));
     return 0;
 }
--- a/src/node/metrics.c
+++ b/src/node/metrics.c
@@ -1,7 +1,7 @@
-/* Writes a node's figures in the Prometheus text format. */
+/* Writes a node's metrics in the Prometheus text format (version 0.0.4). Units are in the names. */
 #include "operators.h"
 
-static void figure_write(GString *text, const char *name, const char *type, const char *help,
+static void metric_write(GString *text, const char *name, const char *type, const char *help,
                          int64_t value) {
     g_string_append_printf(text,
                            "# HELP wickbridge_%s %s\n# TYPE wickbridge_%s %s\nwickbridge_%s "
@@ -9,39 +9,39 @@
                            name, help, name, type, name, (gint64)value);
 }
 
-static void gateway_write(GString *text, const wb_gateway_counters_t *counters) {
-    figure_write(text, "requests_accepted_total", "counter", "Requests taken in.",
+static void gateway_metrics_write(GString *text, const wb_gateway_counters_t *counters) {
+    metric_write(text, "requests_accepted_total", "counter", "Requests taken in.",
                  counters->accepted);
-    figure_write(text, "requests_completed_total", "counter", "Requests answered whole.",
+    metric_write(text, "requests_completed_total", "counter", "Requests answered whole.",
                  counters->completed);
-    figure_write(text, "requests_refused_total", "counter", "Requests refused and not run.",
+    metric_write(text, "requests_refused_total", "counter", "Requests refused and not run.",
                  counters->refused);
-    figure_write(text, "requests_unsure_total", "counter",
+    metric_write(text, "requests_unsure_total", "counter",
                  "Requests that may have run, unanswered.", counters->unsure);
-    figure_write(text, "requests_bad_total", "counter", "Wrong requests.", counters->bad);
-    figure_write(text, "requests_open", "gauge", "Requests under way.", counters->open);
-    figure_write(text, "streams_resumed_total", "counter", "Cut streams taken up again.",
+    metric_write(text, "requests_bad_total", "counter", "Wrong requests.", counters->bad);
+    metric_write(text, "requests_open", "gauge", "Requests under way.", counters->open);
+    metric_write(text, "streams_resumed_total", "counter", "Cut streams taken up again.",
                  counters->resumed);
-    figure_write(text, "requests_moved_total", "counter", "Requests run again elsewhere.",
+    metric_write(text, "requests_moved_total", "counter", "Requests run again elsewhere.",
                  counters->moved);
-    figure_write(text, "stream_events_total", "counter", "Stream events passed on.",
+    metric_write(text, "stream_events_total", "counter", "Stream events passed on.",
                  counters->events);
 }
 
-static void links_write(GString *text, wb_peers_t *peers) {
+static void link_metrics_write(GString *text, wb_peers_t *peers) {
     const wb_link_counters_t *counters = wb_peers_counters(peers);
-    figure_write(text, "link_bytes_sent_total", "counter", "Bytes sent to nodes.",
+    metric_write(text, "link_bytes_sent_total", "counter", "Bytes sent to nodes.",
                  counters->bytes_sent);
-    figure_write(text, "link_bytes_received_total", "counter", "Bytes received from nodes.",
+    metric_write(text, "link_bytes_received_total", "counter", "Bytes received from nodes.",
                  counters->bytes_received);
-    figure_write(text, "link_messages_sent_total", "counter", "Messages sent to nodes.",
+    metric_write(text, "link_messages_sent_total", "counter", "Messages sent to nodes.",
                  counters->messages_sent);
-    figure_write(text, "link_messages_received_total", "counter", "Messages received from nodes.",
+    metric_write(text, "link_messages_received_total", "counter", "Messages received from nodes.",
                  counters->messages_received);
-    figure_write(text, "links_open", "gauge", "Links to nodes.", wb_peers_open_links(peers));
+    metric_write(text, "links_open", "gauge", "Links to nodes.", wb_peers_open_links(peers));
 }
 
-static int64_t members_up(wb_node_t *node) {
+static int64_t count_members_up(wb_node_t *node) {
     const wb_member_table_t *table = wb_membership_table(wb_node_membership(node));
     g_autoptr(GPtrArray) list = wb_member_table_list(table);
     int64_t count = 0;
@@ -53,15 +53,15 @@
 
 GString *wb_metrics_write(wb_node_t *node) {
     GString *text = g_string_new(NULL);
-    gateway_write(text, wb_gateway_counters(wb_node_gateway(node)));
-    links_write(text, wb_node_peers(node));
-    figure_write(text, "members_up", "gauge", "Members that are alive or suspected.",
-                 members_up(node));
-    figure_write(text, "config_version", "gauge", "Configuration in force here.",
+    gateway_metrics_write(text, wb_gateway_counters(wb_node_gateway(node)));
+    link_metrics_write(text, wb_node_peers(node));
+    metric_write(text, "members_up", "gauge", "Members that are alive or suspected.",
+                 count_members_up(node));
+    metric_write(text, "config_version", "gauge", "Configuration in force here.",
                  (int64_t)wb_config_store_current(wb_node_config_store(node))->version);
-    figure_write(text, "cells_owned", "gauge", "Cells owned here.",
+    metric_write(text, "cells_owned", "gauge", "Cells owned here.",
                  wb_cell_host_owned(wb_node_cell_host(node)));
-    figure_write(text, "table_operations_total", "counter", "Operations sent to the table service.",
+    metric_write(text, "table_operations_total", "counter", "Operations sent to the table service.",
                  wb_platform_table_operations(wb_node_platform(node)));
     return text;
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,4 +1,5 @@
-/* Puts a node's parts together and carries messages between them. */
+/* Creates a node's components and routes messages to them. See node.h for threads. Times are in
+ * milliseconds. */
 #include "wickbridge/node.h"
 
 #include "wickbridge/log.h"
@@ -22,7 +23,8 @@
     gboolean draining;
 };
 
-/* A message that a node sends to itself: delivered later, so that no part is entered twice. */
+/* A message from this node to itself. Delivered through the loop, so that a component isn't
+ * re-entered while it sends. */
 typedef struct self_message_t {
     wb_node_t *node;
     GByteArray *bytes;
@@ -34,36 +36,36 @@
         wb_cell_host_message(node->cell_host, from, message) ||
         wb_gateway_message(node->gateway, from, message))
         return;
-    wb_log_info(WB_PART_NODE, "A %s message from %s was not expected.",
+    wb_log_info(WB_PART_NODE, "Ignored an unexpected %s message from %s.",
                 wb_message_kind_name(message->kind), from);
 }
 
 static void self_deliver(void *context) {
-    self_message_t *carried = context;
+    self_message_t *self_message = context;
     wb_wire_message message;
-    /* the frame's four bytes of length come first */
-    if (wb_message_decode(carried->bytes->data + 4, carried->bytes->len - 4, &message, NULL) ==
-        APR_SUCCESS) {
-        message_deliver(carried->node, carried->node->name, &message);
+    /* Skips the frame's 4-byte length. */
+    if (wb_message_decode(self_message->bytes->data + 4, self_message->bytes->len - 4, &message,
+                          NULL) == APR_SUCCESS) {
+        message_deliver(self_message->node, self_message->node->name, &message);
         wb_message_clear(&message);
     }
-    g_byte_array_unref(carried->bytes);
-    g_free(carried);
+    g_byte_array_unref(self_message->bytes);
+    g_free(self_message);
 }
 
 static gboolean message_send(const char *to, const wb_wire_message *message, void *context) {
     wb_node_t *node = context;
     if (strcmp(to, node->name) != 0)
         return wb_peers_send(node->peers, to, message);
-    self_message_t *carried = g_new(self_message_t, 1);
-    carried->node = node;
-    carried->bytes = g_byte_array_new();
-    if (wb_message_encode(message, carried->bytes, NULL) != APR_SUCCESS) {
-        g_byte_array_unref(carried->bytes);
-        g_free(carried);
+    self_message_t *self_message = g_new(self_message_t, 1);
+    self_message->node = node;
+    self_message->bytes = g_byte_array_new();
+    if (wb_message_encode(message, self_message->bytes, NULL) != APR_SUCCESS) {
+        g_byte_array_unref(self_message->bytes);
+        g_free(self_message);
         return FALSE;
     }
-    wb_loop_post(node->parts.loop, self_deliver, carried);
+    wb_loop_post(node->parts.loop, self_deliver, self_message);
     return TRUE;
 }
 
@@ -71,6 +73,7 @@
     message_send(to, message, context);
 }
 
+/* Returns NULL unless the owner is known and up. */
 static const char *owner_find(const char *cell, void *context) {
     wb_node_t *node = context;
     const char *owner = wb_membership_owner(node->membership, cell, NULL);
@@ -88,7 +91,7 @@
 }
 
 static void peer_down(const char *name, const char *reason, void *context) {
-    wb_log_info(WB_PART_LINK, "The link to %s ended: %s.", name, reason);
+    wb_log_info(WB_PART_LINK, "Link to %s closed: %s.", name, reason);
     wb_membership_link_down(((wb_node_t *)context)->membership, name);
 }
 
@@ -96,7 +99,7 @@
     message_deliver(context, name, message);
 }
 
-static void peer_replaced(const char *expected, const char *name, void *context) {
+static void peer_address_reused(const char *expected, const char *name, void *context) {
     (void)name;
     wb_membership_replaced(((wb_node_t *)context)->membership, expected);
 }
@@ -113,7 +116,7 @@
                 (guint64)epoch);
 }
 
-static void config_version_heard(const char *name, uint64_t version, void *context) {
+static void config_version_received(const char *name, uint64_t version, void *context) {
     wb_node_t *node = context;
     if (node->config_store != NULL)
         wb_config_store_heard(node->config_store, name, version);
@@ -126,12 +129,13 @@
     wb_cell_host_config(node->cell_host, config);
 }
 
-static void ready_check(void *context) {
+static void ready_update(void *context) {
     wb_node_is_ready(context);
 }
 
-/* A name of its own for each start: who restarts has lost what it knew. */
-static char *name_create(const char *id) {
+/* Returns a name unique to this start: a restarted node has lost its state, so it must not be taken
+ * for the one before. */
+static char *incarnation_name_create(const char *id) {
     return g_strdup_printf("%s~%" G_GINT64_MODIFIER "x%04x", id,
                            (guint64)(g_get_real_time() / 1000), g_random_int() & 0xffff);
 }
@@ -141,8 +145,8 @@
     wb_peers_self_t self = {settings->cluster,      node->name,     node->address,
                             settings->listen_nodes, settings->zone, settings->bind_nodes,
                             node->parts.link_tls};
-    wb_peers_events_t events = {peer_address, peer_up,       peer_down,
-                                peer_message, peer_replaced, node};
+    wb_peers_events_t events = {peer_address,        peer_up, peer_down, peer_message,
+                                peer_address_reused, node};
     return wb_peers_start(&node->peers, node->parts.loop, &self, &events, error);
 }
 
@@ -162,7 +166,7 @@
                                        settings->heartbeat_interval_ms,
                                        settings->suspect_after_ms,
                                        settings->dead_after_ms};
-    wb_membership_events_t events = {member_changed, owner_changed, config_version_heard, node};
+    wb_membership_events_t events = {member_changed, owner_changed, config_version_received, node};
     node->membership = wb_membership_start(node->parts.loop, node->peers, &options, &events);
     g_ptr_array_unref(addresses);
 }
@@ -217,7 +221,7 @@
     wb_node_t *created = g_new0(wb_node_t, 1);
     created->settings = *settings;
     created->parts = *parts;
-    created->name = name_create(settings->id);
+    created->name = incarnation_name_create(settings->id);
     created->address = g_strdup(*settings->advertise_nodes != '\0' ? settings->advertise_nodes
                                                                    : settings->listen_nodes);
     apr_status_t status = peers_start(created, error);
@@ -235,7 +239,7 @@
     created->config_store = wb_config_store_start(parts->loop, created->platform, created->peers,
                                                   settings->config_poll_ms, &events);
     cell_host_start(created);
-    created->ready_timer = wb_loop_every(parts->loop, READY_CHECK_MS, ready_check, created);
+    created->ready_timer = wb_loop_every(parts->loop, READY_CHECK_MS, ready_update, created);
     *node = created;
     return APR_SUCCESS;
 }
@@ -255,7 +259,8 @@
 
 void wb_node_drain(wb_node_t *node) {
     if (!node->draining)
-        wb_log_message(WB_PART_NODE, "This node stops: it finishes what is open.");
+        wb_log_message(WB_PART_NODE,
+                       "Draining: refusing new requests, finishing open ones, handing cells over.");
     node->draining = TRUE;
     wb_gateway_drain(node->gateway);
     wb_cell_host_hand_over(node->cell_host);
--- a/src/node/node_settings.c
+++ b/src/node/node_settings.c
@@ -1,8 +1,10 @@
-/* The table of a node's settings: flags, file, help and docs/SETTINGS.md all come from it. */
+/* The table of wickbridged's settings. Command-line flags, the settings file, help and
+ * docs/SETTINGS.md are derived from it. Each row gives unit, bounds and default. */
 #include "node_settings.h"
 
 #include <glib.h>
 
+/* low and high: inclusive bounds of integers. fallback: the default; NULL if required. */
 #define ROW(name, type, unit, low, high, fallback, field, text)                                    \
     { name, type, unit, low, high, fallback, offsetof(wb_node_settings_t, field), text }
 
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -1,4 +1,5 @@
-/* The table of a node's settings. */
+/* The table of wickbridged's settings (wb_node_settings_t). Units and bounds are in the table;
+ * wb_settings_read reports invalid values. */
 #ifndef WICKBRIDGE_NODE_SETTINGS_H
 #define WICKBRIDGE_NODE_SETTINGS_H
 
--- a/src/node/operators.c
+++ b/src/node/operators.c
@@ -1,4 +1,5 @@
-/* Answers operators on the loop's thread. */
+/* The operators' HTTP interface. Requests are handed from the HTTP thread to the loop's thread and
+ * answered there with JSON; errors are {"error": {"code", "message"}} with a 4xx or 5xx status. */
 #include "operators.h"
 
 #include "wickbridge/json.h"
@@ -7,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An operator's request on its way to the loop's thread. */
+/* An operator's request, copied for the loop's thread. */
 typedef struct operator_call_t {
     wb_operators_t *operators;
     wb_http_exchange_t *exchange;
@@ -194,7 +195,7 @@
     {"POST", "/operators/v1/drain", drain},
 };
 
-static void call_answer(void *context) {
+static void call_dispatch(void *context) {
     operator_call_t *call = context;
     gboolean path_known = FALSE;
     size_t i;
@@ -220,5 +221,5 @@
     call->method = g_strdup(wb_http_exchange_method(exchange));
     call->model = g_strdup(wb_http_exchange_query(exchange, "model"));
     call->request = g_strdup(wb_http_exchange_query(exchange, "request"));
-    wb_loop_post(call->operators->loop, call_answer, call);
+    wb_loop_post(call->operators->loop, call_dispatch, call);
 }
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -1,4 +1,6 @@
-/* Speaks the platform's protocol: table service, object store, machine list. */
+/* HTTP client for the platform's table service, object store and machine list; see platform.h for
+ * the operations, docs/PLATFORM-API.md for the protocol. HTTP errors are mapped to
+ * wb_platform_status_t. Timeouts are in milliseconds. */
 #include "wickbridge/platform.h"
 
 #include <stdlib.h>
@@ -32,7 +34,8 @@
     g_free(platform);
 }
 
-static wb_platform_status_t status_from(const wb_http_result_t *result) {
+/* UNAVAILABLE only where the operation had no effect; UNKNOWN where it may have had one. */
+static wb_platform_status_t status_of_result(const wb_http_result_t *result) {
     if (result->outcome == WB_HTTP_NOT_SENT)
         return WB_PLATFORM_UNAVAILABLE;
     if (result->outcome == WB_HTTP_BROKEN)
@@ -54,7 +57,7 @@
 
 static void call_done(const wb_http_result_t *result, void *context) {
     platform_call_t *call = context;
-    wb_platform_status_t status = status_from(result);
+    wb_platform_status_t status = status_of_result(result);
     json_t *body = json_loadb(result->body, result->body_length, 0, NULL);
     if (body == NULL && status == WB_PLATFORM_DONE)
         status = WB_PLATFORM_UNKNOWN;
@@ -63,7 +66,7 @@
     g_free(call);
 }
 
-static void unavailable_deliver(void *context) {
+static void call_fail_unavailable(void *context) {
     platform_call_t *call = context;
     call->done(WB_PLATFORM_UNAVAILABLE, NULL, call->context);
     g_free(call);
@@ -75,7 +78,7 @@
     call->done = done;
     call->context = context;
     if (platform->base_url == NULL) {
-        wb_loop_post(platform->loop, unavailable_deliver, call);
+        wb_loop_post(platform->loop, call_fail_unavailable, call);
         return;
     }
     g_autofree char *url = g_strconcat(platform->base_url, path, NULL);
