--- a/src/ctl/commands_config.c
+++ b/src/ctl/commands_config.c
@@ -1,4 +1,4 @@
-/* Commands on the configuration: apply, diff, get, history, watch. */
+/* The configuration commands: apply, diff, get, history, watch. */
 #include "ctl.h"
 
 #include "wickbridge/json.h"
@@ -10,7 +10,7 @@
 #define CONFIG_PATH "/operators/v1/config"
 #define WATCH_INTERVAL_US 500000
 
-/* What differs between the files and what is in force. */
+/* The difference between the declarations in files and the configuration in force. */
 typedef struct difference_t {
     uint64_t version; /* in force */
     json_t *set;
@@ -67,7 +67,7 @@
     return json_object_size(difference->set) == 0 && json_array_size(difference->remove) == 0;
 }
 
-/* Checks here what the node will check, to say where in the files a fault is. */
+/* Validates the changed configuration as the node will, to report a fault's file and line. */
 static int difference_check(const difference_t *difference,
                             const ctl_declarations_t *declarations) {
     json_t *change = json_pack("{s:O, s:O}", "set", difference->set, "remove", difference->remove);
@@ -77,14 +77,14 @@
     wb_error_t error;
     apr_status_t status = wb_config_parse(objects, 1, &config, &fault, &error);
     if (status != APR_SUCCESS)
-        fprintf(stderr, "%s: %s\n", ctl_declarations_place(declarations, &fault), error.message);
+        fprintf(stderr, "%s: %s\n", ctl_declarations_locate(declarations, &fault), error.message);
     wb_config_unref(config);
     json_decref(objects);
     json_decref(change);
     return status == APR_SUCCESS ? CTL_OK : CTL_INVALID;
 }
 
-static void member_lines_print(const char *sign, const json_t *object) {
+static void members_print(const char *sign, const json_t *object) {
     const char *name;
     json_t *value;
     json_object_foreach((json_t *)object, name, value) {
@@ -101,8 +101,8 @@
         const json_t *before = json_object_get(difference->before, key);
         printf("%s %s\n", before == NULL ? "+" : "~", key);
         if (before != NULL)
-            member_lines_print("-", before);
-        member_lines_print("+", object);
+            members_print("-", before);
+        members_print("+", object);
     }
     size_t index;
     json_array_foreach(difference->remove, index, object)
@@ -120,7 +120,7 @@
     json_decref(body);
 }
 
-/* Reads the files and what is in force, and checks the result. */
+/* Reads the files and the configuration in force, and validates the result. */
 static int difference_prepare(const ctl_options_t *options, ctl_declarations_t *declarations,
                               difference_t *difference) {
     wb_error_t error;
@@ -156,7 +156,7 @@
         wb_config_fault_t fault;
         g_strlcpy(fault.key, wb_json_text(answer->body, "key", ""), sizeof(fault.key));
         g_strlcpy(fault.member, wb_json_text(answer->body, "member", ""), sizeof(fault.member));
-        fprintf(stderr, "%s: %s\n", ctl_declarations_place(declarations, &fault), message);
+        fprintf(stderr, "%s: %s\n", ctl_declarations_locate(declarations, &fault), message);
         return CTL_INVALID;
     }
     default:
@@ -210,7 +210,7 @@
     int result = difference_prepare(options, &declarations, &difference);
     if (result == CTL_OK) {
         difference_print(options, &difference);
-        result = difference_is_empty(&difference) ? CTL_OK : CTL_DIFFERENT;
+        result = difference_is_empty(&difference) ? CTL_OK : CTL_DIFFERENCES;
     }
     difference_clear(&difference);
     if (declarations.objects != NULL)
@@ -218,10 +218,10 @@
     return result;
 }
 
-static gboolean key_is_wanted(const char *key, const char *wanted) {
-    size_t length = wanted != NULL ? strlen(wanted) : 0;
+static gboolean key_matches(const char *key, const char *selector) {
+    size_t length = selector != NULL ? strlen(selector) : 0;
     return length == 0 ||
-           (strncmp(key, wanted, length) == 0 && (key[length] == '\0' || key[length] == '/'));
+           (strncmp(key, selector, length) == 0 && (key[length] == '\0' || key[length] == '/'));
 }
 
 int ctl_get(const ctl_options_t *options) {
@@ -230,24 +230,24 @@
     if (config_get(options, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
     json_t *objects = json_object_get(answer.body, "objects");
-    json_t *wanted = json_object();
+    json_t *matches = json_object();
     const char *key;
     json_t *object;
     json_object_foreach(objects, key, object) {
-        if (key_is_wanted(key, options->words[0]))
-            json_object_set(wanted, key, object);
+        if (key_matches(key, options->arguments[0]))
+            json_object_set(matches, key, object);
     }
-    gboolean none = options->words[0] != NULL && json_object_size(wanted) == 0;
+    gboolean no_match = options->arguments[0] != NULL && json_object_size(matches) == 0;
     if (options->json)
-        ctl_print_json(wanted);
+        ctl_print_json(matches);
     else
-        json_object_foreach(wanted, key, object) {
+        json_object_foreach(matches, key, object) {
             printf("%s\n", key);
-            member_lines_print(" ", object);
+            members_print(" ", object);
         }
-    json_decref(wanted);
+    json_decref(matches);
     ctl_answer_clear(&answer);
-    return none ? ctl_print_error("nothing of that kind and name is in force") : CTL_OK;
+    return no_match ? ctl_print_error("nothing of that kind and name is in force") : CTL_OK;
 }
 
 static void change_print(const json_t *change) {
@@ -282,7 +282,7 @@
     return CTL_OK;
 }
 
-/* Prints changes as they come into force; ends after --count changes, if given. */
+/* Polls the history and prints new changes; ends after --count changes, if given. */
 int ctl_watch(const ctl_options_t *options) {
     int64_t seen = -1, printed = 0;
     while (options->count == 0 || printed < options->count) {
--- a/src/ctl/commands_node.c
+++ b/src/ctl/commands_node.c
@@ -1,4 +1,4 @@
-/* Commands on nodes: status, drain, explain. */
+/* The node commands: status, drain, explain, and the lists routes, models, tenants and poison. */
 #include "ctl.h"
 
 #include "wickbridge/json.h"
@@ -121,17 +121,17 @@
            *wb_json_text(body, "why", "") ? wb_json_text(body, "why", "") : "it ran at once");
 }
 
-/* Each node knows its own requests, and a cell's owner knows the decisions: all are asked. */
+/* Queries all given nodes: each knows its own requests, and a cell's owner knows the decisions. */
 int ctl_explain(const ctl_options_t *options) {
-    const char *what = options->words[0];
-    const char *name = options->words[1];
-    gboolean of_model = what != NULL && strcmp(what, "model") == 0;
-    if (name == NULL || (!of_model && strcmp(what, "request") != 0)) {
+    const char *subject = options->arguments[0];
+    const char *name = options->arguments[1];
+    gboolean is_model = subject != NULL && strcmp(subject, "model") == 0;
+    if (name == NULL || (!is_model && strcmp(subject, "request") != 0)) {
         ctl_print_error("say 'explain model NAME' or 'explain request ID'");
         return CTL_USAGE;
     }
     g_autofree char *escaped = g_uri_escape_string(name, NULL, FALSE);
-    g_autofree char *path = g_strdup_printf("/operators/v1/explain?%s=%s", what, escaped);
+    g_autofree char *path = g_strdup_printf("/operators/v1/explain?%s=%s", subject, escaped);
     json_t *found = json_array();
     wb_error_t error = {0};
     for (char **node = options->nodes; *node != NULL; node++) {
@@ -150,7 +150,7 @@
         ctl_print_json(found);
     else
         json_array_foreach(found, index, entry) {
-            if (of_model)
+            if (is_model)
                 model_print(entry);
             else
                 request_print(entry);
@@ -184,28 +184,28 @@
     printf("\n");
 }
 
-static double figure(const json_t *object, const char *name) {
+static double get_number(const json_t *object, const char *name) {
     return json_number_value(json_object_get(object, name));
 }
 
 static void tenant_print(const json_t *tenant) {
     const char *unit = wb_json_text(tenant, "unit", "?");
-    const json_t *use = json_object_get(tenant, "use");
-    double limit = figure(tenant, "limit_per_s");
+    const json_t *usage = json_object_get(tenant, "use");
+    double limit = get_number(tenant, "limit_per_s");
     printf("%-20s rank %lld", wb_json_text(tenant, "tenant", "?"),
            (long long)wb_json_integer(tenant, "rank", -1));
     if (limit > 0)
-        printf(", %.0f %s a second, burst %.0f", limit, unit, figure(tenant, "burst"));
+        printf(", %.0f %s a second, burst %.0f", limit, unit, get_number(tenant, "burst"));
     else
         printf(", no limit");
-    if (use != NULL)
-        printf("; asks for %.0f a second, gets %.0f, %.0f left%s", figure(use, "asked_per_s"),
-               figure(use, "admitted_per_s"), figure(use, "left"),
-               figure(use, "share") < 1 ? ", short" : "");
+    if (usage != NULL)
+        printf("; asks for %.0f a second, gets %.0f, %.0f left%s", get_number(usage, "asked_per_s"),
+               get_number(usage, "admitted_per_s"), get_number(usage, "left"),
+               get_number(usage, "share") < 1 ? ", short" : "");
     printf("\n");
 }
 
-/* Shows a list that a node tells. */
+/* Prints the list at a member of a node's response. */
 static int list_show(const ctl_options_t *options, const char *path, const char *list,
                      void (*print)(const json_t *entry)) {
     ctl_answer_t answer = {0};
@@ -238,7 +238,7 @@
            (long long)wb_json_integer(request, "left_ms", 0) / 1000);
 }
 
-/* Lets a request through again that crashed engines. */
+/* Clears the record of a request that crashed engines, so that it is served again. */
 static int poison_forgive(const ctl_options_t *options, const char *digest) {
     g_autofree char *escaped = g_uri_escape_string(digest, NULL, FALSE);
     g_autofree char *path = g_strconcat("/operators/v1/poison/forgive?digest=", escaped, NULL);
@@ -255,10 +255,10 @@
 }
 
 int ctl_poison(const ctl_options_t *options) {
-    if (options->word_count == 0)
+    if (options->argument_count == 0)
         return list_show(options, "/operators/v1/poison", "requests", poison_print);
-    if (options->word_count == 2 && strcmp(options->words[0], "forgive") == 0)
-        return poison_forgive(options, options->words[1]);
+    if (options->argument_count == 2 && strcmp(options->arguments[0], "forgive") == 0)
+        return poison_forgive(options, options->arguments[1]);
     ctl_print_error("say: poison, or: poison forgive DIGEST");
     return CTL_USAGE;
 }
--- a/src/ctl/commands_policy.c
+++ b/src/ctl/commands_policy.c
@@ -1,4 +1,4 @@
-/* The command "policy test": runs policies from files against recorded situations. */
+/* The command "policy test": runs policies from declaration files against recorded situations. */
 #include "ctl.h"
 
 #include "wickbridge/json.h"
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Without --history, these. */
+/* Situations used without --history. */
 static const char sample_history[] =
     "[{\"model\":\"busy\",\"memory_mib\":8192,\"idle_ms\":0,\"running\":12,\"replicas\":2,"
     "\"max_replicas\":2},"
@@ -48,13 +48,13 @@
     };
 }
 
-static json_t *answer_describe(wb_policy_answer_t answer, int64_t value, const wb_error_t *error) {
+static json_t *result_describe(wb_policy_answer_t answer, int64_t value, const wb_error_t *error) {
     if (answer == WB_POLICY_ANSWERED)
         return json_integer((json_int_t)value);
     return json_string(answer == WB_POLICY_UNDEFINED ? "built-in" : error->message);
 }
 
-/* Runs one situation. Returns what the policy said; counts failures. */
+/* Runs one situation. Returns the policy's results as JSON; adds to failures. */
 static json_t *situation_run(wb_policy_program_t *program, const json_t *entry, int *failures) {
     wb_policy_model_t model = model_read(entry);
     wb_error_t error = {0};
@@ -63,14 +63,14 @@
     wb_policy_answer_t answer = wb_policy_keep_alive(program, &model, &value, &error);
     *failures += answer == WB_POLICY_FAILED;
     json_t *result = json_pack("{s:s, s:o}", "model", model.name, "keep_alive_ms",
-                               answer_describe(answer, value, &error));
+                               result_describe(answer, value, &error));
     const json_t *engine = json_object_get(entry, "engine");
     if (engine != NULL) {
-        wb_policy_engine_t place = engine_read(engine);
-        answer = wb_policy_placement_cost(program, &model, &place, &value, &error);
+        wb_policy_engine_t policy_engine = engine_read(engine);
+        answer = wb_policy_placement_cost(program, &model, &policy_engine, &value, &error);
         *failures += answer == WB_POLICY_FAILED;
-        json_object_set_new(result, "engine", json_string(place.id));
-        json_object_set_new(result, "placement_cost_ms", answer_describe(answer, value, &error));
+        json_object_set_new(result, "engine", json_string(policy_engine.id));
+        json_object_set_new(result, "placement_cost_ms", result_describe(answer, value, &error));
     }
     json_object_set_new(result, "took_us", json_integer(g_get_monotonic_time() - started_us));
     return result;
@@ -129,7 +129,7 @@
 int ctl_policy(const ctl_options_t *options) {
     wb_error_t error;
     ctl_declarations_t declarations = {0};
-    if (options->word_count < 1 || strcmp(options->words[0], "test") != 0 ||
+    if (options->argument_count < 1 || strcmp(options->arguments[0], "test") != 0 ||
         options->path == NULL) {
         ctl_print_error("say 'policy test -f PATH [NAME]'");
         return CTL_USAGE;
@@ -149,11 +149,11 @@
     json_object_foreach(declarations.objects, key, object) {
         const char *name = key + strlen("policy/");
         if (!g_str_has_prefix(key, "policy/") ||
-            (options->words[1] != NULL && strcmp(options->words[1], name) != 0))
+            (options->arguments[1] != NULL && strcmp(options->arguments[1], name) != 0))
             continue;
         tested++;
-        int one = policy_run(options, name, wb_json_text(object, "program", ""), history);
-        result = MAX(result, one);
+        int policy_result = policy_run(options, name, wb_json_text(object, "program", ""), history);
+        result = MAX(result, policy_result);
     }
     json_decref(history);
     ctl_declarations_clear(&declarations);
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -1,4 +1,7 @@
-/* Inner types of wickctl, shared by its files. */
+/* Internal types and functions of wickctl, shared by the files of src/ctl.
+ *
+ * Each command is a function of the command line's options that prints its result to stdout and
+ * errors to stderr, and returns a ctl_exit_t. */
 #ifndef WICKBRIDGE_CTL_H
 #define WICKBRIDGE_CTL_H
 
@@ -11,28 +14,28 @@
 /* Exit codes, also in docs/OPERATIONS.md. */
 typedef enum ctl_exit_t {
     CTL_OK = 0,
-    CTL_FAILED = 1,   /* no node answered, or it could not do it */
-    CTL_USAGE = 2,    /* the command line is wrong */
-    CTL_CONFLICT = 3, /* another operator's change came first */
-    CTL_INVALID = 4,  /* the declarations are wrong; nothing was sent */
-    CTL_DIFFERENT = 5 /* diff found a difference */
+    CTL_FAILED = 1,     /* no node responded, or the command failed */
+    CTL_USAGE = 2,      /* invalid command line */
+    CTL_CONFLICT = 3,   /* another operator's change was accepted first */
+    CTL_INVALID = 4,    /* invalid declarations; nothing was changed */
+    CTL_DIFFERENCES = 5 /* diff found a difference */
 } ctl_exit_t;
 
-/* What the command line says. */
+/* The parsed command line. */
 typedef struct ctl_options_t {
     char **nodes; /* operators' addresses, tried in order */
     gboolean json;
     const char *ca_file;
     const char *certificate_file;
     const char *key_file;
-    /* of single commands */
+    /* used by some commands only */
     const char *path;
     gboolean prune;
     const char *author;
     int64_t count;
-    const char *history;  /* recorded situations for policy test */
-    const char *words[3]; /* what stands after the command */
-    int word_count;
+    const char *history;      /* file of recorded situations for policy test; NULL: built-in ones */
+    const char *arguments[3]; /* positional, after the command */
+    int argument_count;
 } ctl_options_t;
 
 /* declarations.c: declarations read from files. */
@@ -41,31 +44,34 @@
     GHashTable *lines; /* "kind/name" and "kind/name.member" -> "file:line" */
 } ctl_declarations_t;
 
-/* Reads a file, or all *.yaml files of a folder. */
+/* Reads a file, or all *.yaml and *.yml files of a directory in order of their names. On an error,
+ * APR_EINVAL with file and line; declarations then hold what was read so far. */
 apr_status_t ctl_declarations_read(const char *path, ctl_declarations_t *declarations,
                                    wb_error_t *error);
 void ctl_declarations_clear(ctl_declarations_t *declarations);
-/* Where a fault is, as "file:line", or the key when it is not in the files. */
-const char *ctl_declarations_place(const ctl_declarations_t *declarations,
-                                   const wb_config_fault_t *fault);
+/* Returns the place of a fault as "file:line", or "in force already" if it isn't in the files. */
+const char *ctl_declarations_locate(const ctl_declarations_t *declarations,
+                                    const wb_config_fault_t *fault);
 
-/* request.c: one call to the operators' interface of the first node that answers. */
+/* request.c: calls to the operators' HTTP interface. */
 typedef struct ctl_answer_t {
     long status;
     json_t *body;
 } ctl_answer_t;
 
+/* Calls the first node that accepts a connection. APR_SUCCESS for any HTTP status with a JSON
+ * body; clear the answer. */
 apr_status_t ctl_request(const ctl_options_t *options, const char *method, const char *path,
                          const json_t *body, ctl_answer_t *answer, wb_error_t *error);
-/* The same to one node only. */
+/* The same for one node. APR_ECONNREFUSED if no connection was made. */
 apr_status_t ctl_request_node(const ctl_options_t *options, const char *node, const char *method,
                               const char *path, const json_t *body, ctl_answer_t *answer,
                               wb_error_t *error);
 void ctl_answer_clear(ctl_answer_t *answer);
 
-/* Prints a JSON value, indented. */
+/* Prints a JSON value, indented, with sorted keys. */
 void ctl_print_json(const json_t *value);
-/* Prints an error's one line; returns CTL_FAILED. */
+/* Prints an error line to stderr; returns CTL_FAILED. */
 int ctl_print_error(const char *message);
 
 /* commands_config.c */
--- a/src/ctl/declarations.c
+++ b/src/ctl/declarations.c
@@ -1,4 +1,5 @@
-/* Reads declarations from YAML files and remembers the line of each. */
+/* Reads declarations from YAML files and records the line of each declaration and member. Errors
+ * are APR_EINVAL with "file:line: reason". */
 #include "ctl.h"
 
 #include <stdio.h>
@@ -6,23 +7,23 @@
 #include <string.h>
 #include <yaml.h>
 
-/* A file that is being read. */
-typedef struct reading_t {
+/* State while reading one file. */
+typedef struct file_reader_t {
     const char *file;
     ctl_declarations_t *declarations;
     wb_error_t *error;
-} reading_t;
+} file_reader_t;
 
-static void line_remember(const reading_t *reading, const char *key, const char *member,
-                          const yaml_node_t *node) {
+static void line_record(const file_reader_t *reader, const char *key, const char *member,
+                        const yaml_node_t *node) {
     char *index = *member != '\0' ? g_strconcat(key, ".", member, NULL) : g_strdup(key);
-    g_hash_table_replace(reading->declarations->lines, index,
-                         g_strdup_printf("%s:%zu", reading->file, node->start_mark.line + 1));
+    g_hash_table_replace(reader->declarations->lines, index,
+                         g_strdup_printf("%s:%zu", reader->file, node->start_mark.line + 1));
 }
 
-static apr_status_t reading_fail(const reading_t *reading, const yaml_node_t *node,
+static apr_status_t reader_error(const file_reader_t *reader, const yaml_node_t *node,
                                  const char *message) {
-    return wb_error_set(reading->error, APR_EINVAL, "%s:%zu: %s", reading->file,
+    return wb_error_set(reader->error, APR_EINVAL, "%s:%zu: %s", reader->file,
                         node != NULL ? node->start_mark.line + 1 : 1, message);
 }
 
@@ -31,7 +32,7 @@
                                                           : NULL;
 }
 
-/* Plain scalars may be numbers or truth values; quoted ones are texts. */
+/* Plain scalars may be integers or booleans; quoted ones are strings. */
 static json_t *scalar_convert(const yaml_node_t *node) {
     const char *text = (const char *)node->data.scalar.value;
     if (node->data.scalar.style != YAML_PLAIN_SCALAR_STYLE)
@@ -56,7 +57,7 @@
     return NULL;
 }
 
-static apr_status_t members_read(const reading_t *reading, yaml_document_t *document,
+static apr_status_t members_read(const file_reader_t *reader, yaml_document_t *document,
                                  const yaml_node_t *root, const char *key, json_t *object) {
     for (yaml_node_pair_t *pair = root->data.mapping.pairs.start;
          pair < root->data.mapping.pairs.top; pair++) {
@@ -64,39 +65,39 @@
         const yaml_node_t *value = yaml_document_get_node(document, pair->value);
         const char *name = scalar_text(name_node);
         if (name == NULL || value->type != YAML_SCALAR_NODE)
-            return reading_fail(reading, name_node, "a member must be one name and one value");
+            return reader_error(reader, name_node, "a member must be one name and one value");
         if (strcmp(name, "kind") == 0 || strcmp(name, "name") == 0)
             continue;
         if (json_object_get(object, name) != NULL)
-            return reading_fail(reading, name_node, "this member stands twice");
+            return reader_error(reader, name_node, "this member stands twice");
         json_object_set_new(object, name, scalar_convert(value));
-        line_remember(reading, key, name, name_node);
+        line_record(reader, key, name, name_node);
     }
     return APR_SUCCESS;
 }
 
-static apr_status_t document_read(const reading_t *reading, yaml_document_t *document) {
+static apr_status_t document_read(const file_reader_t *reader, yaml_document_t *document) {
     const yaml_node_t *root = yaml_document_get_root_node(document);
     if (root->type != YAML_MAPPING_NODE)
-        return reading_fail(reading, root, "a declaration must be a mapping with kind and name");
+        return reader_error(reader, root, "a declaration must be a mapping with kind and name");
     const char *kind = scalar_text(member_find(document, root, "kind"));
     const char *name = scalar_text(member_find(document, root, "name"));
     if (kind == NULL || name == NULL)
-        return reading_fail(reading, root, "a declaration needs a kind and a name");
+        return reader_error(reader, root, "a declaration needs a kind and a name");
     g_autofree char *key = g_strconcat(kind, "/", name, NULL);
-    const char *other = g_hash_table_lookup(reading->declarations->lines, key);
+    const char *other = g_hash_table_lookup(reader->declarations->lines, key);
     if (other != NULL)
-        return wb_error_set(reading->error, APR_EINVAL, "%s:%zu: %s is declared at %s already",
-                            reading->file, root->start_mark.line + 1, key, other);
-    line_remember(reading, key, "", root);
+        return wb_error_set(reader->error, APR_EINVAL, "%s:%zu: %s is declared at %s already",
+                            reader->file, root->start_mark.line + 1, key, other);
+    line_record(reader, key, "", root);
     json_t *object = json_object();
-    json_object_set_new(reading->declarations->objects, key, object);
-    return members_read(reading, document, root, key, object);
+    json_object_set_new(reader->declarations->objects, key, object);
+    return members_read(reader, document, root, key, object);
 }
 
 static apr_status_t file_read(const char *path, ctl_declarations_t *declarations,
                               wb_error_t *error) {
-    reading_t reading = {path, declarations, error};
+    file_reader_t reader = {path, declarations, error};
     FILE *file = fopen(path, "rb");
     if (file == NULL)
         return wb_error_set(error, APR_EINVAL, "%s: it can't be opened", path);
@@ -113,7 +114,7 @@
         }
         more = yaml_document_get_root_node(&document) != NULL;
         if (more)
-            status = document_read(&reading, &document);
+            status = document_read(&reader, &document);
         yaml_document_delete(&document);
     }
     yaml_parser_delete(&parser);
@@ -159,11 +160,11 @@
     g_hash_table_unref(declarations->lines);
 }
 
-const char *ctl_declarations_place(const ctl_declarations_t *declarations,
-                                   const wb_config_fault_t *fault) {
+const char *ctl_declarations_locate(const ctl_declarations_t *declarations,
+                                    const wb_config_fault_t *fault) {
     g_autofree char *index = g_strconcat(fault->key, ".", fault->member, NULL);
-    const char *place = g_hash_table_lookup(declarations->lines, index);
-    if (place == NULL)
-        place = g_hash_table_lookup(declarations->lines, fault->key);
-    return place != NULL ? place : "in force already";
+    const char *location = g_hash_table_lookup(declarations->lines, index);
+    if (location == NULL)
+        location = g_hash_table_lookup(declarations->lines, fault->key);
+    return location != NULL ? location : "in force already";
 }
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* wickctl: reads the command line and runs one command. */
+/* wickctl: parses the command line and runs one command. Exit codes are in ctl.h. */
 #include "ctl.h"
 
 #include "wickbridge/settings.h"
@@ -12,7 +12,7 @@
 
 typedef struct command_t {
     const char *name;
-    const char *words; /* what may follow */
+    const char *arguments; /* usage of the positional arguments */
     const char *text;
     int (*run)(const ctl_options_t *options);
 } command_t;
@@ -40,7 +40,7 @@
      ctl_policy},
 };
 
-static const struct argp_option flag_table[] = {
+static const struct argp_option option_table[] = {
     {"node", 'n', "IP:PORT,...", 0, "Operators' addresses, tried in order (127.0.0.1:8280)", 0},
     {"output", 'o', "text|json", 0, "Form of the output (text)", 0},
     {"file", 'f', "PATH", 0, "File or folder with declarations", 0},
@@ -58,7 +58,7 @@
     const command_t *command;
 } command_line_t;
 
-static error_t flag_parse(int key, char *value, struct argp_state *state) {
+static error_t option_parse(int key, char *value, struct argp_state *state) {
     command_line_t *line = state->input;
     ctl_options_t *options = &line->options;
     switch (key) {
@@ -96,9 +96,9 @@
         options->key_file = value;
         break;
     case ARGP_KEY_ARG:
-        if (options->word_count >= (int)G_N_ELEMENTS(options->words))
+        if (options->argument_count >= (int)G_N_ELEMENTS(options->arguments))
             argp_error(state, "'%s' is one word too many", value);
-        options->words[options->word_count++] = value;
+        options->arguments[options->argument_count++] = value;
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -116,14 +116,15 @@
 static char *commands_help(void) {
     GString *text = g_string_new("Operate a wickbridge cluster.\vCommands:\n");
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
-        g_string_append_printf(text, "  %-8s %-24s %s\n", commands[i].name, commands[i].words,
+        g_string_append_printf(text, "  %-8s %-24s %s\n", commands[i].name, commands[i].arguments,
                                commands[i].text);
     g_string_append(text, "\nExit codes: 0 done, 1 failed, 2 wrong command line, 3 conflict with "
                           "another change, 4 wrong declarations, 5 diff found a difference.");
     return g_string_free(text, FALSE);
 }
 
-/* The command may be the first word; its own help follows "COMMAND --help". */
+/* If the first argument is a command, parses the rest with that command's help ("COMMAND --help").
+ */
 int main(int argc, char **argv) {
     apr_initialize();
     curl_global_init(CURL_GLOBAL_ALL);
@@ -131,11 +132,11 @@
     line.options.nodes = g_strsplit("127.0.0.1:8280", ",", -1);
     line.options.author = g_get_user_name();
     line.command = argc > 1 ? command_find(argv[1]) : NULL;
-    struct argp argp = {flag_table, flag_parse, "COMMAND [WORDS]", commands_help(), NULL,
-                        NULL,       NULL};
+    struct argp argp = {option_table, option_parse, "COMMAND [WORDS]", commands_help(), NULL,
+                        NULL,         NULL};
     argp_err_exit_status = CTL_USAGE;
     if (line.command != NULL) {
-        argp.args_doc = line.command->words;
+        argp.args_doc = line.command->arguments;
         argp.doc = line.command->text;
         argv[1] = g_strdup_printf("wickctl %s", line.command->name);
         argp_parse(&argp, argc - 1, argv + 1, 0, NULL, &line);
@@ -143,6 +144,6 @@
     }
     argp_parse(&argp, argc, argv, 0, NULL, &line);
     fprintf(stderr, "wickctl: '%s' is no command; see wickctl --help\n",
-            line.options.word_count > 0 ? line.options.words[0] : "");
+            line.options.argument_count > 0 ? line.options.arguments[0] : "");
     return CTL_USAGE;
 }
--- a/src/ctl/request.c
+++ b/src/ctl/request.c
@@ -1,4 +1,4 @@
-/* Calls the operators' interface of a node. */
+/* Calls the operators' HTTP interface of nodes with libcurl. Timeouts are in milliseconds. */
 #include "ctl.h"
 
 #include "wickbridge/json.h"
@@ -17,7 +17,7 @@
 }
 
 static void tls_set(CURL *curl, const ctl_options_t *options) {
-    /* Nodes are known by IP numbers that come and go; what counts is who signed. */
+    /* Nodes are addressed by changing IP addresses, so only the certificate's issuer is checked. */
     curl_easy_setopt(curl, CURLOPT_SSL_VERIFYHOST, 0L);
     if (options->ca_file != NULL)
         curl_easy_setopt(curl, CURLOPT_CAINFO, options->ca_file);
@@ -63,7 +63,8 @@
     apr_status_t status = wb_error_set(error, APR_EINVAL, "no node is given");
     for (char **node = options->nodes; *node != NULL; node++) {
         status = ctl_request_node(options, *node, method, path, body, answer, error);
-        /* Only a node that was never reached may be passed over: a change may have been made. */
+        /* Tries the next node only if no connection was made: otherwise the request may have taken
+         * effect. */
         if (status != APR_ECONNREFUSED)
             break;
     }
