--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -123,8 +123,7 @@
     return g_string_free(text, FALSE);
 }
 
-/* If the first argument is a command, parses the rest with that command's help ("COMMAND --help").
- */
+/* If the first argument is a command, parses the rest with its own help, for "COMMAND --help". */
 int main(int argc, char **argv) {
     apr_initialize();
     curl_global_init(CURL_GLOBAL_ALL);
--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -102,7 +102,7 @@
     g_free(request->engine);
     request->engine = g_strdup(response->engine);
     request_set_reason(request, "the first run's answer");
-    response_send_complete(request, response->status, response->answer, strlen(response->answer));
+    answer_whole(request, response->status, response->answer, strlen(response->answer));
     request_unref(request);
 }
 
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -155,21 +155,20 @@
 
 /* answer.c. All but response_add_headers finish a request; only the first call for a request has
  * an effect. They don't drop the caller's reference. */
+
 /* retry_after_ms < 0: no Retry-After header. Ends a started stream with an error event. */
 void response_send_error(gw_request_t *request, unsigned status, const char *type, const char *code,
                          wb_verdict_t verdict, int64_t retry_after_ms, const char *message);
 void response_send_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
                            const char *message);
 void response_send_may_have_run(gw_request_t *request, const char *message);
-void response_send_complete(gw_request_t *request, unsigned status, const char *body,
-                            size_t length);
+void answer_whole(gw_request_t *request, unsigned status, const char *body, size_t length);
 void response_end_stream(gw_request_t *request);
 void response_end_client_gone(gw_request_t *request);
 /* An error for an HTTP exchange that has no gw_request_t, or whose request is invalid. */
 void response_send_rejection(wb_gateway_t *gateway, wb_http_exchange_t *exchange, unsigned status,
                              const char *code, const char *message);
-/* Adds request id, engine and verdict; NULL for a stream, whose verdict isn't known at its start.
- */
+/* Adds request id, engine and verdict; NULL for a stream, which starts without a verdict. */
 void response_add_headers(gw_request_t *request, const char *verdict);
 
 /* target.c */
@@ -189,9 +188,9 @@
  * refused it because its queue is full. down_ms > 0: use the replica no more for that time. Must
  * be called without the shard's lock. */
 void target_release(gw_request_t *request, gboolean success, gboolean queue_full, int64_t down_ms);
-/* Records whether demand could not be sent to the cell's owner (lost). Returns TRUE when there are
- * queued requests, no replica, and no reachable owner for wait_ms. The shard's lock must be held.
- */
+/* Records a loss of the cell's owner: lost is TRUE if demand couldn't be sent. Returns TRUE if
+ * requests are queued, there is no replica, and no owner has been reachable for wait_ms. The
+ * shard's lock must be held. */
 gboolean target_owner_is_missing(gw_target_t *target, gboolean lost, int64_t now_ms,
                                  int64_t wait_ms);
 /* Returns the estimated queueing time of a new request, 0 if unknown. */
