--- a/src/gateway/want.c
+++ b/src/gateway/want.c
@@ -46,7 +46,7 @@
     demand->adapter = target->adapter;
     demand->waiting = wb_fair_queue_length(target->queue);
     demand->running = (u_int)target->running;
-    demand->tightest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
+    demand->earliest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
     target->demand_sent_ms = now_ms;
     target->sent_waiting = (int)demand->waiting;
     target->sent_running = target->running;
--- a/src/node/main.c
+++ b/src/node/main.c
@@ -183,11 +183,11 @@
     wb_loop_start(daemon.loop);
     if (servers_start(&daemon, &error) != APR_SUCCESS)
         return fail(&error);
-    wb_log_message(WB_PART_NODE, "Node %s serves clients on %s.", wb_node_name(daemon.node),
+    wb_log_message(WB_LOG_NODE, "Node %s serves clients on %s.", wb_node_name(daemon.node),
                    daemon.settings.listen_callers);
     int received;
     sigwait(&signals, &received);
     drain_and_wait(&daemon);
-    wb_log_message(WB_PART_NODE, "Node %s stopped.", wb_node_name(daemon.node));
+    wb_log_message(WB_LOG_NODE, "Node %s stopped.", wb_node_name(daemon.node));
     return 0;
 }
--- a/tests/unit/test_store_turns.c
+++ b/tests/unit/test_store_turns.c
@@ -7,26 +7,26 @@
 
 /* A busy model lacks its second engine while rare ones are missing: they take turns. */
 static void test_take_turns(void) {
-    wb_store_turns_t turns = {0};
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 1000));
-    wb_store_turns_loaded(&turns, TRUE);
-    wb_store_turns_wish(&turns, 100000, 2000);
-    wb_store_turns_wish(&turns, 5000, 2000); /* another, that gains less */
-    g_assert_false(wb_store_turns_missing_may(&turns, 6000, LOAD_MS, 2100));
-    g_assert_true(wb_store_turns_missing_may(&turns, 200000, LOAD_MS, 2100));
-    wb_store_turns_loaded(&turns, FALSE);
-    wb_store_turns_wish(&turns, 50000, 2400);
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 2400));
+    wb_store_fairness_t turns = {0};
+    g_assert_true(wb_store_fairness_may_load_missing(&turns, 1000, LOAD_MS, 1000));
+    wb_store_fairness_record_load(&turns, TRUE);
+    wb_store_fairness_request_replica(&turns, 100000, 2000);
+    wb_store_fairness_request_replica(&turns, 5000, 2000); /* another, that gains less */
+    g_assert_false(wb_store_fairness_may_load_missing(&turns, 6000, LOAD_MS, 2100));
+    g_assert_true(wb_store_fairness_may_load_missing(&turns, 200000, LOAD_MS, 2100));
+    wb_store_fairness_record_load(&turns, FALSE);
+    wb_store_fairness_request_replica(&turns, 50000, 2400);
+    g_assert_true(wb_store_fairness_may_load_missing(&turns, 1000, LOAD_MS, 2400));
 }
 
 /* A wish passes, and a quick store serves all. */
 static void test_nobody_waits_in_vain(void) {
-    wb_store_turns_t turns = {0};
-    wb_store_turns_loaded(&turns, TRUE);
-    wb_store_turns_wish(&turns, 100000, 2000);
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, 2000, 2000));
-    g_assert_false(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 2500));
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 3500));
+    wb_store_fairness_t turns = {0};
+    wb_store_fairness_record_load(&turns, TRUE);
+    wb_store_fairness_request_replica(&turns, 100000, 2000);
+    g_assert_true(wb_store_fairness_may_load_missing(&turns, 1000, 2000, 2000));
+    g_assert_false(wb_store_fairness_may_load_missing(&turns, 1000, LOAD_MS, 2500));
+    g_assert_true(wb_store_fairness_may_load_missing(&turns, 1000, LOAD_MS, 3500));
 }
 
 static void tests_add(void) {
