--- a/tests/unit/test_cold_share.c
+++ b/tests/unit/test_cold_share.c
@@ -1,4 +1,5 @@
-/* Shares of what a cold engine bears: together they never exceed it, and they use it. */
+/* Guards against nodes that together send a cold engine more than it sustains, or leave its
+ * capacity unused. */
 #include "unit.h"
 
 #include "wickbridge/cold_share.h"
@@ -6,8 +7,8 @@
 #include <math.h>
 #include <string.h>
 
-/* What an engine of the users' care homes bears: 6.5 a second, with their allowance. */
-#define PER_S 14.75
+/* Requests per second that the cold engine sustains. */
+#define CAPACITY_PER_S 14.75
 #define SECOND_MS 1000
 
 static GHashTable *nodes_create(unsigned count) {
@@ -18,7 +19,7 @@
     return nodes;
 }
 
-static unsigned shares_sum(const char *engine, GHashTable *nodes, double per_s) {
+static unsigned sum_shares(const char *engine, GHashTable *nodes, double per_s) {
     unsigned sum = 0;
     GHashTableIter iter;
     gpointer id;
@@ -29,67 +30,68 @@
     return sum;
 }
 
-/* At all sizes the shares add up to three quarters of what the engine bears, rounded down. */
+/* The shares of all nodes add up to three quarters of the capacity, rounded down. */
 static void test_shares_add_up(void) {
     static const unsigned sizes[] = {1, 2, 7, 11, 30, 87, 300, 985, 1970};
-    static const double limits[] = {0.5, 2, 6, PER_S, 60, 700};
+    static const double capacities[] = {0.5, 2, 6, CAPACITY_PER_S, 60, 700};
     for (gsize i = 0; i < G_N_ELEMENTS(sizes); i++) {
         g_autoptr(GHashTable) nodes = nodes_create(sizes[i]);
-        for (gsize j = 0; j < G_N_ELEMENTS(limits); j++) {
-            unsigned expected = (unsigned)fmax(0.75 * limits[j], 1);
-            g_assert_cmpuint(shares_sum("e1@5", nodes, limits[j]), ==, expected);
+        for (gsize j = 0; j < G_N_ELEMENTS(capacities); j++) {
+            unsigned expected = (unsigned)fmax(0.75 * capacities[j], 1);
+            g_assert_cmpuint(sum_shares("e1@5", nodes, capacities[j]), ==, expected);
         }
     }
 }
 
-/* A node that has no part now sends nothing, however few of the others it knows. */
+/* A node without a share sends nothing. */
 static void test_no_part(void) {
-    wb_send_gate_t gate = {NULL};
-    g_assert_cmpuint(wb_cold_share(PER_S, 0, 0), ==, 0);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 1000), ==, G_MAXINT64);
+    wb_send_gate_t limiter = {NULL};
+    g_assert_cmpuint(wb_cold_share(CAPACITY_PER_S, 0, 0), ==, 0);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 1000), ==, G_MAXINT64);
 }
 
-/* Another engine, or another start of it, is another node's. */
+/* Shares of engines and of their incarnations fall to different nodes. */
 static void test_engines_are_dealt_out(void) {
     g_autoptr(GHashTable) nodes = nodes_create(87);
-    unsigned served = 0;
+    unsigned shares = 0;
     for (unsigned i = 0; i < 200; i++) {
         g_autofree char *engine = g_strdup_printf("e%u@%u", i / 2, i % 2);
-        served += wb_cold_share(PER_S, 87, wb_dealt_rank(engine, "edge-3", nodes));
+        shares += wb_cold_share(CAPACITY_PER_S, 87, wb_dealt_rank(engine, "edge-3", nodes));
     }
-    g_assert_cmpuint(served, >, 10); /* 11 of 87 of them, 25 on average */
-    g_assert_cmpuint(served, <, 50);
+    g_assert_cmpuint(shares, >, 10); /* 11 of 87 of them, 25 on average */
+    g_assert_cmpuint(shares, <, 50);
 }
 
-/* A node that isn't in the others' lists yet counts itself; a quarter is left for such nodes. */
+/* Shares of new nodes that the others don't count yet fit into the reserved quarter. */
 static void test_new_nodes(void) {
     g_autoptr(GHashTable) known = nodes_create(87);
     g_autoptr(GHashTable) with_new = nodes_create(90);
-    unsigned sum = shares_sum("e1@5", known, PER_S);
+    unsigned sum = sum_shares("e1@5", known, CAPACITY_PER_S);
     for (unsigned i = 87; i < 90; i++) {
         g_autofree char *id = g_strdup_printf("edge-%u", i);
-        sum += wb_cold_share(PER_S, 90, wb_dealt_rank("e1@5", id, with_new));
+        sum += wb_cold_share(CAPACITY_PER_S, 90, wb_dealt_rank("e1@5", id, with_new));
     }
-    g_assert_cmpuint(sum, <=, (unsigned)PER_S);
+    g_assert_cmpuint(sum, <=, (unsigned)CAPACITY_PER_S);
 }
 
-/* The moment at which a model is there that all nodes wait for: each sends as much as it may for
- * five seconds; no second sees more than the engine bears. */
+/* Every node sends whenever allowed for five seconds, as after a load that all wait for: no second
+ * exceeds the capacity. */
 static void test_storm(void) {
     enum { NODES = 87, STEPS = 500, STEP_MS = 10 };
     g_autoptr(GHashTable) nodes = nodes_create(NODES);
-    static wb_send_gate_t gates[NODES];
+    static wb_send_gate_t limiters[NODES];
     unsigned sent[STEPS] = {0};
-    unsigned all = 0;
+    unsigned total = 0;
     for (unsigned step = 0; step < STEPS; step++) {
         int64_t now_ms = 1000 + (int64_t)step * STEP_MS;
         for (unsigned i = 0; i < NODES; i++) {
             g_autofree char *id = g_strdup_printf("edge-%u", i);
-            unsigned share = wb_cold_share(PER_S, NODES, wb_dealt_rank("e1@5", id, nodes));
-            if (wb_send_gate_opens_ms(&gates[i], share, WB_COLD_WINDOW_MS, 0, now_ms) == now_ms) {
-                wb_send_gate_note(&gates[i], WB_COLD_WINDOW_MS, now_ms);
+            unsigned share = wb_cold_share(CAPACITY_PER_S, NODES, wb_dealt_rank("e1@5", id, nodes));
+            if (wb_send_gate_opens_ms(&limiters[i], share, WB_COLD_WINDOW_MS, 0, now_ms) ==
+                now_ms) {
+                wb_send_gate_note(&limiters[i], WB_COLD_WINDOW_MS, now_ms);
                 sent[step]++;
-                all++;
+                total++;
             }
         }
     }
@@ -98,30 +100,30 @@
         for (unsigned step = from; step < from + SECOND_MS / STEP_MS; step++) {
             in_window += sent[step];
         }
-        g_assert_cmpuint(in_window, <=, (unsigned)PER_S);
+        g_assert_cmpuint(in_window, <=, (unsigned)CAPACITY_PER_S);
     }
-    g_assert_cmpuint(all, >=, 50); /* 11 each 1.1 s */
+    g_assert_cmpuint(total, >=, 50); /* 11 each 1.1 s */
     for (unsigned i = 0; i < NODES; i++) {
-        wb_send_gate_clear(&gates[i]);
+        wb_send_gate_clear(&limiters[i]);
     }
 }
 
 static void test_gate(void) {
-    wb_send_gate_t gate = {0};
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 500), ==, G_MAXINT64);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
-    wb_send_gate_note(&gate, WB_COLD_WINDOW_MS, 500);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
-    wb_send_gate_note(&gate, WB_COLD_WINDOW_MS, 600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
-    /* Who comes after others that wait has its turn after theirs. */
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
-    wb_send_gate_clear(&gate);
+    wb_send_gate_t limiter = {0};
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 500), ==, G_MAXINT64);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
+    wb_send_gate_note(&limiter, WB_COLD_WINDOW_MS, 500);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
+    wb_send_gate_note(&limiter, WB_COLD_WINDOW_MS, 600);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
+    /* A request behind others that wait gets a time after theirs. */
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
+    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
+    wb_send_gate_clear(&limiter);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_crash_watch.c
+++ b/tests/unit/test_crash_watch.c
@@ -1,4 +1,5 @@
-/* An engine that broke requests off has ended, or hasn't: what shows which. */
+/* Guards against requests recorded for a crash that didn't happen, and crashes that are not
+ * noticed. */
 #include "unit.h"
 
 #include "request/crash_watch.h"
@@ -7,138 +8,141 @@
 
 #define SETTLE_MS 150
 
-typedef struct scene_t {
+typedef struct fixture_t {
     wb_loop_t *loop;
-    wb_tcp_listener_t *listener; /* NULL: nobody listens at the address */
+    wb_tcp_listener_t *listener; /* NULL: the address refuses connections */
     char *address;
     wb_edge_settings_t settings;
     wb_edge_metrics_t metrics;
     wb_crash_watch_t *watch;
     guint calls;
     guint requests;
-    char *engine; /* that was last told to have crashed */
-} scene_t;
-
-static void crashed(const char *engine_id, const GArray *requests, void *context) {
-    scene_t *scene = context;
-    scene->calls++;
-    scene->requests += requests->len;
-    g_free(scene->engine);
-    scene->engine = g_strdup(engine_id);
+    char *engine; /* last engine reported as crashed */
+} fixture_t;
+
+static void on_crashed(const char *engine_id, const GArray *requests, void *context) {
+    fixture_t *fixture = context;
+    fixture->calls++;
+    fixture->requests += requests->len;
+    g_free(fixture->engine);
+    fixture->engine = g_strdup(engine_id);
 }
 
-static void accepted(wb_tcp_stream_t *stream, void *context) {
+static void on_accepted(wb_tcp_stream_t *stream, void *context) {
     (void)context;
     wb_tcp_stream_close(stream);
 }
 
-static scene_t *scene_begin(gboolean somebody_listens) {
-    scene_t *scene = g_new0(scene_t, 1);
+static fixture_t *fixture_create(gboolean listens) {
+    fixture_t *fixture = g_new0(fixture_t, 1);
     wb_error_t error;
-    scene->settings.connect_timeout_ms = 100;
-    scene->settings.engine_heartbeat_ms = 100;
-    g_assert_cmpint(wb_loop_create(&scene->loop, "test", 64, &error), ==, APR_SUCCESS);
-    g_assert_cmpint(
-        wb_tcp_listen(scene->loop, "127.0.0.1:0", 1000, accepted, NULL, &scene->listener, &error),
-        ==, APR_SUCCESS);
-    scene->address = g_strdup_printf("127.0.0.1:%u", wb_tcp_listener_port(scene->listener));
-    if (!somebody_listens) {
-        wb_tcp_listener_close(scene->listener);
-        scene->listener = NULL;
+    fixture->settings.connect_timeout_ms = 100;
+    fixture->settings.engine_heartbeat_ms = 100;
+    g_assert_cmpint(wb_loop_create(&fixture->loop, "test", 64, &error), ==, APR_SUCCESS);
+    g_assert_cmpint(wb_tcp_listen(fixture->loop, "127.0.0.1:0", 1000, on_accepted, NULL,
+                                  &fixture->listener, &error),
+                    ==, APR_SUCCESS);
+    fixture->address = g_strdup_printf("127.0.0.1:%u", wb_tcp_listener_port(fixture->listener));
+    if (!listens) {
+        wb_tcp_listener_close(fixture->listener);
+        fixture->listener = NULL;
     }
-    wb_crash_watch_events_t events = {crashed, scene};
-    scene->watch = wb_crash_watch_create(scene->loop, &scene->settings, &scene->metrics, &events);
-    return scene;
+    wb_crash_watch_events_t events = {on_crashed, fixture};
+    fixture->watch =
+        wb_crash_watch_create(fixture->loop, &fixture->settings, &fixture->metrics, &events);
+    return fixture;
 }
 
 static void quit(void *context) {
     wb_loop_quit(context);
 }
 
-static void scene_run(scene_t *scene) {
-    wb_loop_after(scene->loop, SETTLE_MS, quit, scene->loop);
-    wb_loop_run(scene->loop);
+static void fixture_run(fixture_t *fixture) {
+    wb_loop_after(fixture->loop, SETTLE_MS, quit, fixture->loop);
+    wb_loop_run(fixture->loop);
 }
 
-static void broken(scene_t *scene, const char *engine, guint8 digest) {
+static void abort_request(fixture_t *fixture, const char *engine, guint8 digest) {
     wb_broken_request_t request = {{{digest}}, 5};
-    wb_crash_watch_broken(scene->watch, engine, scene->address, &request);
+    wb_crash_watch_broken(fixture->watch, engine, fixture->address, &request);
 }
 
-static void scene_end(scene_t *scene) {
-    wb_crash_watch_free(scene->watch);
-    if (scene->listener != NULL) {
-        wb_tcp_listener_close(scene->listener);
+static void fixture_free(fixture_t *fixture) {
+    wb_crash_watch_free(fixture->watch);
+    if (fixture->listener != NULL) {
+        wb_tcp_listener_close(fixture->listener);
     }
-    g_free(scene->address);
-    g_free(scene->engine);
-    g_free(scene);
+    g_free(fixture->address);
+    g_free(fixture->engine);
+    g_free(fixture);
 }
 
-/* All that it broke off is told at once, after one look; what comes later, too. */
+/* All requests that the engine aborted are reported after one connection check; later ones at once.
+ */
 static void test_nobody_listens(void) {
-    scene_t *scene = scene_begin(FALSE);
-    broken(scene, "e1", 1);
-    broken(scene, "e1", 2);
-    g_assert_cmpuint(scene->calls, ==, 0);
-    scene_run(scene);
-    g_assert_cmpuint(scene->calls, ==, 1);
-    g_assert_cmpuint(scene->requests, ==, 2);
-    g_assert_cmpstr(scene->engine, ==, "e1");
-    broken(scene, "e1", 3);
-    g_assert_cmpuint(scene->requests, ==, 3);
-    g_assert_cmpuint(scene->metrics.engine_checks, ==, 1);
-    g_assert_cmpuint(scene->metrics.engine_crashes, ==, 1);
-    scene_end(scene);
+    fixture_t *fixture = fixture_create(FALSE);
+    abort_request(fixture, "e1", 1);
+    abort_request(fixture, "e1", 2);
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    fixture_run(fixture);
+    g_assert_cmpuint(fixture->calls, ==, 1);
+    g_assert_cmpuint(fixture->requests, ==, 2);
+    g_assert_cmpstr(fixture->engine, ==, "e1");
+    abort_request(fixture, "e1", 3);
+    g_assert_cmpuint(fixture->requests, ==, 3);
+    g_assert_cmpuint(fixture->metrics.engine_checks, ==, 1);
+    g_assert_cmpuint(fixture->metrics.engine_crashes, ==, 1);
+    fixture_free(fixture);
 }
 
-/* An engine that lives breaks answers off: nothing is held against requests. */
+/* When a live engine aborts responses, nothing is recorded against the requests. */
 static void test_somebody_listens(void) {
-    scene_t *scene = scene_begin(TRUE);
-    broken(scene, "e1", 1);
-    scene_run(scene);
-    broken(scene, "e1", 2);
-    scene_run(scene);
-    wb_crash_watch_address_taken(scene->watch, "e1", scene->address); /* its own announcement */
-    g_assert_cmpuint(scene->calls, ==, 0);
-    g_assert_cmpuint(scene->metrics.engine_checks, ==, 1);
-    scene_end(scene);
+    fixture_t *fixture = fixture_create(TRUE);
+    abort_request(fixture, "e1", 1);
+    fixture_run(fixture);
+    abort_request(fixture, "e1", 2);
+    fixture_run(fixture);
+    wb_crash_watch_address_taken(fixture->watch, "e1",
+                                 fixture->address); /* announced by the same engine */
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    g_assert_cmpuint(fixture->metrics.engine_checks, ==, 1);
+    fixture_free(fixture);
 }
 
-/* The next engine answers at the address already, or something stands before engines. */
+/* A crash is reported when another engine announces the address, though it accepts connections. */
 static void test_successor_announces_itself(void) {
-    scene_t *scene = scene_begin(TRUE);
-    broken(scene, "e1", 1);
-    scene_run(scene);
-    wb_crash_watch_address_taken(scene->watch, "e2", "127.0.0.1:1");
-    g_assert_cmpuint(scene->calls, ==, 0);
-    wb_crash_watch_address_taken(scene->watch, "e2", scene->address);
-    g_assert_cmpuint(scene->calls, ==, 1);
-    g_assert_cmpstr(scene->engine, ==, "e1");
-    scene_end(scene);
+    fixture_t *fixture = fixture_create(TRUE);
+    abort_request(fixture, "e1", 1);
+    fixture_run(fixture);
+    wb_crash_watch_address_taken(fixture->watch, "e2", "127.0.0.1:1");
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    wb_crash_watch_address_taken(fixture->watch, "e2", fixture->address);
+    g_assert_cmpuint(fixture->calls, ==, 1);
+    g_assert_cmpstr(fixture->engine, ==, "e1");
+    fixture_free(fixture);
 }
 
 static void test_row_goes(void) {
-    scene_t *scene = scene_begin(TRUE);
-    broken(scene, "e1", 1);
-    wb_crash_watch_row_gone(scene->watch, "e9"); /* broke nothing off here */
-    g_assert_cmpuint(scene->calls, ==, 0);
-    wb_crash_watch_row_gone(scene->watch, "e1"); /* while the look is due */
-    g_assert_cmpuint(scene->calls, ==, 1);
-    scene_run(scene);
-    g_assert_cmpuint(scene->calls, ==, 1);
-    scene_end(scene);
+    fixture_t *fixture = fixture_create(TRUE);
+    abort_request(fixture, "e1", 1);
+    wb_crash_watch_row_gone(fixture->watch, "e9"); /* aborted nothing here */
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    wb_crash_watch_row_gone(fixture->watch, "e1"); /* while the check is pending */
+    g_assert_cmpuint(fixture->calls, ==, 1);
+    fixture_run(fixture);
+    g_assert_cmpuint(fixture->calls, ==, 1);
+    fixture_free(fixture);
 }
 
-/* What broke off long ago isn't put down to an end that comes later. */
+/* Requests aborted long ago aren't recorded for a later removal of the engine. */
 static void test_old_breaks_are_forgotten(void) {
-    scene_t *scene = scene_begin(TRUE);
-    broken(scene, "e1", 1);
-    scene_run(scene);
-    wb_crash_watch_sweep(scene->watch, wb_clock_ms() + 60000);
-    wb_crash_watch_row_gone(scene->watch, "e1");
-    g_assert_cmpuint(scene->calls, ==, 0);
-    scene_end(scene);
+    fixture_t *fixture = fixture_create(TRUE);
+    abort_request(fixture, "e1", 1);
+    fixture_run(fixture);
+    wb_crash_watch_sweep(fixture->watch, wb_clock_ms() + 60000);
+    wb_crash_watch_row_gone(fixture->watch, "e1");
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    fixture_free(fixture);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_demand_book.c
+++ b/tests/unit/test_demand_book.c
@@ -1,4 +1,5 @@
-/* What the controller knows of what gateways ask for. */
+/* Guards against a model that looks unused just after its load, before gateways report running
+ * requests. */
 #include "unit.h"
 
 #include "control/demand_book.h"
@@ -7,8 +8,8 @@
 
 #define NOW_MS 1000
 
-static void book_hear(wb_demand_book_t *book, const char *node, unsigned waiting,
-                      unsigned running) {
+static void report_demand(wb_demand_book_t *stats, const char *node, unsigned waiting,
+                          unsigned running) {
     wb_wire_demand_entry entry;
     memset(&entry, 0, sizeof(entry));
     entry.service = "llm";
@@ -19,28 +20,28 @@
     entry.arrivals = waiting;
     wb_wire_demand demand = {.node = (char *)node,
                              .entries = {.entries_len = 1, .entries_val = &entry}};
-    wb_demand_book_take(book, &demand, NOW_MS);
+    wb_demand_book_take(stats, &demand, NOW_MS);
 }
 
-static const wb_model_use_t *book_use(wb_demand_book_t *book) {
-    wb_demand_book_count(book, NOW_MS);
-    return &wb_demand_book_find(book, "llm", "m1", "")->use;
+static const wb_model_use_t *model_use(wb_demand_book_t *stats) {
+    wb_demand_book_count(stats, NOW_MS);
+    return &wb_demand_book_find(stats, "llm", "m1", "")->use;
 }
 
-/* Until gateways tell more, who waited for a model that has come is taken to run there: else the
- * model looks unused and is dropped for the next one at once. */
+/* Requests that waited for a loaded model count as running until the next report; otherwise the
+ * model would be evicted at once. */
 static void test_served_waiters_run(void) {
-    wb_demand_book_t *book = wb_demand_book_create();
-    book_hear(book, "n1", 2, 1);
-    book_hear(book, "n2", 1, 0);
-    g_assert_cmpuint(book_use(book)->waiting, ==, 3);
-    g_assert_cmpuint(book_use(book)->running, ==, 1);
-    wb_demand_book_served(book, "llm", "m1", "");
-    g_assert_cmpuint(book_use(book)->waiting, ==, 0);
-    g_assert_cmpuint(book_use(book)->running, ==, 4);
-    book_hear(book, "n1", 0, 0); /* what a gateway tells replaces what was assumed of it */
-    g_assert_cmpuint(book_use(book)->running, ==, 1);
-    wb_demand_book_free(book);
+    wb_demand_book_t *stats = wb_demand_book_create();
+    report_demand(stats, "n1", 2, 1);
+    report_demand(stats, "n2", 1, 0);
+    g_assert_cmpuint(model_use(stats)->waiting, ==, 3);
+    g_assert_cmpuint(model_use(stats)->running, ==, 1);
+    wb_demand_book_served(stats, "llm", "m1", "");
+    g_assert_cmpuint(model_use(stats)->waiting, ==, 0);
+    g_assert_cmpuint(model_use(stats)->running, ==, 4);
+    report_demand(stats, "n1", 0, 0); /* a gateway's report replaces what was assumed of it */
+    g_assert_cmpuint(model_use(stats)->running, ==, 1);
+    wb_demand_book_free(stats);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_engine_choice.c
+++ b/tests/unit/test_engine_choice.c
@@ -1,10 +1,11 @@
-/* Which engine a request is sent to, by load: a table of fleets, and properties over drawn ones. */
+/* Guards against requests that are sent to the more expensive engine: fixed cases, and properties
+ * of random loads. */
 #include "unit.h"
 
 #include "dispatch/engine_choice.h"
 #include "dispatch/length_guess.h"
 
-/* As measured on engines of the users' second sheet: 30 tokens a ms, 5.3 ms a step. */
+/* 30 prefill tokens per ms, 5.3 ms per decoding step. */
 static const wb_choice_setup_t setup = {
     .tokens_per_ms = 30, .step_ms = 5.3, .piece_tokens = 2048, .event_tokens = 5, .by_pace = TRUE};
 static const wb_choice_request_t chat = {
@@ -13,13 +14,13 @@
     .has_prompt = TRUE, .out_tokens = 50, .target_ms = 800, .target_gap_ms = 400, .wait_scale = 1};
 static const wb_choice_request_t lookup = {.target_ms = 150, .wait_scale = 1};
 
-/* A fleet of two, and which of them a request should go to. */
-typedef struct load_t {
+/* Two engines with their load, and the index of the engine to be chosen. */
+typedef struct choice_case_t {
     const char *name;
     const wb_choice_request_t *request;
     wb_choice_engine_t engines[2];
     unsigned best;
-} load_t;
+} choice_case_t;
 
 #define ENGINE(pace_, running_, unread_, share_)                                                   \
     {                                                                                              \
@@ -27,7 +28,7 @@
         .reading_share = (share_)                                                                  \
     }
 
-static const load_t loads[] = {
+static const choice_case_t cases[] = {
     {"a chat goes to the fast one", &chat, {ENGINE(1.2, 0, 600, 0), ENGINE(0.55, 0, 600, 0)}, 1},
     {"a chat goes to the fast one though it reads more",
      &chat,
@@ -57,18 +58,18 @@
 };
 
 static void test_loads(void) {
-    for (guint i = 0; i < G_N_ELEMENTS(loads); i++) {
-        const load_t *load = &loads[i];
+    for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+        const choice_case_t *item = &cases[i];
         double costs[2];
         for (unsigned j = 0; j < 2; j++) {
-            costs[j] = wb_choice_estimate(&setup, load->request, &load->engines[j]).cost_ms;
+            costs[j] = wb_choice_estimate(&setup, item->request, &item->engines[j]).cost_ms;
         }
-        g_test_message("%s: %.0f, %.0f", load->name, costs[0], costs[1]);
-        g_assert_cmpuint(costs[1] < costs[0], ==, load->best);
+        g_test_message("%s: %.0f, %.0f", item->name, costs[0], costs[1]);
+        g_assert_cmpuint(costs[1] < costs[0], ==, item->best);
     }
 }
 
-/* At any equal load, more of anything that makes an engine worse never makes it cheaper. */
+/* More load of any kind never lowers an engine's cost. */
 static void test_worse_is_never_cheaper(void) {
     GRand *rand = g_rand_new_with_seed(7);
     for (unsigned i = 0; i < 20000; i++) {
@@ -95,27 +96,28 @@
     g_rand_free(rand);
 }
 
-/* Switched off, paces and streams count for nothing. */
+/* With use_pace off, paces and running streams don't change the cost. */
 static void test_switched_off(void) {
     wb_choice_setup_t off = setup;
     off.by_pace = FALSE;
-    wb_choice_engine_t quiet = ENGINE(1, 0, 3000, 0);
-    wb_choice_estimate_t estimate = wb_choice_estimate(&off, &draft, &quiet);
+    wb_choice_engine_t idle_engine = ENGINE(1, 0, 3000, 0);
+    wb_choice_estimate_t estimate = wb_choice_estimate(&off, &draft, &idle_engine);
     g_assert_cmpfloat_with_epsilon(estimate.cost_ms, 100 + 5.3, 0.1);
 }
 
-/* Hints that are far off move the guess by their square root only, and never over the limit. */
+/* A client's length hint changes the estimate by its square root at most, and never beyond the
+ * token limit. */
 static void test_length_guess(void) {
-    wb_length_guess_t *guess = wb_length_guess_create();
+    wb_length_guess_t *estimate = wb_length_guess_create();
     for (unsigned i = 0; i < 200; i++) {
-        wb_length_guess_learn(guess, "chat", 290);
+        wb_length_guess_learn(estimate, "chat", 290);
     }
-    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(guess, "chat", 0, 0), 290, 1);
-    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(guess, "chat", 290, 0), 290, 1);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "chat", 29000, 0), <, 3000);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "chat", 29000, 400), ==, 400);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "other", 0, 10), ==, 10);
-    wb_length_guess_free(guess);
+    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(estimate, "chat", 0, 0), 290, 1);
+    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(estimate, "chat", 290, 0), 290, 1);
+    g_assert_cmpfloat(wb_length_guess_tokens(estimate, "chat", 29000, 0), <, 3000);
+    g_assert_cmpfloat(wb_length_guess_tokens(estimate, "chat", 29000, 400), ==, 400);
+    g_assert_cmpfloat(wb_length_guess_tokens(estimate, "other", 0, 10), ==, 10);
+    wb_length_guess_free(estimate);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_equal_share.c
+++ b/tests/unit/test_equal_share.c
@@ -1,4 +1,4 @@
-/* What all nodes may spend together is never spent twice. */
+/* Guards against nodes that together spend more than a shared amount. */
 #include "unit.h"
 
 #include "quota/equal_share.h"
@@ -6,7 +6,7 @@
 #define WINDOW_MS 4000
 #define SETTLED_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS + WINDOW_MS)
 
-/* A share that knows itself and some others since a time. */
+/* @return the share of node "own", which has known itself and `others` more since now_ms */
 static wb_equal_share_t *share_create(int others, int64_t now_ms) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
     wb_equal_share_add(share, "own", now_ms);
@@ -25,7 +25,8 @@
 
 static void test_start(void) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
-    g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, 1000), ==, 0); /* nothing is known */
+    g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, 1000), ==,
+                     0); /* the node list is unknown */
     wb_equal_share_free(share);
     share = share_create(2, 1000);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS - 1), ==, 0);
@@ -43,7 +44,7 @@
     int64_t old_ms = known_ms + WB_SHARE_TRUST_MS;
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms - 1), ==, 3);
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms), ==, 0);
-    wb_equal_share_known(share, old_ms - 1000); /* it hears again: nothing is waited for */
+    wb_equal_share_known(share, old_ms - 1000); /* updates arrive again: no wait */
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms), ==, 3);
     wb_equal_share_free(share);
 }
@@ -57,16 +58,19 @@
     g_assert_cmpuint(wb_equal_share_digest(share), !=, digest);
     wb_equal_share_remove(share, "other-2", now_ms);
     g_assert_cmpuint(wb_equal_share_digest(share), ==, digest);
-    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS - 1), ==, 4); /* and for a while after */
+    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS - 1), ==,
+                     4); /* and for SETTLED_MS after */
     g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==, 3);
     wb_equal_share_sweep(share, now_ms + SETTLED_MS);
     g_assert_cmpuint(g_hash_table_size(wb_equal_share_ids(share)), ==, 3);
     wb_equal_share_remove(share, "own", now_ms + SETTLED_MS);
-    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==, 0); /* who isn't listed has none */
+    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==,
+                     0); /* a node that isn't listed has no share */
     wb_equal_share_free(share);
 }
 
-/* The first process of the first machine has all at once; one that finds another listed waits. */
+/* The first process of the first machine has the whole amount at once; one that finds another node
+ * listed waits. */
 static void test_begin_first(void) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
     wb_equal_share_begin_first(share, 1000);
@@ -83,7 +87,8 @@
     wb_equal_share_free(share);
 }
 
-/* Where a part is set aside for nodes that others don't count, only the window is waited for. */
+/* wb_equal_share_listed waits only for the window: its callers reserve a part for nodes not counted
+ * yet. */
 static void test_listed(void) {
     wb_equal_share_t *share = share_create(2, 1000);
     g_assert_cmpuint(wb_equal_share_listed(share, WINDOW_MS, 1000 + WINDOW_MS - 1), ==, 0);
@@ -97,8 +102,8 @@
     wb_equal_share_free(share);
 }
 
-/* The part of one of so many nodes that all know each other. */
-static double part_of(int number, int nodes, double whole) {
+/* @return the amount of node `number` of `nodes` that all know each other */
+static double amount_of(int number, int nodes, double total) {
     g_autofree char *own = g_strdup_printf("node-%d", number);
     wb_equal_share_t *share = wb_equal_share_create(own, WINDOW_MS);
     for (int i = 0; i < nodes; i++) {
@@ -106,31 +111,31 @@
         wb_equal_share_add(share, id, 0);
     }
     wb_equal_share_known(share, SETTLED_MS);
-    double part = wb_equal_share_part(share, whole, WINDOW_MS, SETTLED_MS);
+    double amount = wb_equal_share_part(share, total, WINDOW_MS, SETTLED_MS);
     wb_equal_share_free(share);
-    return part;
+    return amount;
 }
 
-/* All parts come to the whole, also where there are more nodes than units of it: then as many have
- * one as there are. */
+/* The amounts add up to the total; with more nodes than units, as many nodes have a unit as there
+ * are units. */
 static void test_parts_add_up(void) {
-    enum { WHOLE = 54 };
-    static const int sizes[] = {1, 7, WHOLE, WHOLE + 1, 2 * WHOLE, 4 * WHOLE};
+    enum { TOTAL = 54 };
+    static const int sizes[] = {1, 7, TOTAL, TOTAL + 1, 2 * TOTAL, 4 * TOTAL};
     for (gsize i = 0; i < G_N_ELEMENTS(sizes); i++) {
         double sum = 0;
         int usable = 0;
         for (int j = 0; j < sizes[i]; j++) {
-            double part = part_of(j, sizes[i], WHOLE);
-            sum += part;
-            usable += part >= 1;
+            double amount = amount_of(j, sizes[i], TOTAL);
+            sum += amount;
+            usable += amount >= 1;
         }
-        g_assert_cmpfloat(sum, >, WHOLE - 1e-6);
-        g_assert_cmpfloat(sum, <, WHOLE + 1e-6);
-        g_assert_cmpint(usable, ==, MIN(sizes[i], WHOLE));
+        g_assert_cmpfloat(sum, >, TOTAL - 1e-6);
+        g_assert_cmpfloat(sum, <, TOTAL + 1e-6);
+        g_assert_cmpint(usable, ==, MIN(sizes[i], TOTAL));
     }
 }
 
-/* Machines before a store that lists them, with what each process there knows and has spent. */
+/* Simulation: machines that a store lists, with what each process there knows and has spent. */
 enum {
     SEEDS = 800,
     MACHINES = 9,
@@ -141,22 +146,22 @@
 
 typedef struct sim_machine_t {
     char *id;
-    wb_equal_share_t *share; /* NULL: no process runs */
+    wb_equal_share_t *share; /* NULL: no process is running */
     gboolean listed;         /* in the store */
-    gboolean was_listed;     /* at some time */
-    gboolean created;        /* by the process that runs, and not read back yet */
+    gboolean was_listed;     /* ever */
+    gboolean created;        /* its row was created by the running process, and not read back yet */
     gboolean knows[MACHINES];
-    int cut_step;        /* since when it is cut off from the store and from news; 0: it is not */
+    int cut_step;        /* step at which it lost the store and all updates; 0: connected */
     double spent[STEPS]; /* by this process */
 } sim_machine_t;
 
 typedef struct sim_t {
     sim_machine_t machines[MACHINES];
-    gboolean listed[STEPS][MACHINES]; /* what the store held */
+    gboolean listed[STEPS][MACHINES]; /* rows in the store at each step */
     GRand *random;
-    int count; /* machines of this play */
-    double whole;
-    int calm; /* steps of a machine between two disturbances of one kind */
+    int count; /* number of machines in this run */
+    double total_amount;
+    int fault_interval; /* mean steps between two faults of one kind at a machine */
 } sim_t;
 
 static int64_t time_of(int step) {
@@ -189,7 +194,7 @@
     }
 }
 
-/* It reads the store and writes its row there. */
+/* The process reads the store and writes its row. */
 static void process_read(sim_t *sim, sim_machine_t *machine, int step) {
     int64_t now_ms = time_of(step);
     view_set(sim, machine, sim->listed[step], now_ms);
@@ -203,12 +208,12 @@
     machine->listed = TRUE;
 }
 
-/* It hears what was read some time ago, and takes that for news of this moment. One that is cut off
- * may still hear what was under way. */
-static void process_hear(sim_t *sim, sim_machine_t *machine, int step) {
+/* The process receives an earlier read from another node and takes it as current. One that is cut
+ * off may still receive what was under way. */
+static void process_receive(sim_t *sim, sim_machine_t *machine, int step) {
     int then = step - g_rand_int_range(sim->random, 0, WB_SHARE_DELAY_MS / STEP_MS);
-    gboolean comes = then >= 0 && (machine->cut_step == 0 || then < machine->cut_step);
-    if (comes && memcmp(machine->knows, sim->listed[then], sizeof(machine->knows)) == 0) {
+    gboolean arrives = then >= 0 && (machine->cut_step == 0 || then < machine->cut_step);
+    if (arrives && memcmp(machine->knows, sim->listed[then], sizeof(machine->knows)) == 0) {
         wb_equal_share_known(machine->share, time_of(step));
     }
 }
@@ -221,10 +226,11 @@
     return sum;
 }
 
-/* Now and then it spends all that it may. Returns what it spent. */
+/* Spends all that is left, at random steps. @return what it spent */
 static double process_spend(sim_t *sim, sim_machine_t *machine, int step) {
-    double part = wb_equal_share_part(machine->share, sim->whole, WINDOW_MS, time_of(step));
-    double left = part - spent_in_window(machine, step);
+    double amount =
+        wb_equal_share_part(machine->share, sim->total_amount, WINDOW_MS, time_of(step));
+    double left = amount - spent_in_window(machine, step);
     gboolean spends = g_rand_int_range(sim->random, 0, 10) == 0;
     machine->spent[step] = spends ? MAX(left, 0) : 0;
     return machine->spent[step];
@@ -238,9 +244,9 @@
     return listed;
 }
 
-/* Processes are killed and started, machines cut off, rows removed, whoever they are of. */
-static void machine_disturb(sim_t *sim, sim_machine_t *machine, int step) {
-    switch (g_rand_int_range(sim->random, 0, sim->calm)) {
+/* Kills and starts processes, cuts machines off and removes rows at random. */
+static void machine_inject_fault(sim_t *sim, sim_machine_t *machine, int step) {
+    switch (g_rand_int_range(sim->random, 0, sim->fault_interval)) {
     case 0:
         process_start(machine);
         break;
@@ -260,14 +266,14 @@
     }
 }
 
-/* Returns the most that was spent in a window, as a part of the whole. */
-static double sim_play(guint32 seed, double *all_spent) {
+/* @return the max spent in any window, as a fraction of the total */
+static double sim_run(guint32 seed, double *all_spent) {
     sim_t *sim = g_new0(sim_t, 1);
     double *total = g_new0(double, STEPS);
-    double most = 0;
+    double max_spent = 0;
     sim->random = g_rand_new_with_seed(seed);
-    sim->whole = seed % 2 == 0 ? 1000 : 3; /* more units than machines, or mostly fewer */
-    sim->calm = 150 << (seed % 4);
+    sim->total_amount = seed % 2 == 0 ? 1000 : 3; /* more units than machines, or mostly fewer */
+    sim->fault_interval = 150 << (seed % 4);
     sim->count = 2 + (int)(seed / 4 % (MACHINES - 1));
     for (int i = 0; i < sim->count; i++) {
         sim->machines[i].id = g_strdup_printf("machine-%d", i);
@@ -278,7 +284,7 @@
         }
         for (int i = 0; i < sim->count; i++) {
             sim_machine_t *machine = &sim->machines[i];
-            machine_disturb(sim, machine, step);
+            machine_inject_fault(sim, machine, step);
             if (machine->share == NULL) {
                 continue;
             }
@@ -286,7 +292,7 @@
                 process_read(sim, machine, step);
             }
             if (g_rand_int_range(sim->random, 0, 8) == 0) {
-                process_hear(sim, machine, step);
+                process_receive(sim, machine, step);
             }
             total[step] += process_spend(sim, machine, step);
         }
@@ -294,8 +300,8 @@
         for (int i = MAX(step - WINDOW_MS / STEP_MS + 1, 0); i <= step; i++) {
             window += total[i];
         }
-        most = MAX(most, window / sim->whole);
-        *all_spent += total[step] / sim->whole;
+        max_spent = MAX(max_spent, window / sim->total_amount);
+        *all_spent += total[step] / sim->total_amount;
     }
     for (int i = 0; i < sim->count; i++) {
         process_end(&sim->machines[i]);
@@ -304,20 +310,21 @@
     g_rand_free(sim->random);
     g_free(total);
     g_free(sim);
-    return most;
+    return max_spent;
 }
 
 static void test_never_spent_twice(void) {
-    double most = 0;
+    double max_spent = 0;
     double all_spent = 0;
     for (guint32 seed = 1; seed <= SEEDS; seed++) {
-        double window = sim_play(seed, &all_spent);
+        double window = sim_run(seed, &all_spent);
         g_assert_cmpfloat(window, <=, 1 + 1e-9);
-        most = MAX(most, window);
+        max_spent = MAX(max_spent, window);
     }
-    g_test_message("at most %.3f of the whole in a window, %.3f on average", most,
+    g_test_message("at most %.3f of the whole in a window, %.3f on average", max_spent,
                    all_spent / SEEDS / DURATION_MS * WINDOW_MS);
-    g_assert_cmpfloat(most, >, 0.9); /* what nobody may spend is never spent twice either */
+    g_assert_cmpfloat(max_spent, >,
+                      0.9); /* the bound is nearly reached, so it isn't trivially kept */
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,4 +1,4 @@
-/* Engines that leave: how long they may still get work. */
+/* Guards against work sent to draining or removed engines, and state kept across incarnations. */
 #include "unit.h"
 
 #include "wickbridge/fleet.h"
@@ -6,19 +6,19 @@
 
 #define DRAIN_MS 3000
 
-static wb_engine_t *engine_announce(wb_fleet_t *fleet, gboolean leaving) {
+static wb_engine_t *announce_engine(wb_fleet_t *fleet, gboolean draining) {
     wb_engine_state_t *state = wb_engine_state_create("e1");
     state->service = g_strdup("llm");
-    state->leaving = leaving;
+    state->leaving = draining;
     return wb_fleet_announce(fleet, state);
 }
 
-/* A drain begins when the announcement went, which is up to as long ago as the table was known. */
+/* A drain begins when the row was removed, at the earliest when the table was last known. */
 static void test_gone_since_last_known(void) {
     int64_t now_ms = 100000;
     g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
     g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 1600, DRAIN_MS, now_ms), <, now_ms);
-    /* After the store was away, engines that live are back soon. */
+    /* After a store outage, live engines announce themselves again soon. */
     g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), >, now_ms + 2000);
     g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), <, now_ms + DRAIN_MS);
 }
@@ -26,74 +26,75 @@
 static void test_gone_engine_closes(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_t *engine = engine_announce(fleet, FALSE);
+    wb_engine_t *engine = announce_engine(fleet, FALSE);
     g_assert_true(wb_engine_is_open(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
     g_assert_true(wb_engine_is_open(engine, now_ms + 499));
     g_assert_false(wb_engine_is_open(engine, now_ms + 500));
-    const wb_engine_t *back = engine_announce(fleet, FALSE);
+    const wb_engine_t *back = announce_engine(fleet, FALSE);
     g_assert_true(back == engine);
     g_assert_true(wb_engine_is_open(engine, now_ms + 5000));
 }
 
-/* An engine that said that it leaves stays closed when its announcement goes. */
+/* An engine that announced its drain stays unusable when its row is removed. */
 static void test_leaving_engine_stays_closed(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_t *engine = engine_announce(fleet, TRUE);
+    wb_engine_t *engine = announce_engine(fleet, TRUE);
     g_assert_false(wb_engine_is_open(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
     g_assert_false(wb_engine_is_open(engine, now_ms));
 }
 
-/* What an engine told in an answer holds for its start: rows that were written before, or come back
- * later, undo nothing. */
+/* A drain reported in a response holds for this incarnation: rows written before, or announced
+ * again later, don't end it. */
 static void test_told_leaving_holds(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_t *engine = engine_announce(fleet, FALSE);
+    wb_engine_t *engine = announce_engine(fleet, FALSE);
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
     g_assert_true(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
     g_assert_false(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
     g_assert_false(wb_engine_stays(engine));
-    /* Others can't do what it still does for a while. */
+    /* It stays usable for half the drain time, until others can take over its work. */
     g_assert_true(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2 - 1));
     g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
-    const wb_engine_t *again = engine_announce(fleet, FALSE);
+    const wb_engine_t *again = announce_engine(fleet, FALSE);
     g_assert_true(again == engine);
     g_assert_false(wb_engine_stays(engine));
     g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
-    /* Nodes compare what they know of rows. */
+    /* The digest covers only what the rows say. */
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), ==, digest);
-    engine_announce(fleet, TRUE);
+    announce_engine(fleet, TRUE);
     g_assert_false(wb_engine_is_open(engine, now_ms));
-    /* Its row goes for long, and comes back. */
+    /* Its row is removed for long, then announced again. */
     wb_fleet_remove(fleet, "e1", now_ms + 500);
     g_assert_false(wb_engine_is_open(engine, now_ms));
     wb_fleet_sweep(fleet, now_ms + 60000);
-    const wb_engine_t *back = engine_announce(fleet, FALSE);
+    const wb_engine_t *back = announce_engine(fleet, FALSE);
     g_assert_false(wb_engine_stays(back));
     g_assert_false(wb_engine_is_open(back, now_ms + 60000));
 }
 
-/* The controller's news go before announcements, but not before one that was made long after. */
+/* Placement updates of the controller override rows, but not one that is announced long after. */
 static void test_news_yield_to_later_rows(void) {
     wb_fleet_t *fleet = wb_fleet_create();
-    wb_engine_t *engine = engine_announce(fleet, FALSE);
+    wb_engine_t *engine = announce_engine(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
     wb_engine_note(engine, "m1", "", FALSE, now_ms, 100, 60000);
-    wb_engine_state_add_model(engine_announce(fleet, FALSE)->state, "m1", 1);
-    g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms())); /* made before, perhaps */
+    wb_engine_state_add_model(announce_engine(fleet, FALSE)->state, "m1", 1);
+    g_assert_false(wb_engine_holds(engine, "m1", "",
+                                   wb_clock_ms())); /* may have been written before the update */
     g_usleep(150000);
     g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
-    wb_engine_state_add_model(engine_announce(fleet, FALSE)->state, "m1", 1);
+    wb_engine_state_add_model(announce_engine(fleet, FALSE)->state, "m1", 1);
     g_assert_true(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
 }
 
-/* What an engine holds, by its announcement and the news that go before it, as one set. */
+/* The held models combine the row and newer placement updates. */
 static void test_holdings(void) {
     wb_fleet_t *fleet = wb_fleet_create();
-    wb_engine_t *engine = engine_announce(fleet, FALSE);
+    wb_engine_t *engine = announce_engine(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
     g_assert_false(wb_engine_has_news(engine));
     g_hash_table_add(wb_engine_state_add_model(engine->state, "m1", 1)->adapters, g_strdup("a1"));
@@ -115,135 +116,134 @@
     wb_engine_state_free(other);
 }
 
-/* Two nodes that know the same have the same digest, however they came to know it. */
+/* Equal knowledge gives equal digests, whether it came from rows or from updates. */
 static void test_digest(void) {
     wb_fleet_t *left = wb_fleet_create();
     wb_fleet_t *right = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
-    wb_engine_t *told = engine_announce(left, FALSE);
+    wb_engine_t *updated = announce_engine(left, FALSE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
-    wb_engine_t *read = engine_announce(right, FALSE);
-    wb_engine_note(told, "m1", "", TRUE, now_ms, 1000, 60000);
-    wb_engine_state_add_model(read->state, "m1", 1);
+    wb_engine_t *announced = announce_engine(right, FALSE);
+    wb_engine_note(updated, "m1", "", TRUE, now_ms, 1000, 60000);
+    wb_engine_state_add_model(announced->state, "m1", 1);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
-    wb_engine_note(told, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_note(updated, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
-    wb_engine_note(read, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_note(announced, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
-    engine_announce(right, TRUE);
+    announce_engine(right, TRUE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
     wb_fleet_remove(left, "e1", 0);
     wb_fleet_remove(right, "e1", 0);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
 }
 
-static wb_engine_t *start_announce(wb_fleet_t *fleet, int64_t born_ms) {
+static wb_engine_t *announce_incarnation(wb_fleet_t *fleet, int64_t born_ms) {
     wb_engine_state_t *state = wb_engine_state_create("e1");
     state->service = g_strdup("llm");
     wb_engine_state_set_born(state, born_ms);
     return wb_fleet_announce(fleet, state);
 }
 
-/* Guards against an engine that is sent requests freely when its row lapses beside a store in
- * trouble and comes back, though it had named a limit and asked for rest. */
+/* A reported limit and backoff survive the removal of the engine's row during store trouble. */
 static void test_told_limit_and_rest_outlive_the_row(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_t *engine = start_announce(fleet, 100);
+    wb_engine_t *engine = announce_incarnation(fleet, 100);
     wb_engine_limit_name(&engine->limit, 0.4, now_ms, now_ms);
     engine->rest_until_ms = now_ms + 100000;
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
-    const wb_engine_t *back = start_announce(fleet, 100);
+    const wb_engine_t *back = announce_incarnation(fleet, 100);
     g_assert_true(back->limit.named);
     g_assert_cmpfloat(back->limit.per_s, ==, 0.4);
     g_assert_cmpint(back->limit.named_ms, ==, now_ms);
     g_assert_cmpint(back->rest_until_ms, ==, now_ms + 100000);
     g_assert_true(wb_engine_stays(back));
-    /* What is over isn't believed again. */
+    /* An ended limit isn't restored. */
     wb_engine_limit_unname(&wb_fleet_find(fleet, "e1")->limit, now_ms + 1000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
-    back = start_announce(fleet, 100);
+    back = announce_incarnation(fleet, 100);
     g_assert_false(back->limit.named);
-    /* Another start has told nothing. */
-    const wb_engine_t *later = start_announce(fleet, 200);
+    /* The next incarnation has reported nothing. */
+    const wb_engine_t *later = announce_incarnation(fleet, 200);
     g_assert_false(later->limit.named);
     g_assert_cmpint(later->rest_until_ms, ==, 0);
 }
 
-/* Another start under the same id has told nothing. */
+/* A reported drain doesn't apply to the next incarnation. */
 static void test_told_leaving_ends_with_its_start(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_tell_leaving(start_announce(fleet, 100), DRAIN_MS, now_ms);
-    const wb_engine_t *later = start_announce(fleet, 200);
+    wb_engine_tell_leaving(announce_incarnation(fleet, 100), DRAIN_MS, now_ms);
+    const wb_engine_t *later = announce_incarnation(fleet, 200);
     g_assert_true(wb_engine_stays(later));
     wb_fleet_sweep(fleet, now_ms + 60000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
-    later = start_announce(fleet, 200);
+    later = announce_incarnation(fleet, 200);
     g_assert_true(wb_engine_stays(later));
 }
 
-/* An engine that starts again under its id is another one: it holds nothing of before, nothing runs
- * there, and what was sent to the earlier start stays with that. */
+/* A new incarnation holds no models and runs no requests; those sent to the previous one stay with
+ * it. */
 static void test_start_under_a_known_id(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_t *before = wb_engine_ref(start_announce(fleet, 1000));
-    wb_engine_state_add_model(before->state, "m1", 1);
-    wb_engine_note(before, "m2", "", TRUE, now_ms, 100, 60000);
-    before->running = 7;
-    before->failures = 3;
+    wb_engine_t *previous = wb_engine_ref(announce_incarnation(fleet, 1000));
+    wb_engine_state_add_model(previous->state, "m1", 1);
+    wb_engine_note(previous, "m2", "", TRUE, now_ms, 100, 60000);
+    previous->running = 7;
+    previous->failures = 3;
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
-    wb_engine_t *after = start_announce(fleet, 2000);
-    g_assert_true(after != before);
-    g_assert_true(wb_fleet_find(fleet, "e1") == after);
-    g_assert_cmpstr(after->state->incarnation, ==, "e1@2000");
-    g_assert_false(wb_engine_holds(after, "m1", "", now_ms));
-    g_assert_false(wb_engine_holds(after, "m2", "", now_ms));
-    g_assert_cmpuint(after->running, ==, 0);
-    g_assert_cmpuint(after->failures, ==, 0);
-    g_assert_false(wb_engine_is_open(before, now_ms));
-    g_assert_true(wb_engine_is_open(after, now_ms));
+    wb_engine_t *current = announce_incarnation(fleet, 2000);
+    g_assert_true(current != previous);
+    g_assert_true(wb_fleet_find(fleet, "e1") == current);
+    g_assert_cmpstr(current->state->incarnation, ==, "e1@2000");
+    g_assert_false(wb_engine_holds(current, "m1", "", now_ms));
+    g_assert_false(wb_engine_holds(current, "m2", "", now_ms));
+    g_assert_cmpuint(current->running, ==, 0);
+    g_assert_cmpuint(current->failures, ==, 0);
+    g_assert_false(wb_engine_is_open(previous, now_ms));
+    g_assert_true(wb_engine_is_open(current, now_ms));
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), !=, digest);
-    wb_engine_unref(before);
+    wb_engine_unref(previous);
 }
 
-/* A row that comes late, of an earlier start, changes nothing: neither while the later one is
- * announced nor when that is gone. */
+/* A late row of an earlier incarnation changes nothing, while the later one is announced or after
+ * its removal. */
 static void test_earlier_start_changes_nothing(void) {
     wb_fleet_t *fleet = wb_fleet_create();
-    wb_engine_t *engine = start_announce(fleet, 2000);
+    wb_engine_t *engine = announce_incarnation(fleet, 2000);
     wb_engine_state_add_model(engine->state, "m1", 1);
-    g_assert_null(start_announce(fleet, 1000));
+    g_assert_null(announce_incarnation(fleet, 1000));
     g_assert_true(wb_fleet_find(fleet, "e1") == engine);
     g_assert_true(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
     wb_fleet_remove(fleet, "e1", 0);
-    g_assert_null(start_announce(fleet, 1999));
+    g_assert_null(announce_incarnation(fleet, 1999));
     g_assert_null(wb_fleet_find(fleet, "e1"));
-    const wb_engine_t *same = start_announce(fleet, 2000);
+    const wb_engine_t *same = announce_incarnation(fleet, 2000);
     g_assert_true(same == engine);
-    const wb_engine_t *another = start_announce(fleet, 2001);
+    const wb_engine_t *another = announce_incarnation(fleet, 2001);
     g_assert_true(another != engine);
 }
 
-/* Several times within the time for which gone engines are kept. */
+/* Several incarnations within the retention time of removed engines are all kept. */
 static void test_starts_in_quick_succession(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     for (int64_t born_ms = 1000; born_ms <= 5000; born_ms += 1000) {
-        const wb_engine_t *engine = start_announce(fleet, born_ms);
+        const wb_engine_t *engine = announce_incarnation(fleet, born_ms);
         g_assert_cmpint(engine->state->born_ms, ==, born_ms);
     }
     wb_fleet_remove(fleet, "e1", 0);
-    g_assert_null(start_announce(fleet, 4000));
+    g_assert_null(announce_incarnation(fleet, 4000));
     g_assert_cmpuint(wb_fleet_service(fleet, "llm")->len, ==, 5);
 }
 
-/* Engines of a zone that is evacuated get work until it is closed, and don't count as staying from
- * the start; those that announce themselves later are of the zone, too. */
+/* Engines of an evacuated zone are usable until its deadline, but not available from the start;
+ * this also covers engines announced later. */
 static void test_evacuated_zone(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -1,22 +1,23 @@
-/* The lease of the placement controller, played by hand. */
+/* Guards against two lease holders at once, early or late takeovers, and a store flooded with
+ * attempts. */
 #include "unit.h"
 
 #include "wickbridge/lease.h"
 
 #include <string.h>
 
-/* Two nodes and a row: a pure lease played by hand. */
-typedef struct row_t {
+/* The lease row in the store, with its version. */
+typedef struct store_row_t {
     wb_lease_row_t row;
     int64_t version;
-} row_t;
+} store_row_t;
 
-static void row_set(row_t *target, const wb_lease_row_t *source) {
+static void store_row_write(store_row_t *target, const wb_lease_row_t *source) {
     wb_lease_row_copy(&target->row, source);
     target->version++;
 }
 
-static gboolean lease_write(wb_lease_t *lease, row_t *store, int64_t now_ms) {
+static gboolean lease_write(wb_lease_t *lease, store_row_t *store, int64_t now_ms) {
     wb_lease_row_t row;
     int64_t expected;
     if (!wb_lease_next_write(lease, now_ms, &row, &expected))
@@ -25,7 +26,7 @@
         wb_lease_on_not_written(lease, now_ms);
         return FALSE;
     }
-    row_set(store, &row);
+    store_row_write(store, &row);
     wb_lease_on_written(lease, store->version, now_ms);
     return TRUE;
 }
@@ -35,7 +36,7 @@
     wb_lease_settings_t second = {"b", "1.1.1.2:1", 1600, 500, 3000, 200, 900};
     wb_lease_t *a = wb_lease_create(&first);
     wb_lease_t *b = wb_lease_create(&second);
-    row_t store = {{0}, 0};
+    store_row_t store = {{0}, 0};
     g_assert_false(lease_write(a, &store, 100)); /* the row was never read */
     wb_lease_on_row(a, NULL, 0, 100);
     wb_lease_on_row(b, NULL, 0, 100);
@@ -46,13 +47,14 @@
     g_assert_cmpint(wb_lease_ask_order(a, "e1", 105), ==, 0);
     wb_lease_on_row(b, &store.row, store.version, 110);
     g_assert_true(wb_lease_is_held(a, 1504));
-    g_assert_false(wb_lease_is_held(a, 1505)); /* its own margin ends it early */
+    g_assert_false(wb_lease_is_held(a, 1505)); /* the holder's own safety margin ends it early */
     int64_t taken_ms = 0;
     for (int64_t now_ms = 120; taken_ms == 0 && now_ms < 20000; now_ms += 10)
         if (lease_write(b, &store, now_ms))
             taken_ms = now_ms;
     g_assert_cmpint(taken_ms, >=, 1500 + 200);
-    /* What the first may have ordered waits on for the quiet time; the rest needs only a row. */
+    /* Engines that the first holder may have sent orders to are blocked for the handover interval;
+     * others need only a row that grants them. */
     g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), >=, 3000);
     g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), <=, 3200 + 200);
     g_assert_cmpint(wb_lease_ask_order(b, "e2", taken_ms), ==, -1);
@@ -66,13 +68,13 @@
     wb_lease_free(b);
 }
 
-/* A weaker machine leaves the first tries to others, and takes over when none of them does. */
+/* A weaker machine delays its takeover attempts, and takes over when no other node does. */
 static void test_lease_weak_machine_waits(void) {
     wb_lease_settings_t first = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
     wb_lease_settings_t second = {"b", "1.1.1.2:1", 1600, 500, 3000, 200, 900};
     wb_lease_t *a = wb_lease_create(&first);
     wb_lease_t *b = wb_lease_create(&second);
-    row_t store = {{0}, 0};
+    store_row_t store = {{0}, 0};
     wb_lease_on_row(a, NULL, 0, 100);
     g_assert_true(lease_write(a, &store, 100));
     wb_lease_set_spread(b, 300, 0);
@@ -84,19 +86,20 @@
     wb_lease_free(b);
 }
 
-/* A write whose answer is lost counts from when it was sent, and only once the row shows it. */
+/* A write whose answer was lost takes effect from when it was sent, once the row shows it. */
 static void test_lease_lost_answer(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
     wb_lease_t *lease = wb_lease_create(&settings);
-    row_t store = {{0}, 0};
+    store_row_t store = {{0}, 0};
     wb_lease_row_t row;
     int64_t expected;
     wb_lease_on_row(lease, NULL, 0, 0);
     g_assert_true(wb_lease_next_write(lease, 0, &row, &expected));
-    row_set(&store, &row); /* done, and not answered */
+    store_row_write(&store, &row); /* written, but the answer was lost */
     wb_lease_on_unknown(lease, 900);
     g_assert_false(wb_lease_is_held(lease, 900));
-    g_assert_true(wb_lease_next_write(lease, 900, &row, &expected)); /* the same condition again */
+    g_assert_true(
+        wb_lease_next_write(lease, 900, &row, &expected)); /* on the same expected version */
     g_assert_cmpint(expected, ==, 0);
     wb_lease_on_not_written(lease, 905);
     wb_lease_on_row(lease, &store.row, store.version, 905);
@@ -105,48 +108,48 @@
     wb_lease_free(lease);
 }
 
-/* A lease that another machine holds, known since 100 ms, and never renewed. */
-static wb_lease_t *lease_of_another(const wb_lease_settings_t *settings) {
+/* @return a node's view of a lease that another holds, last renewed at 100 ms */
+static wb_lease_t *lease_held_by_other(const wb_lease_settings_t *settings) {
     wb_lease_row_t other = {"b", "1.1.1.2:1", 1, 1, FALSE, 0};
     wb_lease_t *lease = wb_lease_create(settings);
     wb_lease_on_row(lease, &other, 5, 100);
     return lease;
 }
 
-/* A store that resets each connection at once is not asked at each tick, by nobody. */
+/* Nodes don't retry at every tick while the store resets each connection. */
 static void test_lease_unknown_tries_are_paced(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
     wb_lease_t *holder = wb_lease_create(&settings);
-    row_t store = {{0}, 0};
+    store_row_t store = {{0}, 0};
     wb_lease_on_row(holder, NULL, 0, 0);
     g_assert_true(lease_write(holder, &store, 0));
-    wb_lease_t *other = lease_of_another(&settings);
+    wb_lease_t *other = lease_held_by_other(&settings);
     wb_lease_row_t row;
     int64_t expected;
-    int holder_tries = 0;
-    int other_tries = 0;
+    int holder_attempts = 0;
+    int other_attempts = 0;
     for (int64_t now_ms = 5000; now_ms < 10000; now_ms += 10) {
         if (wb_lease_next_write(holder, now_ms, &row, &expected)) {
             wb_lease_on_unknown(holder, now_ms);
-            holder_tries++;
+            holder_attempts++;
         }
         if (wb_lease_next_write(other, now_ms, &row, &expected)) {
             wb_lease_on_unknown(other, now_ms);
-            other_tries++;
+            other_attempts++;
         }
     }
-    g_assert_cmpint(holder_tries, >=, 15);
-    g_assert_cmpint(holder_tries, <=, 25);
-    g_assert_cmpint(other_tries, >=, 3);
-    g_assert_cmpint(other_tries, <=, 7);
+    g_assert_cmpint(holder_attempts, >=, 15);
+    g_assert_cmpint(holder_attempts, <=, 25);
+    g_assert_cmpint(other_attempts, >=, 3);
+    g_assert_cmpint(other_attempts, <=, 7);
     wb_lease_free(holder);
     wb_lease_free(other);
 }
 
-/* After an outage of the store its holder goes on; another takes over only if it doesn't. */
+/* After a store outage the holder continues; another node takes over only if it doesn't. */
 static void test_lease_after_outage(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
-    wb_lease_t *lease = lease_of_another(&settings);
+    wb_lease_t *lease = lease_held_by_other(&settings);
     wb_lease_row_t row;
     int64_t expected;
     wb_lease_store_back(lease, 9000);
@@ -158,12 +161,12 @@
 static void test_lease_restart(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
     wb_lease_t *before = wb_lease_create(&settings);
-    row_t store = {{0}, 0};
+    store_row_t store = {{0}, 0};
     wb_lease_on_row(before, NULL, 0, 0);
     g_assert_true(lease_write(before, &store, 0));
     wb_lease_t *after = wb_lease_create(&settings);
     wb_lease_on_row(after, &store.row, store.version, 300);
-    g_assert_false(wb_lease_is_held(after, 300)); /* the row is another process's */
+    g_assert_false(wb_lease_is_held(after, 300)); /* the row was written by another process */
     g_assert_true(lease_write(after, &store, 300));
     g_assert_cmpuint(wb_lease_token(after), ==, 2);
     g_assert_true(wb_lease_is_held(after, 300));
@@ -171,13 +174,13 @@
     wb_lease_free(after);
 }
 
-/* Nodes that wait for the same lease don't all try at once, and none tries early. */
+/* Takeover attempts have jitter, and none is early. */
 static void test_lease_takeovers_spread(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900, 200};
     int64_t first_ms = G_MAXINT64;
     int64_t last_ms = 0;
     for (int i = 0; i < 50; i++) {
-        wb_lease_t *lease = lease_of_another(&settings);
+        wb_lease_t *lease = lease_held_by_other(&settings);
         wb_lease_row_t row;
         int64_t expected;
         int64_t at_ms = wb_lease_takeover_at_ms(lease);
@@ -194,21 +197,21 @@
     g_assert_cmpint(last_ms - first_ms, >, 50);
 }
 
-/* A node that the store turns away tries ever more rarely to take a lease over. */
+/* A node whose writes are refused attempts takeovers at growing intervals. */
 static void test_lease_refused_tries_are_rare(void) {
     wb_lease_settings_t settings = {"a", "1.1.1.1:1", 1600, 500, 3000, 200, 900};
-    wb_lease_t *lease = lease_of_another(&settings);
+    wb_lease_t *lease = lease_held_by_other(&settings);
     wb_lease_row_t row;
     int64_t expected;
-    int tries = 0;
+    int attempts = 0;
     for (int64_t now_ms = 5000; now_ms < 15000; now_ms += 10) {
         if (wb_lease_next_write(lease, now_ms, &row, &expected)) {
             wb_lease_on_not_written(lease, now_ms);
-            tries++;
+            attempts++;
         }
     }
-    g_assert_cmpint(tries, >=, 7);
-    g_assert_cmpint(tries, <=, 11);
+    g_assert_cmpint(attempts, >=, 7);
+    g_assert_cmpint(attempts, <=, 11);
     wb_lease_free(lease);
 }
 
--- a/tests/unit/test_lease_grants.c
+++ b/tests/unit/test_lease_grants.c
@@ -1,20 +1,20 @@
-/* Which engines a lease's holder may order, and which its successor must leave alone for how long.
- */
+/* Guards against two holders that send orders to one engine: grants in the lease row, and how long
+ * a successor is blocked. */
 #include "unit.h"
 
 #include "control/lease_grants.h"
 
 #include <string.h>
 
-#define QUIET_MS 3200
+#define HANDOVER_MS 3200
 
-/* Writes a row with this beat; it is in the store when `counts`. */
+/* Writes a row with this renewal counter; acknowledged when `is_written`. */
 static void row_write(wb_lease_grants_t *grants, wb_lease_row_t *row, uint64_t beat,
-                      gboolean counts, int64_t now_ms) {
+                      gboolean is_written, int64_t now_ms) {
     wb_lease_row_t next = {.beat = beat};
     wb_lease_grants_write(grants, &next, now_ms);
     wb_lease_row_copy(row, &next);
-    if (counts) {
+    if (is_written) {
         wb_lease_grants_written(grants, beat);
     }
 }
@@ -28,16 +28,16 @@
     return FALSE;
 }
 
-/* An order is given only once a row that names its engine is known to be in the store. */
+/* An order is sent only after a row that grants its engine is known to be in the store. */
 static void test_order_after_row(void) {
     wb_lease_row_t row = {0};
-    wb_lease_grants_t *grants = wb_lease_grants_create(QUIET_MS);
+    wb_lease_grants_t *grants = wb_lease_grants_create(HANDOVER_MS);
     wb_lease_grants_begin(grants, NULL, FALSE, 0, 100);
     row_write(grants, &row, 1, TRUE, 100);
     g_assert_false(wb_lease_grants_is_short(grants));
     g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 110), ==, -1);
     g_assert_true(wb_lease_grants_is_short(grants));
-    row_write(grants, &row, 2, FALSE, 110); /* its answer is lost */
+    row_write(grants, &row, 2, FALSE, 110); /* the answer is lost */
     g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 120), ==, -1);
     row_write(grants, &row, 3, TRUE, 500);
     g_assert_true(has_name(row.granted, row.granted_count, "e1"));
@@ -47,34 +47,36 @@
     wb_lease_grants_free(grants);
 }
 
-/* An engine is named for the quiet time after its last order, and must be named anew after that. */
+/* An engine is granted until the handover interval after its last order, and must be granted again
+ * after that. */
 static void test_named_while_not_quiet(void) {
     wb_lease_row_t row = {0};
-    wb_lease_grants_t *grants = wb_lease_grants_create(QUIET_MS);
+    wb_lease_grants_t *grants = wb_lease_grants_create(HANDOVER_MS);
     wb_lease_grants_begin(grants, NULL, FALSE, 0, 0);
     wb_lease_grants_ask(grants, "e1", 10);
     row_write(grants, &row, 1, TRUE, 10);
     g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 1000), ==, 0);
-    row_write(grants, &row, 2, TRUE, 1000 + QUIET_MS - 1);
+    row_write(grants, &row, 2, TRUE, 1000 + HANDOVER_MS - 1);
     g_assert_cmpuint(row.granted_count, ==, 1);
-    row_write(grants, &row, 3, FALSE, 1000 + QUIET_MS);
+    row_write(grants, &row, 3, FALSE, 1000 + HANDOVER_MS);
     g_assert_cmpuint(row.granted_count, ==, 0);
-    /* Whether that row is in the store isn't known, so the engine can't be ordered any more. */
-    g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 1000 + QUIET_MS), ==, -1);
+    /* Whether that row is in the store is unknown, so no order may be sent. */
+    g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 1000 + HANDOVER_MS), ==, -1);
     wb_lease_row_clear(&row);
     wb_lease_grants_free(grants);
 }
 
-/* A successor leaves alone what the row before names, and says so to its own successor. */
+/* A successor is blocked for the engines granted in the previous row, and lists them as inherited.
+ */
 static void test_successor(void) {
-    wb_lease_row_t last = {0};
-    wb_lease_grants_t *before = wb_lease_grants_create(QUIET_MS);
+    wb_lease_row_t previous_row = {0};
+    wb_lease_grants_t *before = wb_lease_grants_create(HANDOVER_MS);
     wb_lease_grants_begin(before, NULL, FALSE, 0, 0);
     wb_lease_grants_ask(before, "e1", 10);
-    row_write(before, &last, 1, TRUE, 10);
+    row_write(before, &previous_row, 1, TRUE, 10);
     wb_lease_row_t row = {0};
-    wb_lease_grants_t *after = wb_lease_grants_create(QUIET_MS);
-    wb_lease_grants_begin(after, &last, FALSE, 5000, 2000);
+    wb_lease_grants_t *after = wb_lease_grants_create(HANDOVER_MS);
+    wb_lease_grants_begin(after, &previous_row, FALSE, 5000, 2000);
     row_write(after, &row, 7, TRUE, 2000);
     g_assert_true(has_name(row.inherited, row.inherited_count, "e1"));
     g_assert_cmpint(wb_lease_grants_ask(after, "e1", 2000), ==, 3000);
@@ -82,25 +84,26 @@
     wb_lease_grants_ask(after, "e2", 2000);
     row_write(after, &row, 8, TRUE, 2010);
     g_assert_cmpint(wb_lease_grants_ask(after, "e2", 2020), ==, 0);
-    g_assert_cmpint(wb_lease_grants_ask(after, "e1", 5000), ==, 0); /* named since beat 8 */
+    g_assert_cmpint(wb_lease_grants_ask(after, "e1", 5000), ==, 0); /* granted since renewal 8 */
     wb_lease_row_clear(&row);
-    wb_lease_row_clear(&last);
+    wb_lease_row_clear(&previous_row);
     wb_lease_grants_free(before);
     wb_lease_grants_free(after);
 }
 
-/* The same machine's next process goes on at once, but not at engines that it had inherited. */
+/* A restarted process on the same machine may send orders at once, but not to engines it had
+ * inherited. */
 static void test_same_machine(void) {
     char *granted[] = {"e1"};
     char *inherited[] = {"e2"};
-    wb_lease_row_t last = {.grants_known = TRUE,
-                           .granted = granted,
-                           .granted_count = 1,
-                           .inherited = inherited,
-                           .inherited_count = 1};
+    wb_lease_row_t previous_row = {.grants_known = TRUE,
+                                   .granted = granted,
+                                   .granted_count = 1,
+                                   .inherited = inherited,
+                                   .inherited_count = 1};
     wb_lease_row_t row = {0};
-    wb_lease_grants_t *grants = wb_lease_grants_create(QUIET_MS);
-    wb_lease_grants_begin(grants, &last, TRUE, 5000, 1000);
+    wb_lease_grants_t *grants = wb_lease_grants_create(HANDOVER_MS);
+    wb_lease_grants_begin(grants, &previous_row, TRUE, 5000, 1000);
     row_write(grants, &row, 1, TRUE, 1000);
     g_assert_true(has_name(row.granted, row.granted_count, "e1"));
     g_assert_true(has_name(row.inherited, row.inherited_count, "e2"));
@@ -110,12 +113,12 @@
     wb_lease_grants_free(grants);
 }
 
-/* A row that was only heard of in short, or that names too many, blocks all engines. */
+/* A lease row without grants, or with too many to list, blocks all engines. */
 static void test_unknown_row(void) {
-    wb_lease_row_t in_short = {.grants_known = FALSE};
+    wb_lease_row_t without_grants = {.grants_known = FALSE};
     wb_lease_row_t row = {0};
-    wb_lease_grants_t *grants = wb_lease_grants_create(QUIET_MS);
-    wb_lease_grants_begin(grants, &in_short, FALSE, 5000, 1000);
+    wb_lease_grants_t *grants = wb_lease_grants_create(HANDOVER_MS);
+    wb_lease_grants_begin(grants, &without_grants, FALSE, 5000, 1000);
     row_write(grants, &row, 1, TRUE, 1000);
     g_assert_true(row.any_granted);
     g_assert_cmpint(wb_lease_grants_ask(grants, "e1", 1000), ==, 4000);
--- a/tests/unit/test_poison_book.c
+++ b/tests/unit/test_poison_book.c
@@ -1,4 +1,4 @@
-/* Requests that crash engines are told from those that happened to run there. */
+/* Guards against harmless requests that are refused as poison, and poison requests that are not. */
 #include "unit.h"
 
 #include "poison/poison_book.h"
@@ -8,30 +8,30 @@
 #define BODY_BYTES 500
 #define NOW_MS 1000000
 
-static wb_poison_book_t *book_create(void) {
-    static const wb_poison_options_t usual = {0};
-    return wb_poison_book_create(&usual);
+static wb_poison_book_t *registry_create(void) {
+    static const wb_poison_options_t defaults = {0};
+    return wb_poison_book_create(&defaults);
 }
 
-static wb_request_digest_t digest_of(unsigned number) {
+static wb_request_digest_t digest_of(unsigned id) {
     wb_request_digest_t digest = {{0}};
-    memcpy(digest.bytes, &number, sizeof(number));
+    memcpy(digest.bytes, &id, sizeof(id));
     return digest;
 }
 
-static wb_poison_state_t state_of(const wb_poison_book_t *book, unsigned number) {
-    wb_request_digest_t digest = digest_of(number);
-    return wb_poison_entry_state(wb_poison_book_find(book, &digest));
+static wb_poison_state_t state_of(const wb_poison_book_t *registry, unsigned id) {
+    wb_request_digest_t digest = digest_of(id);
+    return wb_poison_entry_state(wb_poison_book_find(registry, &digest));
 }
 
-static gboolean note(wb_poison_book_t *book, unsigned number, uint64_t engine) {
-    wb_request_digest_t digest = digest_of(number);
-    return wb_poison_book_note(book, &digest, BODY_BYTES, engine, NOW_MS);
+static gboolean add_crash(wb_poison_book_t *registry, unsigned id, uint64_t engine) {
+    wb_request_digest_t digest = digest_of(id);
+    return wb_poison_book_note(registry, &digest, BODY_BYTES, engine, NOW_MS);
 }
 
-static gboolean forgive(wb_poison_book_t *book, unsigned number) {
-    wb_request_digest_t digest = digest_of(number);
-    return wb_poison_book_forgive(book, &digest);
+static gboolean clear_crashes(wb_poison_book_t *registry, unsigned id) {
+    wb_request_digest_t digest = digest_of(id);
+    return wb_poison_book_forgive(registry, &digest);
 }
 
 static void merge_all(wb_poison_book_t *to, const wb_poison_book_t *from) {
@@ -41,88 +41,89 @@
 }
 
 static void test_three_engines(void) {
-    wb_poison_book_t *book = book_create();
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_NONE);
-    g_assert_true(note(book, 1, 10));
-    g_assert_true(note(book, 1, 11));
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_SUSPECT);
-    g_assert_true(note(book, 1, 12));
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    g_assert_cmpint(state_of(book, 2), ==, WB_POISON_NONE);
-    g_assert_cmpuint(wb_poison_book_count(book, WB_POISON_REFUSED), ==, 1);
-    wb_poison_book_free(book);
+    wb_poison_book_t *registry = registry_create();
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_NONE);
+    g_assert_true(add_crash(registry, 1, 10));
+    g_assert_true(add_crash(registry, 1, 11));
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_SUSPECT);
+    g_assert_true(add_crash(registry, 1, 12));
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    g_assert_cmpint(state_of(registry, 2), ==, WB_POISON_NONE);
+    g_assert_cmpuint(wb_poison_book_count(registry, WB_POISON_REFUSED), ==, 1);
+    wb_poison_book_free(registry);
 }
 
-/* Several copies that one engine took along count once. */
+/* Several copies of a request on one crashed engine count once. */
 static void test_one_engine_counts_once(void) {
-    wb_poison_book_t *book = book_create();
-    g_assert_true(note(book, 1, 10));
+    wb_poison_book_t *registry = registry_create();
+    g_assert_true(add_crash(registry, 1, 10));
     for (int i = 0; i < 10; i++) {
-        g_assert_false(note(book, 1, 10));
+        g_assert_false(add_crash(registry, 1, 10));
     }
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_SUSPECT);
-    wb_poison_book_free(book);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_SUSPECT);
+    wb_poison_book_free(registry);
 }
 
-/* A bystander is served whole between two crashes: it starts anew. */
+/* A bystander that completes between two crashes is cleared: counting restarts. */
 static void test_good_end_forgives(void) {
-    wb_poison_book_t *book = book_create();
-    note(book, 1, 10);
-    note(book, 1, 11);
-    g_assert_true(forgive(book, 1));
-    g_assert_false(forgive(book, 1));
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_NONE);
-    g_assert_false(note(book, 1, 10)); /* known and forgiven: a late report of the same crash */
-    note(book, 1, 12);
-    note(book, 1, 13);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_SUSPECT);
-    note(book, 1, 14);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    wb_poison_book_free(book);
+    wb_poison_book_t *registry = registry_create();
+    add_crash(registry, 1, 10);
+    add_crash(registry, 1, 11);
+    g_assert_true(clear_crashes(registry, 1));
+    g_assert_false(clear_crashes(registry, 1));
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_NONE);
+    g_assert_false(
+        add_crash(registry, 1, 10)); /* already cleared: a late report of the same crash */
+    add_crash(registry, 1, 12);
+    add_crash(registry, 1, 13);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_SUSPECT);
+    add_crash(registry, 1, 14);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    wb_poison_book_free(registry);
 }
 
-/* Three nodes saw one crash each: whoever hears of them in whatever order knows the request. */
+/* Three nodes saw one crash each: merged in any order they make the request refused. */
 static void test_merge_in_any_order(void) {
     static const int orders[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 2, 0}, {1, 0, 2}};
     wb_poison_book_t *nodes[3];
     for (int i = 0; i < 3; i++) {
-        nodes[i] = book_create();
-        note(nodes[i], 1, 10 + (uint64_t)i);
+        nodes[i] = registry_create();
+        add_crash(nodes[i], 1, 10 + (uint64_t)i);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(orders); i++) {
-        wb_poison_book_t *keeper = book_create();
+        wb_poison_book_t *aggregator = registry_create();
         for (int j = 0; j < 3; j++) {
-            merge_all(keeper, nodes[orders[i][j]]);
-            merge_all(keeper, nodes[orders[i][0]]); /* told twice */
+            merge_all(aggregator, nodes[orders[i][j]]);
+            merge_all(aggregator, nodes[orders[i][0]]); /* received twice */
         }
-        g_assert_cmpint(state_of(keeper, 1), ==, WB_POISON_REFUSED);
-        wb_poison_book_free(keeper);
+        g_assert_cmpint(state_of(aggregator, 1), ==, WB_POISON_REFUSED);
+        wb_poison_book_free(aggregator);
     }
     for (int i = 0; i < 3; i++) {
         wb_poison_book_free(nodes[i]);
     }
 }
 
-/* What was forgiven isn't brought back by a node that hasn't heard of it. */
+/* A cleared crash isn't restored by a node that hasn't received the clearing. */
 static void test_old_news_dont_undo_forgiveness(void) {
-    wb_poison_book_t *served = book_create();
-    wb_poison_book_t *lagging = book_create();
-    note(lagging, 1, 10);
-    note(lagging, 1, 11);
-    merge_all(served, lagging);
-    forgive(served, 1);
-    merge_all(served, lagging);
-    g_assert_cmpint(state_of(served, 1), ==, WB_POISON_NONE);
-    merge_all(lagging, served);
+    wb_poison_book_t *up_to_date = registry_create();
+    wb_poison_book_t *lagging = registry_create();
+    add_crash(lagging, 1, 10);
+    add_crash(lagging, 1, 11);
+    merge_all(up_to_date, lagging);
+    clear_crashes(up_to_date, 1);
+    merge_all(up_to_date, lagging);
+    g_assert_cmpint(state_of(up_to_date, 1), ==, WB_POISON_NONE);
+    merge_all(lagging, up_to_date);
     g_assert_cmpint(state_of(lagging, 1), ==, WB_POISON_NONE);
-    wb_poison_book_free(served);
+    wb_poison_book_free(up_to_date);
     wb_poison_book_free(lagging);
 }
 
 static void test_merge_tells_news_once(void) {
-    wb_poison_book_t *left = book_create();
-    wb_poison_book_t *right = book_create();
-    note(left, 1, 10);
+    wb_poison_book_t *left = registry_create();
+    wb_poison_book_t *right = registry_create();
+    add_crash(left, 1, 10);
     const wb_poison_entry_t *entry =
         WB_LIST_OF(wb_list_first(wb_poison_book_entries(left)), wb_poison_entry_t, item);
     uint64_t before = wb_poison_book_version(right);
@@ -135,31 +136,31 @@
     wb_poison_book_free(right);
 }
 
-/* A refused request is let through after its time; one more crash refuses it again. */
+/* A refused request is allowed again after the retention time; one more crash refuses it again. */
 static void test_time_is_over(void) {
-    wb_poison_book_t *book = book_create();
-    note(book, 1, 10);
-    note(book, 1, 11);
-    note(book, 1, 12);
-    note(book, 1, 13);
-    note(book, 2, 10);
-    wb_poison_book_sweep(book, NOW_MS + WB_POISON_KEPT_MS - 1);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    g_assert_cmpint(state_of(book, 2), ==, WB_POISON_SUSPECT);
-    wb_poison_book_sweep(book, NOW_MS + WB_POISON_KEPT_MS);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_SUSPECT);
-    g_assert_cmpint(state_of(book, 2), ==, WB_POISON_NONE);
-    note(book, 1, 14);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    wb_poison_book_free(book);
+    wb_poison_book_t *registry = registry_create();
+    add_crash(registry, 1, 10);
+    add_crash(registry, 1, 11);
+    add_crash(registry, 1, 12);
+    add_crash(registry, 1, 13);
+    add_crash(registry, 2, 10);
+    wb_poison_book_sweep(registry, NOW_MS + WB_POISON_KEPT_MS - 1);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    g_assert_cmpint(state_of(registry, 2), ==, WB_POISON_SUSPECT);
+    wb_poison_book_sweep(registry, NOW_MS + WB_POISON_KEPT_MS);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_SUSPECT);
+    g_assert_cmpint(state_of(registry, 2), ==, WB_POISON_NONE);
+    add_crash(registry, 1, 14);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    wb_poison_book_free(registry);
 }
 
-/* Two nodes that let a request through at different moments don't make each other refuse it. */
+/* Nodes that expire an entry at different times don't make each other refuse the request again. */
 static void test_let_through_alike(void) {
-    wb_poison_book_t *first = book_create();
-    wb_poison_book_t *second = book_create();
+    wb_poison_book_t *first = registry_create();
+    wb_poison_book_t *second = registry_create();
     for (uint64_t engine = 13; engine >= 10; engine--) {
-        note(first, 1, engine);
+        add_crash(first, 1, engine);
     }
     merge_all(second, first);
     wb_poison_book_sweep(first, NOW_MS + WB_POISON_KEPT_MS);
@@ -172,134 +173,137 @@
     wb_poison_book_free(second);
 }
 
-/* Many requests that break off with engines don't push out those that matter. */
+/* Many requests aborted by one engine don't evict suspected or refused ones. */
 static void test_bystanders_give_way(void) {
-    wb_poison_book_t *book = book_create();
+    wb_poison_book_t *registry = registry_create();
     for (uint64_t engine = 10; engine < 13; engine++) {
-        note(book, 1, engine);
+        add_crash(registry, 1, engine);
     }
-    note(book, 2, 10);
-    note(book, 2, 11);
-    for (unsigned number = 100; number < 100 + 10 * WB_POISON_ENTRIES; number++) {
-        note(book, number, 20);
+    add_crash(registry, 2, 10);
+    add_crash(registry, 2, 11);
+    for (unsigned id = 100; id < 100 + 10 * WB_POISON_ENTRIES; id++) {
+        add_crash(registry, id, 20);
     }
-    g_assert_cmpuint(wb_poison_book_entries(book)->len, ==, WB_POISON_ENTRIES);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    g_assert_cmpint(state_of(book, 2), ==, WB_POISON_SUSPECT);
-    wb_poison_book_free(book);
+    g_assert_cmpuint(wb_poison_book_entries(registry)->len, ==, WB_POISON_ENTRIES);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    g_assert_cmpint(state_of(registry, 2), ==, WB_POISON_SUSPECT);
+    wb_poison_book_free(registry);
 }
 
-/* Of many engines only some are kept; those that are forgiven give way to new ones. */
+/* The engines of an entry are bounded; cleared ones give way to new ones. */
 static void test_many_engines(void) {
-    wb_poison_book_t *book = book_create();
+    wb_poison_book_t *registry = registry_create();
     for (uint64_t engine = 10; engine < 50; engine++) {
-        note(book, 1, engine);
+        add_crash(registry, 1, engine);
     }
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    g_assert_true(forgive(book, 1));
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_NONE);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    g_assert_true(clear_crashes(registry, 1));
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_NONE);
     for (uint64_t engine = 60; engine < 63; engine++) {
-        g_assert_true(note(book, 1, engine));
+        g_assert_true(add_crash(registry, 1, engine));
     }
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    wb_poison_book_free(book);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    wb_poison_book_free(registry);
 }
 
-/* A refused request is tried a minute after it came again, then ever more rarely. */
+/* A refused request gets a trial WB_POISON_TRIAL_MS after it was seen again, then at growing
+ * intervals. */
 static void test_trials(void) {
-    wb_poison_book_t *book = book_create();
+    wb_poison_book_t *registry = registry_create();
     wb_request_digest_t digest = digest_of(1);
-    note(book, 1, 10);
-    note(book, 1, 11);
-    g_assert_false(wb_poison_book_take_trial(book, &digest, NOW_MS));
-    note(book, 1, 12);
+    add_crash(registry, 1, 10);
+    add_crash(registry, 1, 11);
+    g_assert_false(wb_poison_book_take_trial(registry, &digest, NOW_MS));
+    add_crash(registry, 1, 12);
     int64_t now_ms = NOW_MS;
-    int64_t pause_ms = WB_POISON_TRIAL_MS;
-    g_assert_false(wb_poison_book_take_trial(book, &digest, now_ms));
+    int64_t interval_ms = WB_POISON_TRIAL_MS;
+    g_assert_false(wb_poison_book_take_trial(registry, &digest, now_ms));
     for (int i = 0; i < 3; i++) {
-        g_assert_false(wb_poison_book_take_trial(book, &digest, now_ms + pause_ms - 1));
-        now_ms += pause_ms;
-        g_assert_true(wb_poison_book_take_trial(book, &digest, now_ms));
-        g_assert_false(wb_poison_book_take_trial(book, &digest, now_ms));
-        pause_ms *= WB_POISON_TRIAL_TIMES;
+        g_assert_false(wb_poison_book_take_trial(registry, &digest, now_ms + interval_ms - 1));
+        now_ms += interval_ms;
+        g_assert_true(wb_poison_book_take_trial(registry, &digest, now_ms));
+        g_assert_false(wb_poison_book_take_trial(registry, &digest, now_ms));
+        interval_ms *= WB_POISON_TRIAL_TIMES;
     }
-    forgive(book, 1);
-    g_assert_false(wb_poison_book_take_trial(book, &digest, now_ms + pause_ms));
-    wb_poison_book_free(book);
+    clear_crashes(registry, 1);
+    g_assert_false(wb_poison_book_take_trial(registry, &digest, now_ms + interval_ms));
+    wb_poison_book_free(registry);
 }
 
-/* A bystander that ended up refused beside the poison is tried soon, and not at the same time. */
+/* A bystander refused together with the poison request gets an early trial, but not at the same
+ * time. */
 static void test_tied_requests_are_tried_soon(void) {
-    wb_poison_book_t *book = wb_poison_book_create(&(wb_poison_options_t){0});
+    wb_poison_book_t *registry = wb_poison_book_create(&(wb_poison_options_t){0});
     wb_request_digest_t poison = digest_of(1);
     wb_request_digest_t bystander = digest_of(2);
-    wb_request_digest_t alone = digest_of(3);
+    wb_request_digest_t unrelated = digest_of(3);
     for (uint64_t engine = 10; engine < 13; engine++) {
-        note(book, 1, engine);
-        note(book, 2, engine);
-        note(book, 3, engine + 10);
+        add_crash(registry, 1, engine);
+        add_crash(registry, 2, engine);
+        add_crash(registry, 3, engine + 10);
     }
     int64_t due_ms = NOW_MS + WB_POISON_TIED_TRIAL_MS;
-    g_assert_false(wb_poison_book_take_trial(book, &poison, NOW_MS));
-    g_assert_false(wb_poison_book_take_trial(book, &bystander, NOW_MS));
-    g_assert_false(wb_poison_book_take_trial(book, &alone, NOW_MS));
-    g_assert_true(wb_poison_book_take_trial(book, &poison, due_ms));
-    g_assert_false(wb_poison_book_take_trial(book, &bystander, due_ms));
-    note(book, 1, 13);
+    g_assert_false(wb_poison_book_take_trial(registry, &poison, NOW_MS));
+    g_assert_false(wb_poison_book_take_trial(registry, &bystander, NOW_MS));
+    g_assert_false(wb_poison_book_take_trial(registry, &unrelated, NOW_MS));
+    g_assert_true(wb_poison_book_take_trial(registry, &poison, due_ms));
+    g_assert_false(wb_poison_book_take_trial(registry, &bystander, due_ms));
+    add_crash(registry, 1, 13);
     due_ms += WB_POISON_TRIAL_APART_MS;
-    g_assert_true(wb_poison_book_take_trial(book, &bystander, due_ms));
-    forgive(book, 2);
-    g_assert_cmpint(state_of(book, 1), ==, WB_POISON_REFUSED);
-    g_assert_cmpint(state_of(book, 2), ==, WB_POISON_NONE);
-    g_assert_false(wb_poison_book_take_trial(book, &alone, due_ms + 2 * WB_POISON_TRIAL_APART_MS));
-    wb_poison_book_free(book);
+    g_assert_true(wb_poison_book_take_trial(registry, &bystander, due_ms));
+    clear_crashes(registry, 2);
+    g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_REFUSED);
+    g_assert_cmpint(state_of(registry, 2), ==, WB_POISON_NONE);
+    g_assert_false(
+        wb_poison_book_take_trial(registry, &unrelated, due_ms + 2 * WB_POISON_TRIAL_APART_MS));
+    wb_poison_book_free(registry);
 }
 
-/* Guards against a harmless request that stays refused because each node that could have tried it
- * ended before it had been one for long enough: the time runs from the last crash. */
+/* A harmless request isn't refused forever when nodes restart often: the time to its trial runs
+ * from the last crash. */
 static void test_trials_outlive_nodes(void) {
-    wb_poison_book_t *book = wb_poison_book_create(&(wb_poison_options_t){0});
-    wb_poison_book_t *later = wb_poison_book_create(&(wb_poison_options_t){0});
+    wb_poison_book_t *registry = wb_poison_book_create(&(wb_poison_options_t){0});
+    wb_poison_book_t *restarted = wb_poison_book_create(&(wb_poison_options_t){0});
     wb_request_digest_t bystander = digest_of(2);
     for (uint64_t engine = 10; engine < 13; engine++) {
-        note(book, 1, engine);
-        note(book, 2, engine);
+        add_crash(registry, 1, engine);
+        add_crash(registry, 2, engine);
     }
-    WB_LIST_EACH(item, wb_poison_book_entries(book)) {
-        wb_poison_book_merge(later, WB_LIST_OF(item, wb_poison_entry_t, item));
+    WB_LIST_EACH(item, wb_poison_book_entries(registry)) {
+        wb_poison_book_merge(restarted, WB_LIST_OF(item, wb_poison_entry_t, item));
     }
     int64_t due_ms = NOW_MS + WB_POISON_TIED_TRIAL_MS;
-    g_assert_false(wb_poison_book_take_trial(later, &bystander, due_ms - 1));
-    g_assert_true(wb_poison_book_take_trial(later, &bystander, due_ms));
-    wb_poison_book_free(book);
-    wb_poison_book_free(later);
+    g_assert_false(wb_poison_book_take_trial(restarted, &bystander, due_ms - 1));
+    g_assert_true(wb_poison_book_take_trial(restarted, &bystander, due_ms));
+    wb_poison_book_free(registry);
+    wb_poison_book_free(restarted);
 }
 
-/* The same where what other nodes told was seconds on its way, so that the crash looks newer. */
+/* The same when an entry arrives seconds late, so that its crash looks newer. */
 static void test_trials_of_late_news(void) {
     enum { LATE_MS = 4000 };
-    wb_poison_book_t *book = wb_poison_book_create(&(wb_poison_options_t){0});
+    wb_poison_book_t *registry = wb_poison_book_create(&(wb_poison_options_t){0});
     wb_request_digest_t bystander = digest_of(2);
     for (uint64_t engine = 10; engine < 13; engine++) {
-        note(book, 1, engine);
-        note(book, 2, engine);
+        add_crash(registry, 1, engine);
+        add_crash(registry, 2, engine);
     }
-    wb_poison_entry_t late = *wb_poison_book_find(book, &bystander);
+    wb_poison_entry_t late = *wb_poison_book_find(registry, &bystander);
     late.until_ms += LATE_MS;
-    wb_poison_book_merge(book, &late);
-    g_assert_false(wb_poison_book_take_trial(book, &bystander, NOW_MS + 100));
+    wb_poison_book_merge(registry, &late);
+    g_assert_false(wb_poison_book_take_trial(registry, &bystander, NOW_MS + 100));
     g_assert_true(
-        wb_poison_book_take_trial(book, &bystander, NOW_MS + 100 + WB_POISON_TIED_TRIAL_MS));
-    wb_poison_book_free(book);
+        wb_poison_book_take_trial(registry, &bystander, NOW_MS + 100 + WB_POISON_TIED_TRIAL_MS));
+    wb_poison_book_free(registry);
 }
 
 static void test_lengths(void) {
-    wb_poison_book_t *book = book_create();
-    g_assert_false(wb_poison_book_has_length(book, BODY_BYTES));
-    note(book, 1, 10);
-    g_assert_true(wb_poison_book_has_length(book, BODY_BYTES));
-    g_assert_false(wb_poison_book_has_length(book, BODY_BYTES + 1));
-    wb_poison_book_free(book);
+    wb_poison_book_t *registry = registry_create();
+    g_assert_false(wb_poison_book_has_length(registry, BODY_BYTES));
+    add_crash(registry, 1, 10);
+    g_assert_true(wb_poison_book_has_length(registry, BODY_BYTES));
+    g_assert_false(wb_poison_book_has_length(registry, BODY_BYTES + 1));
+    wb_poison_book_free(registry);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_quota_gate.c
+++ b/tests/unit/test_quota_gate.c
@@ -1,11 +1,12 @@
-/* A gateway admits what a tenant's limit leaves it, whether the book is reached or not. */
+/* Guards against a gateway that admits more than its share of a tenant's limit, with and without
+ * the ledger. */
 #include "unit.h"
 
 #include "quota/quota_gate.h"
 
 #define NODES 10
 
-static wb_tenant_t limited(void) {
+static wb_tenant_t limited_tenant(void) {
     return (wb_tenant_t){.name = "north",
                          .rank = WB_TENANT_NO_RANK,
                          .unit = WB_QUOTA_TOKENS,
@@ -13,134 +14,133 @@
                          .burst = 100000};
 }
 
-/* Asks each 10 ms for so long. Returns the share that was admitted. */
-static double ask_for(wb_quota_gate_t *gate, const wb_tenant_t *tenant, int64_t from_ms,
-                      int64_t for_ms) {
+/* Asks every 10 ms for a while. @return the fraction admitted */
+static double admitted_share(wb_quota_gate_t *limiter, const wb_tenant_t *tenant, int64_t from_ms,
+                             int64_t for_ms) {
     unsigned asked = 0;
     unsigned admitted = 0;
     for (int64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 10) {
         asked++;
         admitted +=
-            wb_quota_gate_ask(gate, tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_gate_ask(limiter, tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
     }
     return (double)admitted / asked;
 }
 
 static void test_all_is_admitted(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
     wb_tenant_t unlimited = {.name = "south"};
-    wb_quota_gate_set_reached(gate, TRUE);
-    g_assert_cmpfloat(ask_for(gate, &tenant, 1000, 5000), ==, 1);
-    wb_quota_gate_set_reached(gate, FALSE);
-    g_assert_cmpfloat(ask_for(gate, &unlimited, 6000, 5000), ==, 1);
-    wb_quota_gate_free(gate);
+    wb_quota_gate_set_reached(limiter, TRUE);
+    g_assert_cmpfloat(admitted_share(limiter, &tenant, 1000, 5000), ==, 1);
+    wb_quota_gate_set_reached(limiter, FALSE);
+    g_assert_cmpfloat(admitted_share(limiter, &unlimited, 6000, 5000), ==, 1);
+    wb_quota_gate_free(limiter);
 }
 
-/* The told share is admitted by cost, and no longer told means admitted again. */
+/* A throttled tenant is admitted its share by cost, and everything once it is not throttled. */
 static void test_share_is_kept(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
     wb_quota_share_t share = {"north", WB_QUOTA_OTHER_KINDS, 0.25};
-    wb_quota_gate_set_reached(gate, TRUE);
-    ask_for(gate, &tenant, 0, 1000);
-    wb_quota_gate_tell(gate, &share, 1, 1000);
-    double admitted = ask_for(gate, &tenant, 1000, 10000);
+    wb_quota_gate_set_reached(limiter, TRUE);
+    admitted_share(limiter, &tenant, 0, 1000);
+    wb_quota_gate_tell(limiter, &share, 1, 1000);
+    double admitted = admitted_share(limiter, &tenant, 1000, 10000);
     g_assert_cmpfloat(admitted, >, 0.24);
     g_assert_cmpfloat(admitted, <, 0.26);
-    wb_quota_gate_tell(gate, NULL, 0, 11000);
-    g_assert_cmpfloat(ask_for(gate, &tenant, 11000, 1000), ==, 1);
-    wb_quota_gate_free(gate);
+    wb_quota_gate_tell(limiter, NULL, 0, 11000);
+    g_assert_cmpfloat(admitted_share(limiter, &tenant, 11000, 1000), ==, 1);
+    wb_quota_gate_free(limiter);
 }
 
-/* The time that a refused caller is told comes true: then a request of its cost is admitted. */
+/* A request retried after its Retry-After is admitted. */
 static void test_retry_comes_true(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
     wb_quota_share_t share = {"north", WB_QUOTA_OTHER_KINDS, 0.2};
-    unsigned kept = 0;
-    unsigned told = 0;
-    wb_quota_gate_set_reached(gate, TRUE);
-    ask_for(gate, &tenant, 0, 20000);
-    wb_quota_gate_tell(gate, &share, 1, 20000);
+    unsigned on_time = 0;
+    unsigned refusals = 0;
+    wb_quota_gate_set_reached(limiter, TRUE);
+    admitted_share(limiter, &tenant, 0, 20000);
+    wb_quota_gate_tell(limiter, &share, 1, 20000);
     int64_t due_ms = 0;
     for (int64_t now_ms = 20000; now_ms < 40000; now_ms += 10) {
         wb_quota_verdict_t verdict =
-            wb_quota_gate_ask(gate, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
+            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
         if (!verdict.admitted && due_ms == 0) {
             due_ms = now_ms + verdict.retry_ms;
-            told++;
+            refusals++;
         } else if (verdict.admitted && due_ms != 0) {
-            kept += now_ms <= due_ms + 10;
+            on_time += now_ms <= due_ms + 10;
             due_ms = 0;
         }
     }
-    g_assert_cmpuint(told, >, 100);
-    g_assert_cmpuint(kept, >=, told - 1);
-    wb_quota_gate_free(gate);
+    g_assert_cmpuint(refusals, >, 100);
+    g_assert_cmpuint(on_time, >=, refusals - 1);
+    wb_quota_gate_free(limiter);
 }
 
-/* Without the book a tenant keeps what it asked for lately and half as much again; one that asks
- * for more is held there. */
+/* Without the ledger a tenant is admitted up to 1.5 times its recent demand. */
 static void test_alone(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
-    tenant.rate_per_s = 20000; /* an equal share is small beside what is asked here */
-    wb_quota_gate_set_reached(gate, TRUE);
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
+    tenant.rate_per_s = 20000; /* small, so that the equal share doesn't matter */
+    wb_quota_gate_set_reached(limiter, TRUE);
     for (int64_t now_ms = 0; now_ms < 40000; now_ms += 100) {
-        wb_quota_gate_ask(gate, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
+        wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
     }
-    wb_quota_gate_set_reached(gate, FALSE);
+    wb_quota_gate_set_reached(limiter, FALSE);
     unsigned admitted = 0;
     for (int64_t now_ms = 40000; now_ms < 50000; now_ms += 100) {
         admitted +=
-            wb_quota_gate_ask(gate, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
     }
     g_assert_cmpuint(admitted, ==, 100);
     admitted = 0;
     for (int64_t now_ms = 50000; now_ms < 60000; now_ms += 10) {
         admitted +=
-            wb_quota_gate_ask(gate, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
     }
     g_assert_cmpuint(admitted, >, 130);
     g_assert_cmpuint(admitted, <, 175);
-    wb_quota_gate_free(gate);
+    wb_quota_gate_free(limiter);
 }
 
-/* Who shares the limit isn't known yet: of an equal part of it this node has nothing, where all of
- * it would be spent once at each node that starts. */
+/* While the number of nodes is unknown a node's equal share is 0, as each starting node would spend
+ * the whole limit otherwise. */
 static void test_alone_at_start(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
     unsigned admitted = 0;
     tenant.rate_per_s = 100000;
-    wb_quota_gate_set_reached(gate, FALSE);
+    wb_quota_gate_set_reached(limiter, FALSE);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
         admitted +=
-            wb_quota_gate_ask(gate, &tenant, WB_QUOTA_OTHER_KINDS, 1000, 0, now_ms).admitted;
+            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, 0, now_ms).admitted;
     }
     g_assert_cmpuint(admitted, <=, 1); /* a bucket holds one unit at least */
-    wb_quota_gate_free(gate);
+    wb_quota_gate_free(limiter);
 }
 
-/* What didn't run is given back in the next report. */
+/* The cost of a request that didn't run is returned in the next report. */
 static void test_uses(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
-    wb_tenant_t tenant = limited();
-    wb_quota_gate_set_reached(gate, TRUE);
-    ask_for(gate, &tenant, 0, 100);
-    wb_quota_gate_adjust(gate, "north", WB_QUOTA_OTHER_KINDS, -3000);
-    GArray *uses = wb_quota_gate_take_uses(gate);
-    g_assert_cmpuint(uses->len, ==, 1);
-    g_assert_cmpfloat(g_array_index(uses, wb_quota_use_t, 0).asked, ==, 10000);
-    g_assert_cmpfloat(g_array_index(uses, wb_quota_use_t, 0).admitted, ==, 7000);
-    g_array_unref(uses);
-    uses = wb_quota_gate_take_uses(gate);
-    g_assert_cmpuint(uses->len, ==, 0);
-    g_array_unref(uses);
-    wb_quota_gate_adjust(gate, "nobody", WB_QUOTA_OTHER_KINDS, 100);
-    wb_quota_gate_sweep(gate, 1000000);
-    wb_quota_gate_free(gate);
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_tenant_t tenant = limited_tenant();
+    wb_quota_gate_set_reached(limiter, TRUE);
+    admitted_share(limiter, &tenant, 0, 100);
+    wb_quota_gate_adjust(limiter, "north", WB_QUOTA_OTHER_KINDS, -3000);
+    GArray *usage = wb_quota_gate_take_uses(limiter);
+    g_assert_cmpuint(usage->len, ==, 1);
+    g_assert_cmpfloat(g_array_index(usage, wb_quota_use_t, 0).asked, ==, 10000);
+    g_assert_cmpfloat(g_array_index(usage, wb_quota_use_t, 0).admitted, ==, 7000);
+    g_array_unref(usage);
+    usage = wb_quota_gate_take_uses(limiter);
+    g_assert_cmpuint(usage->len, ==, 0);
+    g_array_unref(usage);
+    wb_quota_gate_adjust(limiter, "nobody", WB_QUOTA_OTHER_KINDS, 100);
+    wb_quota_gate_sweep(limiter, 1000000);
+    wb_quota_gate_free(limiter);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_quota_order.c
+++ b/tests/unit/test_quota_order.c
@@ -1,22 +1,22 @@
-/* Which of a tenant's requests go first: loads as on the users' sheet, properties, and an oracle.
- */
+/* Guards against a throttled tenant's limit being spent on costly requests, or starving a traffic
+ * class. */
 #include "unit.h"
 
 #include "quota/quota_gate.h"
 
 #include <math.h>
 
-enum { LEDGER, CHAT, BATCH, AUDIT, KINDS };
+enum { LEDGER, CHAT, BATCH, AUDIT, CLASSES };
 
-/* A tenant's requests a second by kind, as their shares on the sheet; 7.5 times the usual. */
-static void claims_make(wb_quota_claim_t *claims, double times) {
-    claims[LEDGER] = (wb_quota_claim_t){wb_quota_kind("ledger", 2), 1450 * times, 200, 0};
-    claims[CHAT] = (wb_quota_claim_t){wb_quota_kind("models", 0), 12600 * times, 1750, 0};
-    claims[BATCH] = (wb_quota_claim_t){wb_quota_kind("models", 1), 55500 * times, 9800, 0};
-    claims[AUDIT] = (wb_quota_claim_t){wb_quota_kind("models", 2), 41400 * times, 9700, 0};
+/* One tenant's demand by traffic class, `factor` times the baseline. */
+static void claims_make(wb_quota_claim_t *claims, double factor) {
+    claims[LEDGER] = (wb_quota_claim_t){wb_quota_kind("ledger", 2), 1450 * factor, 200, 0};
+    claims[CHAT] = (wb_quota_claim_t){wb_quota_kind("models", 0), 12600 * factor, 1750, 0};
+    claims[BATCH] = (wb_quota_claim_t){wb_quota_kind("models", 1), 55500 * factor, 9800, 0};
+    claims[AUDIT] = (wb_quota_claim_t){wb_quota_kind("models", 2), 41400 * factor, 9700, 0};
 }
 
-static double sum_of(const wb_quota_claim_t *claims, size_t count) {
+static double total_per_s(const wb_quota_claim_t *claims, size_t count) {
     double sum = 0;
     for (size_t i = 0; i < count; i++) {
         sum += claims[i].share * claims[i].asked_per_s;
@@ -24,46 +24,46 @@
     return sum;
 }
 
-/* One hot tenant: what is cheap is served whole, the dear kinds alike, all within the limit. */
+/* An overloaded tenant: cheap classes are admitted completely, expensive ones alike, within the
+ * limit. */
 static void test_hot_tenant(void) {
-    wb_quota_claim_t claims[KINDS];
+    wb_quota_claim_t claims[CLASSES];
     claims_make(claims, 7.5);
     double limit = 1.8 * 111000;
-    wb_quota_order_share(claims, KINDS, limit);
-    g_assert_cmpfloat_with_epsilon(sum_of(claims, KINDS), limit, 1);
+    wb_quota_order_share(claims, CLASSES, limit);
+    g_assert_cmpfloat_with_epsilon(total_per_s(claims, CLASSES), limit, 1);
     g_assert_cmpfloat(claims[LEDGER].share, ==, 1);
     g_assert_cmpfloat(claims[CHAT].share, ==, 1);
     g_assert_cmpfloat_with_epsilon(claims[BATCH].share, claims[AUDIT].share, 1e-9);
-    /* Requests answered within the same tokens: over twice as many as by chance. */
+    /* Admits over twice as many requests as random refusal within the same tokens. */
     double requests = 0;
-    double by_chance = 0;
-    for (unsigned i = 0; i < KINDS; i++) {
+    double random_requests = 0;
+    for (unsigned i = 0; i < CLASSES; i++) {
         double asked = claims[i].asked_per_s / claims[i].cost;
         requests += claims[i].share * asked;
-        by_chance += limit / (7.5 * 111000) * asked;
+        random_requests += limit / (7.5 * 111000) * asked;
     }
-    g_assert_cmpfloat(requests, >, 2 * by_chance);
+    g_assert_cmpfloat(requests, >, 2 * random_requests);
 }
 
-/* A limit below what the cheap kinds ask: they share it alike, and the dear ones keep their floor.
- */
+/* With a limit below the demand of the cheap classes, every class keeps a minimum share. */
 static void test_nothing_starves(void) {
-    wb_quota_claim_t claims[KINDS];
+    wb_quota_claim_t claims[CLASSES];
     claims_make(claims, 20);
     double limit = 30000;
-    wb_quota_order_share(claims, KINDS, limit);
-    double chance = limit / (20 * 110950.0);
-    for (unsigned i = 0; i < KINDS; i++) {
-        g_assert_cmpfloat(claims[i].share, >, 0.25 * chance);
+    wb_quota_order_share(claims, CLASSES, limit);
+    double mean_share = limit / (20 * 110950.0);
+    for (unsigned i = 0; i < CLASSES; i++) {
+        g_assert_cmpfloat(claims[i].share, >, 0.25 * mean_share);
     }
-    g_assert_cmpfloat_with_epsilon(sum_of(claims, KINDS), limit, 1);
-    wb_quota_order_share(claims, KINDS, 0);
-    g_assert_cmpfloat(sum_of(claims, KINDS), ==, 0);
-    wb_quota_order_share(claims, KINDS, 1e9);
+    g_assert_cmpfloat_with_epsilon(total_per_s(claims, CLASSES), limit, 1);
+    wb_quota_order_share(claims, CLASSES, 0);
+    g_assert_cmpfloat(total_per_s(claims, CLASSES), ==, 0);
+    wb_quota_order_share(claims, CLASSES, 1e9);
     g_assert_cmpfloat(claims[AUDIT].share, ==, 1);
 }
 
-/* A cheap kind that is less urgent doesn't go before a dear one of its service. */
+/* A cheap class of lower priority isn't preferred to an expensive one of the same service. */
 static void test_ranks_are_kept(void) {
     wb_quota_claim_t claims[] = {{wb_quota_kind("models", 0), 9000, 9000, 0},
                                  {wb_quota_kind("models", 3), 9000, 100, 0}};
@@ -71,10 +71,9 @@
     g_assert_cmpfloat(claims[0].share, >=, claims[1].share - 1e-9);
 }
 
-/* The most requests that a limit can serve, of kinds that may be cut anywhere above their floors:
- * cheapest first. No order by mean costs serves more. */
-static double oracle_requests(const wb_quota_claim_t *claims, size_t count, double limit,
-                              double floor) {
+/* @return the max number of requests a limit can serve above the minimum shares: cheapest first */
+static double max_requests(const wb_quota_claim_t *claims, size_t count, double limit,
+                           double floor) {
     double requests = 0;
     double left = limit;
     gboolean done[8] = {FALSE};
@@ -97,8 +96,8 @@
     return requests;
 }
 
-/* Drawn loads: shares are shares, add up to the limit, rise with it, and serve nearly as many
- * requests as the oracle where ranks don't forbid it. */
+/* Random loads: shares lie in 0 to 1, use the whole limit, grow with it, and serve at least half of
+ * what the oracle does. */
 static void test_drawn_loads(void) {
     GRand *rand = g_rand_new_with_seed(3);
     for (unsigned round = 0; round < 5000; round++) {
@@ -121,10 +120,9 @@
             shares[i] = claims[i].share;
             requests += claims[i].share * claims[i].asked_per_s / claims[i].cost;
         }
-        g_assert_cmpfloat_with_epsilon(sum_of(claims, 5), limit, 1e-3);
-        /* Kinds within twice the cost of another share alike, so up to half may be left. */
-        g_assert_cmpfloat(requests, >=,
-                          0.5 * oracle_requests(claims, 5, limit, 0.35 * limit / asked));
+        g_assert_cmpfloat_with_epsilon(total_per_s(claims, 5), limit, 1e-3);
+        /* Classes within twice the cost of another have equal shares, so up to half may be lost. */
+        g_assert_cmpfloat(requests, >=, 0.5 * max_requests(claims, 5, limit, 0.35 * limit / asked));
         wb_quota_order_share(claims, 5, limit * 1.1);
         for (unsigned i = 0; i < 5; i++) {
             g_assert_cmpfloat(claims[i].share, >=, shares[i] - 1e-9);
@@ -133,29 +131,29 @@
     g_rand_free(rand);
 }
 
-/* At a gateway: each kind gets what is told of it, and one that isn't named what is told of all. */
+/* The limiter uses the share of the request's class, or the tenant's share for other classes. */
 static void test_at_the_gate(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
+    wb_quota_gate_t *limiter = wb_quota_gate_create();
     wb_tenant_t tenant = {.name = "north", .unit = WB_QUOTA_TOKENS, .rate_per_s = 1e5};
     wb_quota_kind_t chat = wb_quota_kind("models", 0);
     wb_quota_kind_t draft = wb_quota_kind("models", 1);
     wb_quota_kind_t lookup = wb_quota_kind("ledger", 2);
-    wb_quota_share_t told[] = {
+    wb_quota_share_t shares[] = {
         {"north", WB_QUOTA_OTHER_KINDS, 0.3}, {"north", chat, 1}, {"north", draft, 0.1}};
-    wb_quota_gate_set_reached(gate, TRUE);
-    wb_quota_gate_tell(gate, told, G_N_ELEMENTS(told), 0);
+    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_gate_tell(limiter, shares, G_N_ELEMENTS(shares), 0);
     unsigned admitted[3] = {0};
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 10) {
-        admitted[0] += wb_quota_gate_ask(gate, &tenant, chat, 1750, 1, now_ms).admitted;
-        admitted[1] += wb_quota_gate_ask(gate, &tenant, draft, 9800, 1, now_ms).admitted;
-        admitted[2] += wb_quota_gate_ask(gate, &tenant, lookup, 200, 1, now_ms).admitted;
+        admitted[0] += wb_quota_gate_ask(limiter, &tenant, chat, 1750, 1, now_ms).admitted;
+        admitted[1] += wb_quota_gate_ask(limiter, &tenant, draft, 9800, 1, now_ms).admitted;
+        admitted[2] += wb_quota_gate_ask(limiter, &tenant, lookup, 200, 1, now_ms).admitted;
     }
     g_assert_cmpuint(admitted[0], ==, 1000);
     g_assert_cmpuint(admitted[1], >=, 99);
     g_assert_cmpuint(admitted[1], <=, 101);
     g_assert_cmpuint(admitted[2], >=, 299);
     g_assert_cmpuint(admitted[2], <=, 301);
-    wb_quota_gate_free(gate);
+    wb_quota_gate_free(limiter);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -1,13 +1,5 @@
-/* Resends stay within the budget in every window.
- *
- * Seen: nodes that nobody disturbed sent again more than is allowed, 57 times where 55 were.
- *
- * Cause: of all windows that a resend lies in, the one that ended with it was looked at, and a
- * slice more of requests gave it credit than lay in it. What is under way for a moment, and a
- * request that is counted later than it was sent, lie in yet another window.
- *
- * Proof: the first of these tests, whose bound had been taken from the code, with the bound as it
- * is stated. */
+/* Guards against retries that exceed the retry budget in any window, also over several nodes and
+ * with delayed arrivals. */
 #include "unit.h"
 
 #include "harness/budget_oracle.h"
@@ -16,7 +8,7 @@
 #define RATIO 0.2
 #define WINDOW_MS 10000
 
-/* Steady traffic of which much must be sent again: the bound holds in every window. */
+/* The bound holds in every window of steady traffic with many failures. */
 static void test_retry_budget(void) {
     enum { SECONDS = 60, PER_S = 20, SHARE = 7 };
     budget_oracle_t *oracle = budget_oracle_create(RATIO, SHARE, WINDOW_MS);
@@ -44,10 +36,17 @@
     budget_oracle_free(oracle);
 }
 
-/* Nodes whose traffic comes and goes in bursts, at each by itself; all send again whatever they
- * may. What is sent takes up to half a second from callers to nodes, and from nodes to engines. */
-static void nodes_play(guint32 seed, budget_worst_t *worst) {
-    enum { NODES = 5, SHARE = 4, DURATION_MS = 90000, STEP_MS = 20, DELAY_MS = 500, TURN_MS = 800 };
+/* Nodes with bursts of traffic, each retrying whenever allowed. Requests take up to half a second
+ * from clients to nodes, and from nodes to engines. */
+static void nodes_run(guint32 seed, budget_worst_t *worst) {
+    enum {
+        NODES = 5,
+        SHARE = 4,
+        DURATION_MS = 90000,
+        STEP_MS = 20,
+        DELAY_MS = 500,
+        BURST_MS = 800
+    };
     GRand *random = g_rand_new_with_seed(seed);
     wb_retry_budget_t *budgets[NODES];
     int rates[NODES] = {0}; /* requests in a hundred steps */
@@ -58,7 +57,7 @@
     }
     for (int64_t now_ms = 50000; now_ms < 50000 + DURATION_MS; now_ms += STEP_MS) {
         int node = g_rand_int_range(random, 0, NODES);
-        if (g_rand_int_range(random, 0, TURN_MS / STEP_MS) == 0) {
+        if (g_rand_int_range(random, 0, BURST_MS / STEP_MS) == 0) {
             rates[node] = g_rand_boolean(random) ? g_rand_int_range(random, 0, 300) : 0;
         }
         for (node = 0; node < NODES; node++) {
@@ -83,15 +82,15 @@
 static void test_nodes_together(void) {
     for (guint32 seed = 1; seed <= 40; seed++) {
         budget_worst_t worst;
-        nodes_play(seed, &worst);
+        nodes_run(seed, &worst);
         g_test_message("seed %u: %u for %u requests, %.1f allowed", seed, worst.repeats,
                        worst.requests, worst.allowed);
         g_assert_cmpfloat(worst.excess, <=, 0);
     }
 }
 
-/* A bound that nobody could use would hold as well: steady traffic gets four fifths of the ratio
- * and the whole share in each window, and a new burst gets its share at once. */
+/* The budget is usable: steady traffic gets four fifths of the ratio and the whole share in each
+ * window, and a new burst gets its share at once. */
 static void test_is_usable(void) {
     wb_retry_budget_t *budget = wb_retry_budget_create(RATIO, WINDOW_MS);
     int taken = 0;
@@ -107,8 +106,8 @@
     wb_retry_budget_free(budget);
 }
 
-/* The first that is sent again may come to its engine half a second late, and the next one at once.
- */
+/* The first retry may reach its engine half a second late, and the next one at once: both lie
+ * within the bound. */
 static void test_late_arrival(void) {
     for (int64_t first_ms = 100000; first_ms < 100500; first_ms += 10) {
         wb_retry_budget_t *budget = wb_retry_budget_create(RATIO, WINDOW_MS);
