--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -24,8 +24,8 @@
     g_assert_cmpfloat(refusal_probability(800, 1400, 1600, 1), ==,
                       refusal_probability(800, 0, 1600, 1));
     g_assert_cmpfloat(refusal_probability(800, 3100, 200, 1), ==, 1);
-    g_assert_cmpfloat(refusal_probability(5000, 0, 2100, 2), ==,
-                      0); /* a long target allows a long wait */
+    /* A long target allows a long wait. */
+    g_assert_cmpfloat(refusal_probability(5000, 0, 2100, 2), ==, 0);
     /* Urgent requests are refused last, but not admitted beyond the client timeout. */
     g_assert_cmpfloat(refusal_probability(800, 0, 1600, 0), ==, 0);
     g_assert_cmpfloat(refusal_probability(800, 0, 3300, 0), ==, 1);
@@ -47,8 +47,8 @@
             reported_ms = backlog_ms;
         }
         double refused = refusal_probability(target_ms, 0, reported_ms, 1);
-        backlog_ms = MAX(backlog_ms + 50 * (2.0 * (1 - refused) - 1),
-                         0); /* requests arrive at twice the prefill rate */
+        /* Requests arrive at twice the prefill rate. */
+        backlog_ms = MAX(backlog_ms + 50 * (2.0 * (1 - refused) - 1), 0);
         if (ms > 5000) {
             min_refused = MIN(min_refused, refused);
             max_refused = MAX(max_refused, refused);
--- a/tests/unit/test_api_key.c
+++ b/tests/unit/test_api_key.c
@@ -1,4 +1,4 @@
-/* A caller's key is read from one well-formed header, or from none. */
+/* Guards against ambiguous or malformed API keys that are accepted. */
 #include "unit.h"
 
 #include "request/api_key.h"
@@ -25,9 +25,9 @@
 
 static void test_good_keys(void) {
     wb_key_digest_t digest = wb_key_digest("secret", strlen("secret"));
-    const char *const good[] = {"Token secret", "token secret", "Token   secret", "Token secret "};
-    for (size_t i = 0; i < G_N_ELEMENTS(good); i++) {
-        wb_api_key_t key = read_value(good[i]);
+    const char *const valid[] = {"Token secret", "token secret", "Token   secret", "Token secret "};
+    for (size_t i = 0; i < G_N_ELEMENTS(valid); i++) {
+        wb_api_key_t key = read_value(valid[i]);
         g_assert_cmpint(key.state, ==, WB_API_KEY_GIVEN);
         g_assert_cmpmem(key.digest.bytes, sizeof(key.digest.bytes), digest.bytes,
                         sizeof(digest.bytes));
@@ -37,11 +37,11 @@
 static void test_bad_keys(void) {
     g_autofree char *long_key = g_strnfill(WB_KEY_LIMIT_BYTES + 1, 'x');
     g_autofree char *too_long = g_strconcat("Token ", long_key, NULL);
-    const char *const bad[] = {
+    const char *const malformed[] = {
         "",          "Token",        "Token ",       "Tokensecret",   "secret", "Bearer secret",
         "Token a b", "Token s\x01t", "Token s\xfft", "Token\tsecret", too_long};
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_cmpint(read_value(bad[i]).state, ==, WB_API_KEY_MALFORMED);
+    for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++) {
+        g_assert_cmpint(read_value(malformed[i]).state, ==, WB_API_KEY_MALFORMED);
     }
     const char *const twice[] = {"Token secret", "Token secret"};
     g_assert_cmpint(read_values(twice, 2).state, ==, WB_API_KEY_MALFORMED);
--- a/tests/unit/test_catalog.c
+++ b/tests/unit/test_catalog.c
@@ -1,4 +1,4 @@
-/* Which route and which service a request gets. */
+/* Guards against requests routed to the wrong route or service. */
 #include "unit.h"
 
 #include "wickbridge/catalog.h"
@@ -19,24 +19,24 @@
     return catalog;
 }
 
-static void route_is(const wb_catalog_t *catalog, const char *host, const char *path,
-                     const char *name) {
+static void assert_route(const wb_catalog_t *catalog, const char *host, const char *path,
+                         const char *name) {
     const wb_route_t *route = wb_catalog_route(catalog, host, path);
     g_assert_cmpstr(route != NULL ? route->name : NULL, ==, name);
 }
 
 static void test_longest_prefix(void) {
     wb_catalog_t *catalog = catalog_create();
-    route_is(catalog, "a.example", "/a/b/c", "deep");
-    route_is(catalog, "a.example:8080", "/a/bc", "shallow");
-    route_is(catalog, "A.EXAMPLE", "/x", "all");
-    route_is(catalog, "a.example", "/x?y=/a/b/", "all");
-    route_is(catalog, "b.example", "/a/", NULL);
+    assert_route(catalog, "a.example", "/a/b/c", "deep");
+    assert_route(catalog, "a.example:8080", "/a/bc", "shallow");
+    assert_route(catalog, "A.EXAMPLE", "/x", "all");
+    assert_route(catalog, "a.example", "/x?y=/a/b/", "all");
+    assert_route(catalog, "b.example", "/a/", NULL);
     g_assert_null(wb_route_pick_service(wb_catalog_route(catalog, "a.example", "/a/x")));
     wb_catalog_unref(catalog);
 }
 
-/* Shares of a split are met closely in any 200 requests, not only in the long run. */
+/* Weights of split targets hold within any 200 requests, not only in the long run. */
 static void test_split_shares(void) {
     wb_catalog_t *catalog = catalog_create();
     wb_route_t *route = wb_catalog_route(catalog, "a.example", "/a/b/c");
--- a/tests/unit/test_clock.c
+++ b/tests/unit/test_clock.c
@@ -1,5 +1,5 @@
-/* The clock by which leases, deadlines and ages are counted goes on while a machine is suspended.
- */
+/* Guards against a clock that stops while the machine is suspended, so that leases outlive their
+ * duration. */
 #include "unit.h"
 
 #include "wickbridge/lease.h"
@@ -7,10 +7,10 @@
 
 #include <time.h>
 
-static int64_t running_ms = 5000000; /* time that the machine ran */
-static int64_t suspended_ms;         /* time that it was suspended */
+static int64_t running_ms = 5000000;
+static int64_t suspended_ms;
 
-/* Stands in for the C library's in this program, GLib's calls included. */
+/* Replaces the C library's function in this program, also for GLib. */
 int clock_gettime(clockid_t id, struct timespec *time) {
     int64_t ms = running_ms + (id == CLOCK_MONOTONIC ? 0 : suspended_ms);
     time->tv_sec = ms / 1000;
@@ -28,7 +28,7 @@
     g_assert_cmpint(wb_clock_us() - before_us, ==, 7020000);
 }
 
-/* A holder that was suspended wakes without the lease: another node may have taken it meanwhile. */
+/* A holder has lost its lease after a suspension: another node may have taken it meanwhile. */
 static void test_lease_lapses(void) {
     wb_lease_settings_t settings = {.machine = "m1",
                                     .address = "127.0.0.1:1",
--- a/tests/unit/test_crash_watch.c
+++ b/tests/unit/test_crash_watch.c
@@ -102,8 +102,8 @@
     fixture_run(fixture);
     abort_request(fixture, "e1", 2);
     fixture_run(fixture);
-    wb_crash_watch_address_taken(fixture->watch, "e1",
-                                 fixture->address); /* announced by the same engine */
+    /* Announced by the same engine. */
+    wb_crash_watch_address_taken(fixture->watch, "e1", fixture->address);
     g_assert_cmpuint(fixture->calls, ==, 0);
     g_assert_cmpuint(fixture->metrics.engine_checks, ==, 1);
     fixture_free(fixture);
--- a/tests/unit/test_declaration.c
+++ b/tests/unit/test_declaration.c
@@ -1,11 +1,12 @@
-/* Declarations are checked before they are accepted. */
+/* Guards against invalid declarations that are accepted, or reported without key and member. */
 #include "unit.h"
 
 #include "wickbridge/declaration.h"
 
 #include <string.h>
 
-static void wrong(const char *text, const char *key, const char *member, const char *expected) {
+static void assert_invalid(const char *text, const char *key, const char *member,
+                           const char *expected) {
     json_t *objects = json_loads(text, 0, NULL);
     wb_config_t *config = NULL;
     wb_config_fault_t fault;
@@ -18,20 +19,21 @@
 }
 
 static void test_faults_are_named(void) {
-    wrong("{\"thing/x\":{}}", "thing/x", "kind", "must be service, model");
-    wrong("{\"service/a b\":{}}", "service/a b", "name", "letters, digits");
-    wrong("{\"service/s\":{\"cells\":0}}", "service/s", "cells", "from 1 to 1024");
-    wrong("{\"service/s\":{\"cells\":\"x\"}}", "service/s", "cells", "whole number");
-    wrong("{\"service/s\":{\"sells\":1}}", "service/s", "sells", "no member 'sells'");
-    wrong("{\"model/m\":{\"memory_mib\":1}}", "model/m", "service", "must be given");
-    wrong("{\"model/m\":{\"service\":\"s\",\"memory_mib\":1}}", "model/m", "service",
-          "no service 's'");
-    wrong("{\"service/s\":{},\"model/m\":{\"service\":\"s\",\"memory_mib\":1,\"max_replicas\":1,"
-          "\"min_replicas\":2}}",
-          "model/m", "min_replicas", "max_replicas is 1");
-    wrong("{\"adapter/a\":{\"model\":\"m\",\"memory_mib\":1}}", "adapter/a", "model",
-          "no model 'm'");
-    wrong("{\"service/s\":{\"policy\":\"p\"}}", "service/s", "policy", "no policy 'p'");
+    assert_invalid("{\"thing/x\":{}}", "thing/x", "kind", "must be service, model");
+    assert_invalid("{\"service/a b\":{}}", "service/a b", "name", "letters, digits");
+    assert_invalid("{\"service/s\":{\"cells\":0}}", "service/s", "cells", "from 1 to 1024");
+    assert_invalid("{\"service/s\":{\"cells\":\"x\"}}", "service/s", "cells", "whole number");
+    assert_invalid("{\"service/s\":{\"sells\":1}}", "service/s", "sells", "no member 'sells'");
+    assert_invalid("{\"model/m\":{\"memory_mib\":1}}", "model/m", "service", "must be given");
+    assert_invalid("{\"model/m\":{\"service\":\"s\",\"memory_mib\":1}}", "model/m", "service",
+                   "no service 's'");
+    assert_invalid(
+        "{\"service/s\":{},\"model/m\":{\"service\":\"s\",\"memory_mib\":1,\"max_replicas\":1,"
+        "\"min_replicas\":2}}",
+        "model/m", "min_replicas", "max_replicas is 1");
+    assert_invalid("{\"adapter/a\":{\"model\":\"m\",\"memory_mib\":1}}", "adapter/a", "model",
+                   "no model 'm'");
+    assert_invalid("{\"service/s\":{\"policy\":\"p\"}}", "service/s", "policy", "no policy 'p'");
 }
 
 static void test_change_is_applied(void) {
--- a/tests/unit/test_engine_pace.c
+++ b/tests/unit/test_engine_pace.c
@@ -1,4 +1,5 @@
-/* How long work takes at an engine: what it tells, what others heard, and how both age. */
+/* Guards against invalid paces, and against pace estimates that follow short disturbances or ignore
+ * lasting changes. */
 #include "unit.h"
 
 #include "wickbridge/engine_pace.h"
@@ -27,15 +28,15 @@
     g_assert_cmpuint(load.pace_percent, ==, 0);
     g_assert_true(wb_told_load_read("3,1,48,slow", &load));
     g_assert_cmpuint(load.pace_percent, ==, 0);
-    static const char *const bad[] = {NULL,    "", "3", "x,1,48", "-1,0,48,120", "3,99999999999,48",
-                                      "3;1;48"};
-    for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_false(wb_told_load_read(bad[i], &load));
+    static const char *const malformed[] = {
+        NULL, "", "3", "x,1,48", "-1,0,48,120", "3,99999999999,48", "3;1;48"};
+    for (guint i = 0; i < G_N_ELEMENTS(malformed); i++) {
+        g_assert_false(wb_told_load_read(malformed[i], &load));
         g_assert_cmpuint(load.running + load.waiting + load.pace_percent, ==, 0);
     }
 }
 
-/* Neighbours slow an engine of 120 to 300 for moments: its own figure stays. */
+/* Co-located workloads slow an engine from 120 to 300 for moments: its intrinsic pace stays. */
 static void test_neighbours_come_and_go(void) {
     wb_engine_pace_t pace = {0};
     wb_engine_pace_told(&pace, 120, 1000);
@@ -45,8 +46,8 @@
     g_assert_cmpfloat(wb_engine_pace_now(&pace, 3000), <, 1.35);
 }
 
-/* An engine that turns five times slower for good counts so within two windows, at once for what
- * is sent next. */
+/* The pace of an engine that becomes five times slower is raised at once for the next request, and
+ * lastingly within two windows. */
 static void test_turns_slow(void) {
     wb_engine_pace_t pace = {0};
     int64_t now_ms = 1000;
@@ -61,12 +62,12 @@
     g_assert_cmpuint(wb_engine_pace_own(&pace, now_ms), ==, 300);
 }
 
-/* Who hears nothing goes by what all heard; what was heard here lately isn't raised by it. */
+/* A node without own measurements uses the shared pace; recent own ones are not raised by it. */
 static void test_shared(void) {
     wb_engine_pace_t pace = {0};
     wb_engine_pace_share(&pace, 55);
     g_assert_cmpfloat_with_epsilon(wb_engine_pace_now(&pace, 1000), 0.55, 0.001);
-    wb_engine_pace_told(&pace, 137, 2000); /* a neighbour was at work the only time it was heard */
+    wb_engine_pace_told(&pace, 137, 2000); /* measured once only, while a co-located workload ran */
     g_assert_cmpuint(wb_engine_pace_own(&pace, 2000), ==, 55);
     g_assert_cmpuint(wb_engine_pace_heard(&pace, 2000), ==, 137);
     wb_engine_pace_share(&pace, 200);
--- a/tests/unit/test_engine_rows.c
+++ b/tests/unit/test_engine_rows.c
@@ -1,4 +1,4 @@
-/* Rows of engines: what a row must have to name an engine to use, whoever wrote it. */
+/* Guards against invalid engine rows that are accepted. */
 #include "unit.h"
 
 #include "../../platform/platform.h"
@@ -7,7 +7,7 @@
 
 #define DAY_MS (24 * 3600 * 1000LL)
 
-#define GOOD                                                                                       \
+#define VALID_FIELDS                                                                               \
     "\"service\":\"llm\",\"address\":\"10.0.0.1:80\",\"zone\":\"z1\",\"slots\":64,"                \
     "\"state\":\"ready\",\"sequence\":4"
 
@@ -15,7 +15,7 @@
     return wb_platform_engine_parse("e1", (const guchar *)text, length, error);
 }
 
-static void assert_engine(const char *text, int64_t born_ms) {
+static void assert_valid(const char *text, int64_t born_ms) {
     wb_error_t error = {0};
     wb_engine_state_t *state = parse(text, strlen(text), &error);
     g_assert_cmpstr(error.message, ==, "");
@@ -24,24 +24,24 @@
     wb_engine_state_free(state);
 }
 
-static void assert_none(const char *text, gsize length) {
+static void assert_invalid(const char *text, gsize length) {
     wb_error_t error = {0};
     g_assert_null(parse(text, length, &error));
     g_assert_cmpstr(error.message, !=, "");
 }
 
 static void test_good_rows(void) {
-    assert_engine("{" GOOD "}", 0);
-    assert_engine("{" GOOD ",\"coldRemainingMs\":0,\"models\":[],\"born\":1700000000123}",
-                  1700000000123);
-    assert_engine("{" GOOD ",\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],"
-                  "\"atHand\":{\"resident\":[\"m\"]},\"unheardOf\":{\"x\":[1]}}",
-                  0);
+    assert_valid("{" VALID_FIELDS "}", 0);
+    assert_valid("{" VALID_FIELDS ",\"coldRemainingMs\":0,\"models\":[],\"born\":1700000000123}",
+                 1700000000123);
+    assert_valid("{" VALID_FIELDS ",\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],"
+                 "\"atHand\":{\"resident\":[\"m\"]},\"unheardOf\":{\"x\":[1]}}",
+                 0);
 }
 
-/* Each field that is needed, once missing and once of another type. */
+/* Each required field missing once, and once of another type. */
 static void test_fields_missing_or_of_another_type(void) {
-    static const char *const bad[] = {
+    static const char *const invalid[] = {
         "{}",
         "[]",
         "null",
@@ -59,49 +59,52 @@
         "\"sequence\":4}",
         "{\"service\":\"llm\",\"address\":\"10.0.0.1:80\",\"zone\":\"z1\",\"slots\":64,"
         "\"state\":\"ready\"}",
-        "{" GOOD ",\"service\":7}",
-        "{" GOOD ",\"service\":\"\"}",
-        "{" GOOD ",\"address\":80}",
-        "{" GOOD ",\"address\":\"nowhere\"}",
-        "{" GOOD ",\"zone\":[]}",
-        "{" GOOD ",\"slots\":\"64\"}",
-        "{" GOOD ",\"slots\":6.5}",
-        "{" GOOD ",\"slots\":0}",
-        "{" GOOD ",\"slots\":-1}",
-        "{" GOOD ",\"slots\":1000000000000}",
-        "{" GOOD ",\"state\":\"sleeping\"}",
-        "{" GOOD ",\"state\":true}",
-        "{" GOOD ",\"sequence\":null}",
-        "{" GOOD ",\"sequence\":\"4\"}",
-        "{" GOOD ",\"coldRemainingMs\":\"soon\"}",
-        "{" GOOD ",\"models\":{}}",
+        "{" VALID_FIELDS ",\"service\":7}",
+        "{" VALID_FIELDS ",\"service\":\"\"}",
+        "{" VALID_FIELDS ",\"address\":80}",
+        "{" VALID_FIELDS ",\"address\":\"nowhere\"}",
+        "{" VALID_FIELDS ",\"zone\":[]}",
+        "{" VALID_FIELDS ",\"slots\":\"64\"}",
+        "{" VALID_FIELDS ",\"slots\":6.5}",
+        "{" VALID_FIELDS ",\"slots\":0}",
+        "{" VALID_FIELDS ",\"slots\":-1}",
+        "{" VALID_FIELDS ",\"slots\":1000000000000}",
+        "{" VALID_FIELDS ",\"state\":\"sleeping\"}",
+        "{" VALID_FIELDS ",\"state\":true}",
+        "{" VALID_FIELDS ",\"sequence\":null}",
+        "{" VALID_FIELDS ",\"sequence\":\"4\"}",
+        "{" VALID_FIELDS ",\"coldRemainingMs\":\"soon\"}",
+        "{" VALID_FIELDS ",\"models\":{}}",
     };
-    for (gsize i = 0; i < G_N_ELEMENTS(bad); i++) {
-        assert_none(bad[i], strlen(bad[i]));
+    for (gsize i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        assert_invalid(invalid[i], strlen(invalid[i]));
     }
 }
 
-/* A start is a whole number of ms in the past; clocks may be wrong, but not by days. */
+/* A start time is a whole number of ms in the past; clock skew of seconds is tolerated, of days
+ * not. */
 static void test_starts_that_cannot_be(void) {
-    static const char *const bad[] = {"\"1700000000123\"", "1700000000123.5", "-5",  "0", "null",
-                                      "[1700000000123]",   "1e300",           "true"};
-    for (gsize i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_autofree char *text = g_strdup_printf("{" GOOD ",\"born\":%s}", bad[i]);
-        assert_none(text, strlen(text));
+    static const char *const invalid[] = {
+        "\"1700000000123\"", "1700000000123.5", "-5",  "0", "null",
+        "[1700000000123]",   "1e300",           "true"};
+    for (gsize i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        g_autofree char *text = g_strdup_printf("{" VALID_FIELDS ",\"born\":%s}", invalid[i]);
+        assert_invalid(text, strlen(text));
     }
     int64_t now_ms = g_get_real_time() / 1000;
     g_autofree char *ahead =
-        g_strdup_printf("{" GOOD ",\"born\":%lld}", (long long)(now_ms + 2 * DAY_MS));
-    assert_none(ahead, strlen(ahead));
+        g_strdup_printf("{" VALID_FIELDS ",\"born\":%lld}", (long long)(now_ms + 2 * DAY_MS));
+    assert_invalid(ahead, strlen(ahead));
     g_autofree char *skewed =
-        g_strdup_printf("{" GOOD ",\"born\":%lld}", (long long)(now_ms + 10000));
-    assert_engine(skewed, now_ms + 10000);
+        g_strdup_printf("{" VALID_FIELDS ",\"born\":%lld}", (long long)(now_ms + 10000));
+    assert_valid(skewed, now_ms + 10000);
 }
 
 static void test_absurd_cold_times_are_bounded(void) {
-    static const char *const told[] = {"-7", "1000000000000", "1e300"};
-    for (gsize i = 0; i < G_N_ELEMENTS(told); i++) {
-        g_autofree char *text = g_strdup_printf("{" GOOD ",\"coldRemainingMs\":%s}", told[i]);
+    static const char *const values[] = {"-7", "1000000000000", "1e300"};
+    for (gsize i = 0; i < G_N_ELEMENTS(values); i++) {
+        g_autofree char *text =
+            g_strdup_printf("{" VALID_FIELDS ",\"coldRemainingMs\":%s}", values[i]);
         wb_error_t error = {0};
         wb_engine_state_t *state = parse(text, strlen(text), &error);
         g_assert_nonnull(state);
@@ -111,24 +114,24 @@
     }
 }
 
-/* Bytes that can't be read: not UTF-8, cut off, nested 10,000 deep, a mebibyte of them. */
+/* Unreadable bytes: not UTF-8, truncated, nested 10,000 deep, 1 MiB long. */
 static void test_unreadable_bytes(void) {
-    static const char not_utf8[] = "{" GOOD ",\"x\":\"\xff\xfe\"}";
-    static const char good[] = "{" GOOD "}";
-    assert_none(not_utf8, sizeof(not_utf8) - 1);
-    for (gsize length = 0; length + 1 < sizeof(good) - 1; length++) {
-        assert_none(good, length);
+    static const char not_utf8[] = "{" VALID_FIELDS ",\"x\":\"\xff\xfe\"}";
+    static const char valid[] = "{" VALID_FIELDS "}";
+    assert_invalid(not_utf8, sizeof(not_utf8) - 1);
+    for (gsize length = 0; length + 1 < sizeof(valid) - 1; length++) {
+        assert_invalid(valid, length);
     }
-    g_autoptr(GString) deep = g_string_new("{" GOOD ",\"x\":");
+    g_autoptr(GString) deep = g_string_new("{" VALID_FIELDS ",\"x\":");
     for (int i = 0; i < 10000; i++) {
         g_string_append_c(deep, '[');
     }
-    assert_none(deep->str, deep->len);
+    assert_invalid(deep->str, deep->len);
     g_autofree char *large = g_malloc(1 << 20);
     memset(large, 'a', 1 << 20);
-    assert_none(large, 1 << 20);
+    assert_invalid(large, 1 << 20);
     memset(large, 0, 1 << 20);
-    assert_none(large, 1 << 20);
+    assert_invalid(large, 1 << 20);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_engine_subset.c
+++ b/tests/unit/test_engine_subset.c
@@ -1,5 +1,5 @@
-/* Which engines of a model a gateway is told of: bounded, the same for all of a zone, its own
- * first, and at any size of the fleet. */
+/* Guards against engine subsets that grow with the fleet, differ between gateways of a zone, or
+ * don't begin with the own zone. */
 #include "unit.h"
 
 #include "directory/engine_subset.h"
@@ -34,17 +34,16 @@
     }
 }
 
-/* What a gateway is told of a model doesn't grow with the fleet beyond the bound: rows by hand at
- * N, 2 N and 4 N engines. */
+/* The number of rows sent for a model is bounded for any fleet size. */
 static void test_rows_told_are_bounded(void) {
     static const unsigned sizes[] = {1000, 10000, 20000, 40000};
     for (gsize i = 0; i < G_N_ELEMENTS(sizes); i++) {
         wb_fleet_t *fleet = fleet_create(sizes[i]);
-        g_autoptr(GPtrArray) one = subset(fleet, "m7", "z1");
-        g_autoptr(GPtrArray) any = subset(fleet, "", "z1");
-        guint holders = sizes[i] / MODELS + (7 < sizes[i] % MODELS);
-        g_assert_cmpuint(one->len, ==, MIN(holders, WB_ENGINE_SUBSET_MOST));
-        g_assert_cmpuint(any->len, ==, WB_ENGINE_SUBSET_MOST);
+        g_autoptr(GPtrArray) of_model = subset(fleet, "m7", "z1");
+        g_autoptr(GPtrArray) of_service = subset(fleet, "", "z1");
+        guint holder_count = sizes[i] / MODELS + (7 < sizes[i] % MODELS);
+        g_assert_cmpuint(of_model->len, ==, MIN(holder_count, WB_ENGINE_SUBSET_MOST));
+        g_assert_cmpuint(of_service->len, ==, WB_ENGINE_SUBSET_MOST);
     }
 }
 
@@ -63,12 +62,12 @@
     }
 }
 
-/* One engine that goes changes one place of the list. */
+/* Removing one engine changes one entry of the subset. */
 static void test_changes_little(void) {
     wb_fleet_t *fleet = fleet_create(10000);
     g_autoptr(GPtrArray) before = subset(fleet, "", "z1");
-    const wb_engine_t *gone = g_ptr_array_index(before, 20);
-    wb_fleet_remove(fleet, gone->state->id, 0);
+    const wb_engine_t *removed = g_ptr_array_index(before, 20);
+    wb_fleet_remove(fleet, removed->state->id, 0);
     g_autoptr(GPtrArray) after = subset(fleet, "", "z1");
     g_assert_cmpuint(after->len, ==, WB_ENGINE_SUBSET_MOST);
     for (guint i = 0; i + 1 < after->len; i++) {
@@ -80,8 +79,8 @@
     wb_fleet_t *fleet = fleet_create(10);
     g_autoptr(GPtrArray) none = subset(fleet, "m299", "z1");
     g_assert_cmpuint(none->len, ==, 0);
-    g_autoptr(GPtrArray) nobody = wb_engine_subset(NULL, "m1", "z1", wb_clock_ms());
-    g_assert_cmpuint(nobody->len, ==, 0);
+    g_autoptr(GPtrArray) without_service = wb_engine_subset(NULL, "m1", "z1", wb_clock_ms());
+    g_assert_cmpuint(without_service->len, ==, 0);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_engine_task.c
+++ b/tests/unit/test_engine_task.c
@@ -1,9 +1,9 @@
-/* The order in which an engine's tasks are gone about. */
+/* Guards against tasks of an engine that run in the wrong order. */
 #include "unit.h"
 
 #include "control/engine_task.h"
 
-/* Takes all tasks out and writes them behind each other, models as mN, adapters as N. */
+/* @return all tasks in order, concatenated: models as mN, adapters as N */
 static char *tasks_drain(wb_list_t *tasks) {
     GString *text = g_string_new(NULL);
     while (tasks->len > 0) {
--- a/tests/unit/test_equal_share.c
+++ b/tests/unit/test_equal_share.c
@@ -25,8 +25,8 @@
 
 static void test_start(void) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
-    g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, 1000), ==,
-                     0); /* the node list is unknown */
+    /* The node list is unknown. */
+    g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, 1000), ==, 0);
     wb_equal_share_free(share);
     share = share_create(2, 1000);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS - 1), ==, 0);
@@ -58,14 +58,14 @@
     g_assert_cmpuint(wb_equal_share_digest(share), !=, digest);
     wb_equal_share_remove(share, "other-2", now_ms);
     g_assert_cmpuint(wb_equal_share_digest(share), ==, digest);
-    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS - 1), ==,
-                     4); /* and for SETTLED_MS after */
+    /* And for SETTLED_MS after. */
+    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS - 1), ==, 4);
     g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==, 3);
     wb_equal_share_sweep(share, now_ms + SETTLED_MS);
     g_assert_cmpuint(g_hash_table_size(wb_equal_share_ids(share)), ==, 3);
     wb_equal_share_remove(share, "own", now_ms + SETTLED_MS);
-    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==,
-                     0); /* a node that isn't listed has no share */
+    /* A node that isn't listed has no share. */
+    g_assert_cmpuint(nodes_at(share, now_ms + SETTLED_MS), ==, 0);
     wb_equal_share_free(share);
 }
 
@@ -323,8 +323,8 @@
     }
     g_test_message("at most %.3f of the whole in a window, %.3f on average", max_spent,
                    all_spent / SEEDS / DURATION_MS * WINDOW_MS);
-    g_assert_cmpfloat(max_spent, >,
-                      0.9); /* the bound is nearly reached, so it isn't trivially kept */
+    /* The bound is nearly reached, so it isn't trivially kept. */
+    g_assert_cmpfloat(max_spent, >, 0.9);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -1,11 +1,11 @@
-/* Whole events of a stream, at every cut. */
+/* Guards against forwarding incomplete events, and against a wrong last event id. */
 #include "unit.h"
 
 #include "request/event_stream.h"
 
 #include <string.h>
 
-/* At each cut of a stream, only whole events are passed on, and the last one's id is known. */
+/* Cut anywhere, the complete events end at the last separator, and the last id is theirs. */
 static void test_events_at_every_cut(void) {
     static const char text[] =
         "id: 1\ndata: a\n\nid: 22\r\ndata: id: 9\r\n\r\ndata: no id\n\nid:333\ndata\n\n";
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,4 +1,5 @@
-/* Guards against work sent to draining or removed engines, and state kept across incarnations. */
+/* Guards against work sent to draining or removed engines, reported state lost with a row, and
+ * state that outlives its incarnation. */
 #include "unit.h"
 
 #include "wickbridge/fleet.h"
@@ -56,14 +57,14 @@
     g_assert_true(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
     g_assert_false(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
     g_assert_false(wb_engine_stays(engine));
-    /* It stays usable for half the drain time, until others can take over its work. */
+    /* It stays usable for half the drain time: other engines can't take over its work at once. */
     g_assert_true(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2 - 1));
     g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
     const wb_engine_t *again = announce_engine(fleet, FALSE);
     g_assert_true(again == engine);
     g_assert_false(wb_engine_stays(engine));
     g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
-    /* The digest covers only what the rows say. */
+    /* A reported drain isn't part of the digest that nodes compare. */
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), ==, digest);
     announce_engine(fleet, TRUE);
     g_assert_false(wb_engine_is_open(engine, now_ms));
@@ -83,8 +84,8 @@
     int64_t now_ms = wb_clock_ms();
     wb_engine_note(engine, "m1", "", FALSE, now_ms, 100, 60000);
     wb_engine_state_add_model(announce_engine(fleet, FALSE)->state, "m1", 1);
-    g_assert_false(wb_engine_holds(engine, "m1", "",
-                                   wb_clock_ms())); /* may have been written before the update */
+    /* May have been written before the update. */
+    g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
     g_usleep(150000);
     g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
     wb_engine_state_add_model(announce_engine(fleet, FALSE)->state, "m1", 1);
--- a/tests/unit/test_group.c
+++ b/tests/unit/test_group.c
@@ -1,5 +1,5 @@
-/* A group's members agree on one owner and lose no command that counted. Seeds of the fuzzer that
- * once found something run here as well, under the name of the failure. */
+/* Guards against two owners of a group and lost committed commands. Fuzzer seeds that once failed
+ * are run again, named after the failure. */
 #include "unit.h"
 
 #include "../fuzz/world.h"
@@ -29,12 +29,12 @@
 
 static void member_send(const char *to, const wb_wire_message *message, void *context) {
     net_member_t *member = context;
-    net_message_t *carried = g_new(net_message_t, 1);
-    carried->from = member->index;
-    carried->to = to[1] - '0';
-    carried->bytes = g_byte_array_new();
-    wb_message_encode(message, carried->bytes, NULL);
-    g_queue_push_tail(&member->net->messages, carried);
+    net_message_t *item = g_new(net_message_t, 1);
+    item->from = member->index;
+    item->to = to[1] - '0';
+    item->bytes = g_byte_array_new();
+    wb_message_encode(message, item->bytes, NULL);
+    g_queue_push_tail(&member->net->messages, item);
 }
 
 static void ignore_epoch(uint64_t epoch, void *context) {
@@ -47,18 +47,18 @@
 }
 
 static void net_deliver(net_t *net, int64_t now_ms) {
-    net_message_t *carried;
-    while ((carried = g_queue_pop_head(&net->messages)) != NULL) {
+    net_message_t *item;
+    while ((item = g_queue_pop_head(&net->messages)) != NULL) {
         wb_wire_message message;
-        char from[3] = {'n', (char)('0' + carried->from), '\0'};
+        char from[3] = {'n', (char)('0' + item->from), '\0'};
         g_assert_cmpint(
-            wb_message_decode(carried->bytes->data + 4, carried->bytes->len - 4, &message, NULL),
-            ==, APR_SUCCESS);
-        if (!net->down[carried->to] && !net->down[carried->from])
-            wb_group_message(net->groups[carried->to], from, &message, now_ms);
+            wb_message_decode(item->bytes->data + 4, item->bytes->len - 4, &message, NULL), ==,
+            APR_SUCCESS);
+        if (!net->down[item->to] && !net->down[item->from])
+            wb_group_message(net->groups[item->to], from, &message, now_ms);
         wb_message_clear(&message);
-        g_byte_array_unref(carried->bytes);
-        g_free(carried);
+        g_byte_array_unref(item->bytes);
+        g_free(item);
     }
 }
 
@@ -108,7 +108,7 @@
     int owner = net_owner(&net);
     g_assert_cmpint(owner, >, 0);
     g_assert_true(wb_record_has_slot(wb_group_record(net.groups[owner]), "m", "e"));
-    /* the old owner comes back and gives way */
+    /* The previous owner reconnects and steps down. */
     net.down[0] = FALSE;
     net_run(&net, &now_ms, 1500);
     g_assert_cmpint(wb_group_role(net.groups[0]), !=, WB_GROUP_OWNER);
@@ -117,7 +117,7 @@
         wb_group_free(net.groups[i]);
 }
 
-/* 30,000 claims with answers of 4 KiB would not fit into a message; without old answers they do. */
+/* 30,000 claims with answers of 4 KiB fit into a message because old answers are dropped. */
 static void test_record_with_many_claims_fits(void) {
     wb_record_t *record = wb_record_create();
     g_autofree char *answer = g_strnfill(4000, 'x');
--- a/tests/unit/test_homes.c
+++ b/tests/unit/test_homes.c
@@ -1,4 +1,4 @@
-/* Regions in which requests may be served. */
+/* Guards against requests served outside their allowed regions. */
 #include "unit.h"
 
 #include "wickbridge/homes.h"
@@ -14,13 +14,13 @@
 
 static void test_allow(void) {
     static const char *const homes[] = {"a", "b", NULL};
-    static const char *const nowhere[] = {NULL};
+    static const char *const no_regions[] = {NULL};
     g_assert_true(wb_homes_allow(NULL, "a"));
     g_assert_true(wb_homes_allow(NULL, NULL));
     g_assert_true(wb_homes_allow(homes, "b"));
     g_assert_false(wb_homes_allow(homes, "c"));
     g_assert_false(wb_homes_allow(homes, NULL));
-    g_assert_false(wb_homes_allow(nowhere, "a"));
+    g_assert_false(wb_homes_allow(no_regions, "a"));
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_http_peer.c
+++ b/tests/unit/test_http_peer.c
@@ -1,4 +1,5 @@
-/* A call whose answer is large goes on while its bytes come; one that falls silent ends. */
+/* Guards against large responses cut off by the timeout while bytes arrive, and stalled calls that
+ * don't end. */
 #include "unit.h"
 
 #include "wickbridge/http_listener.h"
@@ -7,12 +8,12 @@
 
 #include <string.h>
 
-#define PIECES 8
-#define PIECE_MS 60
-#define TIMEOUT_MS 200 /* less than all pieces take, more than one does */
+#define CHUNKS 8
+#define CHUNK_MS 60
+#define TIMEOUT_MS 200 /* less than all chunks take, more than one does */
 
-/* A server that answers in pieces, and stops after some of them. */
-typedef struct scene_t {
+/* A server that sends its response in chunks, and stops after stop_after of them. */
+typedef struct fixture_t {
     wb_loop_t *loop;
     wb_http_listener_t *listener;
     wb_http_connection_t *connection;
@@ -22,92 +23,92 @@
     size_t length;
     int64_t began_ms;
     int64_t took_ms;
-} scene_t;
+} fixture_t;
 
-static void piece_send(void *context) {
-    scene_t *scene = context;
-    if (scene->connection == NULL) {
+static void send_chunk(void *context) {
+    fixture_t *fixture = context;
+    if (fixture->connection == NULL) {
         return;
     }
-    if (scene->sent == PIECES) {
-        wb_http_connection_stream_end(scene->connection);
-        scene->connection = NULL;
+    if (fixture->sent == CHUNKS) {
+        wb_http_connection_stream_end(fixture->connection);
+        fixture->connection = NULL;
         return;
     }
-    if (scene->sent++ < scene->stop_after) {
-        wb_http_connection_stream_write(scene->connection, "piece", 5);
+    if (fixture->sent++ < fixture->stop_after) {
+        wb_http_connection_stream_write(fixture->connection, "piece", 5);
     }
-    wb_loop_after(scene->loop, PIECE_MS, piece_send, scene);
+    wb_loop_after(fixture->loop, CHUNK_MS, send_chunk, fixture);
 }
 
-static void request_came(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
-                         void *context) {
-    scene_t *scene = context;
+static void on_request(wb_http_connection_t *connection, wb_http_head_t *head, GByteArray *body,
+                       void *context) {
+    fixture_t *fixture = context;
     wb_http_head_free(head);
     g_byte_array_unref(body);
-    scene->connection = connection;
+    fixture->connection = connection;
     wb_http_connection_stream_begin(connection, 200, "OK", "");
-    wb_loop_after(scene->loop, PIECE_MS, piece_send, scene);
+    wb_loop_after(fixture->loop, CHUNK_MS, send_chunk, fixture);
 }
 
-static void caller_left(wb_http_connection_t *connection, void *request, void *context) {
+static void on_client_left(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)request;
-    ((scene_t *)context)->connection = NULL;
+    ((fixture_t *)context)->connection = NULL;
 }
 
-static void call_ended(const wb_http_result_t *result, void *context) {
-    scene_t *scene = context;
-    scene->outcome = result->outcome;
-    scene->length = result->length;
-    scene->took_ms = wb_clock_ms() - scene->began_ms;
-    wb_loop_quit(scene->loop);
+static void record_result(const wb_http_result_t *result, void *context) {
+    fixture_t *fixture = context;
+    fixture->outcome = result->outcome;
+    fixture->length = result->length;
+    fixture->took_ms = wb_clock_ms() - fixture->began_ms;
+    wb_loop_quit(fixture->loop);
 }
 
-static void scene_play(scene_t *scene, int stop_after, int64_t progress_ms) {
+static void fixture_run(fixture_t *fixture, int stop_after, int64_t progress_ms) {
     wb_error_t error;
     wb_http_limits_t limits = {4096, 4096, 5000, 5000};
-    wb_http_handler_t handler = {request_came, caller_left, NULL, scene};
-    memset(scene, 0, sizeof(*scene));
-    scene->stop_after = stop_after;
-    g_assert_cmpint(wb_loop_create(&scene->loop, "test", 64, &error), ==, APR_SUCCESS);
-    g_assert_cmpint(wb_http_listener_open(scene->loop, "127.0.0.1:0", &handler, &limits,
-                                          &scene->listener, &error),
+    wb_http_handler_t handler = {on_request, on_client_left, NULL, fixture};
+    memset(fixture, 0, sizeof(*fixture));
+    fixture->stop_after = stop_after;
+    g_assert_cmpint(wb_loop_create(&fixture->loop, "test", 64, &error), ==, APR_SUCCESS);
+    g_assert_cmpint(wb_http_listener_open(fixture->loop, "127.0.0.1:0", &handler, &limits,
+                                          &fixture->listener, &error),
                     ==, APR_SUCCESS);
     g_autofree char *address =
-        g_strdup_printf("127.0.0.1:%u", wb_http_listener_port(scene->listener));
-    wb_http_peer_t *peer = wb_http_peer_create(scene->loop, address, 1000, 1000);
+        g_strdup_printf("127.0.0.1:%u", wb_http_listener_port(fixture->listener));
+    wb_http_peer_t *peer = wb_http_peer_create(fixture->loop, address, 1000, 1000);
     wb_http_request_t request = {.method = "GET",
                                  .target = "/",
                                  .timeout_ms = TIMEOUT_MS,
                                  .progress_ms = progress_ms,
-                                 .on_result = call_ended,
-                                 .context = scene};
-    scene->began_ms = wb_clock_ms();
+                                 .on_result = record_result,
+                                 .context = fixture};
+    fixture->began_ms = wb_clock_ms();
     wb_http_peer_call(peer, &request);
-    wb_loop_run(scene->loop);
+    wb_loop_run(fixture->loop);
 }
 
 static void test_whole_call_is_bounded(void) {
-    scene_t scene;
-    scene_play(&scene, PIECES, 0);
-    g_assert_cmpint(scene.outcome, ==, WB_HTTP_UNKNOWN);
-    g_assert_cmpint(scene.took_ms, <, 2 * TIMEOUT_MS);
+    fixture_t fixture;
+    fixture_run(&fixture, CHUNKS, 0);
+    g_assert_cmpint(fixture.outcome, ==, WB_HTTP_UNKNOWN);
+    g_assert_cmpint(fixture.took_ms, <, 2 * TIMEOUT_MS);
 }
 
 static void test_progress_goes_on(void) {
-    scene_t scene;
-    scene_play(&scene, PIECES, TIMEOUT_MS);
-    g_assert_cmpint(scene.outcome, ==, WB_HTTP_ANSWERED);
-    g_assert_cmpuint(scene.length, ==, PIECES * 5);
-    g_assert_cmpint(scene.took_ms, >, TIMEOUT_MS);
+    fixture_t fixture;
+    fixture_run(&fixture, CHUNKS, TIMEOUT_MS);
+    g_assert_cmpint(fixture.outcome, ==, WB_HTTP_ANSWERED);
+    g_assert_cmpuint(fixture.length, ==, CHUNKS * 5);
+    g_assert_cmpint(fixture.took_ms, >, TIMEOUT_MS);
 }
 
 static void test_silence_ends_it(void) {
-    scene_t scene;
-    scene_play(&scene, 2, TIMEOUT_MS);
-    g_assert_cmpint(scene.outcome, ==, WB_HTTP_UNKNOWN);
-    g_assert_cmpint(scene.took_ms, <, 2 * PIECE_MS + 3 * TIMEOUT_MS);
+    fixture_t fixture;
+    fixture_run(&fixture, 2, TIMEOUT_MS);
+    g_assert_cmpint(fixture.outcome, ==, WB_HTTP_UNKNOWN);
+    g_assert_cmpint(fixture.took_ms, <, 2 * CHUNK_MS + 3 * TIMEOUT_MS);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_http_reader.c
+++ b/tests/unit/test_http_reader.c
@@ -1,15 +1,15 @@
-/* HTTP messages read in pieces of every size, and messages that must be refused. */
+/* Guards against messages parsed differently when split, and request smuggling. */
 #include "unit.h"
 
 #include "wickbridge/http_reader.h"
 
 #include <string.h>
 
-/* Reads a message in pieces of every size; heads and bodies come out the same. */
+/* What the reader reported of the messages of one input. */
 typedef struct reading_t {
     GString *body;
     char *target;
-    int whole;
+    int complete_count;
 } reading_t;
 
 static void reading_head(wb_http_reader_t *reader, const wb_http_head_t *head, void *context) {
@@ -25,14 +25,14 @@
 }
 
 static void reading_complete(wb_http_reader_t *reader, void *context) {
-    ((reading_t *)context)->whole++;
+    ((reading_t *)context)->complete_count++;
     wb_http_reader_next(reader);
 }
 
 static const wb_http_reader_events_t reading_events = {reading_head, reading_body,
                                                        reading_complete};
 
-static wb_http_failure_t message_read(const char *text, size_t step, reading_t *reading) {
+static wb_http_failure_t feed_in_steps(const char *text, size_t step, reading_t *reading) {
     wb_http_reader_t *reader = wb_http_reader_create(TRUE, 4096, &reading_events, reading);
     size_t length = strlen(text);
     size_t at = 0;
@@ -54,8 +54,8 @@
         "GET /third HTTP/1.1\r\nHost: x\r\n\r\n";
     for (size_t step = 1; step <= strlen(text); step++) {
         reading_t reading = {g_string_new(NULL), NULL, 0};
-        g_assert_cmpint(message_read(text, step, &reading), ==, WB_HTTP_FAILURE_NONE);
-        g_assert_cmpint(reading.whole, ==, 3);
+        g_assert_cmpint(feed_in_steps(text, step, &reading), ==, WB_HTTP_FAILURE_NONE);
+        g_assert_cmpint(reading.complete_count, ==, 3);
         g_assert_cmpstr(reading.body->str, ==, "hello worldend");
         g_assert_cmpstr(reading.target, ==, "/third");
         g_string_free(reading.body, TRUE);
@@ -64,7 +64,7 @@
 }
 
 static void test_http_smuggling(void) {
-    static const char *const bad[] = {
+    static const char *const malformed[] = {
         "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
         "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
@@ -73,11 +73,12 @@
         "POST / HTTP/1.1\r\nTransfer-Encoding : chunked\r\nContent-Length: 3\r\n\r\nabc",
         "\x16\x03\x01",
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
+    for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
         for (size_t step = 1; step < 60; step += 7) {
             reading_t reading = {g_string_new(NULL), NULL, 0};
-            g_assert_cmpint(message_read(bad[i], step, &reading), ==, WB_HTTP_FAILURE_SYNTAX);
-            g_assert_cmpint(reading.whole, ==, 0);
+            g_assert_cmpint(feed_in_steps(malformed[i], step, &reading), ==,
+                            WB_HTTP_FAILURE_SYNTAX);
+            g_assert_cmpint(reading.complete_count, ==, 0);
             g_string_free(reading.body, TRUE);
             g_free(reading.target);
         }
--- a/tests/unit/test_list.c
+++ b/tests/unit/test_list.c
@@ -1,4 +1,4 @@
-/* Intrusive lists: order, and items that are taken out while the list is visited. */
+/* Guards against wrong order, and broken links after removal during iteration. */
 #include "unit.h"
 
 #include "wickbridge/list.h"
@@ -12,7 +12,7 @@
     return WB_LIST_OF(item, job_t, queued)->number;
 }
 
-/* Writes the numbers of all jobs behind each other. */
+/* @return the job numbers in order, as decimal digits */
 static int jobs_digits(const wb_list_t *jobs) {
     int digits = 0;
     WB_LIST_EACH(item, jobs) {
--- a/tests/unit/test_load_faults.c
+++ b/tests/unit/test_load_faults.c
@@ -1,4 +1,5 @@
-/* A model whose loads crash engines is given up for a while, ever longer; one good load forgets. */
+/* Guards against a model whose loads crash engines being loaded again and again. A successful load
+ * resets its backoff. */
 #include "unit.h"
 
 #include "control/load_faults.h"
@@ -12,13 +13,13 @@
         g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", NOW_MS), ==, 0);
     }
     int64_t now_ms = NOW_MS;
-    int64_t pause_ms = WB_LOAD_FAULTS_PAUSE_MS;
+    int64_t backoff_ms = WB_LOAD_FAULTS_PAUSE_MS;
     for (int i = 0; i < 8; i++) {
         wb_load_faults_crashed(faults, "s", "m1", now_ms);
-        g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", now_ms), ==, pause_ms);
-        now_ms += pause_ms;
+        g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", now_ms), ==, backoff_ms);
+        now_ms += backoff_ms;
         g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", now_ms), ==, 0);
-        pause_ms = MIN(2 * pause_ms, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
+        backoff_ms = MIN(2 * backoff_ms, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
     }
     wb_load_faults_free(faults);
 }
--- a/tests/unit/test_load_queue.c
+++ b/tests/unit/test_load_queue.c
@@ -1,4 +1,5 @@
-/* The order in which missing models are loaded, and the times told to those that must wait. */
+/* Guards against a wrong load order of missing models, and wrong load estimates for waiting
+ * requests. */
 #include "unit.h"
 
 #include "control/load_queue.h"
@@ -16,7 +17,7 @@
     }
 }
 
-/* Four loads of 6 s at once: one ends each 1.5 s. */
+/* With four parallel loads of 6 s, one ends every 1.5 s. */
 static void test_ready_times(void) {
     g_assert_cmpint(wb_load_queue_ready_ms(4, 3, 0, 6000), ==, 6000);
     g_assert_cmpint(wb_load_queue_ready_ms(4, 4, 0, 6000), ==, 7500);
--- a/tests/unit/test_load_window.c
+++ b/tests/unit/test_load_window.c
@@ -1,4 +1,4 @@
-/* Loads from the weight store stay under their ceiling in every window. */
+/* Guards against more loads from the weight store in any window than its rate allows. */
 #include "unit.h"
 
 #include "control/load_window.h"
@@ -8,33 +8,34 @@
 static void test_load_window(void) {
     wb_load_window_t *window = wb_load_window_create(5000, 1500);
     wb_load_window_set_rate(window, 4);
-    int64_t begun[1000] = {0};
+    int64_t started[1000] = {0};
     int count = 0;
     wb_load_window_assume(window, 5, G_MAXUINT, 0);
     for (int64_t now_ms = 0; now_ms < 60000; now_ms += 10)
         if (wb_load_window_has_room(window, now_ms)) {
             wb_load_window_count(window, now_ms);
-            begun[count++] = now_ms;
+            started[count++] = now_ms;
         }
     g_assert_cmpint(count, >=, 200); /* the rate is used */
     for (int i = 0; i + 20 < count; i++)
-        g_assert_cmpint(begun[i + 20] - begun[i], >=, 5000);
-    g_assert_cmpint(begun[9], >=, 5000); /* what the holder before began counts */
+        g_assert_cmpint(started[i + 20] - started[i], >=, 5000);
+    g_assert_cmpint(started[9], >=, 5000); /* loads of the previous holder count */
     wb_load_window_free(window);
 }
 
-/* A holder before that can have begun little leaves room at once; each keeps to its own bursts. */
+/* A previous holder that can have started few loads leaves room at once; each holder has its own
+ * bursts. */
 static void test_load_window_after_takeover(void) {
     wb_load_window_t *window = wb_load_window_create(5000, 1500);
     wb_load_window_set_rate(window, 4);
     wb_load_window_assume(window, 3, 2, 900);
     g_assert_cmpuint(wb_load_window_counted(window, 1000), ==, 5);
-    unsigned begun = 0;
+    unsigned started = 0;
     while (wb_load_window_has_room(window, 1000)) {
         wb_load_window_count(window, 1000);
-        begun++;
+        started++;
     }
-    g_assert_cmpuint(begun, ==, 6);
+    g_assert_cmpuint(started, ==, 6);
     g_assert_cmpuint(wb_load_window_counted(window, 5899), ==, 11);
     g_assert_cmpuint(wb_load_window_counted(window, 5900), ==, 6);
     wb_load_window_free(window);
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -1,4 +1,4 @@
-/* Member tables merge updates in any order to the same result. */
+/* Guards against member tables that depend on the order of updates, and against a split overlay. */
 #include "unit.h"
 
 #include "wickbridge/member.h"
@@ -11,18 +11,18 @@
     wb_member_t updates[] = {update("a", 1, WB_MEMBER_ALIVE), update("b", 1, WB_MEMBER_ALIVE),
                              update("a", 1, WB_MEMBER_SUSPECT), update("a", 2, WB_MEMBER_ALIVE),
                              update("b", 1, WB_MEMBER_DEAD)};
-    wb_member_table_t *one = wb_member_table_create();
-    wb_member_table_t *two = wb_member_table_create();
+    wb_member_table_t *forward = wb_member_table_create();
+    wb_member_table_t *backward = wb_member_table_create();
     for (gsize i = 0; i < G_N_ELEMENTS(updates); i++)
-        wb_member_table_merge(one, &updates[i], 0);
+        wb_member_table_merge(forward, &updates[i], 0);
     for (gsize i = G_N_ELEMENTS(updates); i-- > 0;)
-        wb_member_table_merge(two, &updates[i], 0);
-    g_assert_true(wb_member_table_is_up(one, "a"));
-    g_assert_true(wb_member_table_is_up(two, "a"));
-    g_assert_false(wb_member_table_is_up(one, "b"));
-    g_assert_cmpuint(wb_member_table_find(one, "a")->incarnation, ==, 2);
-    wb_member_table_free(one);
-    wb_member_table_free(two);
+        wb_member_table_merge(backward, &updates[i], 0);
+    g_assert_true(wb_member_table_is_up(forward, "a"));
+    g_assert_true(wb_member_table_is_up(backward, "a"));
+    g_assert_false(wb_member_table_is_up(forward, "b"));
+    g_assert_cmpuint(wb_member_table_find(forward, "a")->incarnation, ==, 2);
+    wb_member_table_free(forward);
+    wb_member_table_free(backward);
 }
 
 static void test_gone_is_final(void) {
@@ -38,7 +38,7 @@
     wb_member_table_free(table);
 }
 
-/* The overlay connects all members, also after a third of them have failed. */
+/* The overlay connects all live members, also when a third have failed. */
 static void test_overlay_is_connected(void) {
     enum { MEMBERS = 120 };
     wb_member_table_t *table = wb_member_table_create();
@@ -53,16 +53,16 @@
         wb_member_table_merge(table, &member, 0);
     }
     g_autoptr(GHashTable) reached = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g_autoptr(GPtrArray) open = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(open, g_strdup("node-1"));
-    while (open->len > 0) {
-        g_autofree char *node = g_ptr_array_steal_index(open, 0);
+    g_autoptr(GPtrArray) pending = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(pending, g_strdup("node-1"));
+    while (pending->len > 0) {
+        g_autofree char *node = g_ptr_array_steal_index(pending, 0);
         if (!g_hash_table_add(reached, g_strdup(node)))
             continue;
         GPtrArray *neighbours = wb_member_table_neighbours(table, node);
         g_assert_cmpuint(neighbours->len, <=, 4);
         for (guint i = 0; i < neighbours->len; i++)
-            g_ptr_array_add(open, g_strdup(neighbours->pdata[i]));
+            g_ptr_array_add(pending, g_strdup(neighbours->pdata[i]));
         g_ptr_array_unref(neighbours);
     }
     g_assert_cmpuint(g_hash_table_size(reached), ==, MEMBERS / 3 * 2);
--- a/tests/unit/test_message.c
+++ b/tests/unit/test_message.c
@@ -1,4 +1,4 @@
-/* Messages survive the wire, and bytes that are none are turned away. */
+/* Guards against messages changed by encoding, and malformed bytes that are accepted. */
 #include "unit.h"
 
 #include "wickbridge/message.h"
@@ -19,14 +19,14 @@
     want->digest = UINT64_MAX;
     g_autoptr(GByteArray) bytes = g_byte_array_new();
     g_assert_cmpint(wb_message_encode(&message, bytes, NULL), ==, APR_SUCCESS);
-    wb_wire_message back;
-    g_assert_cmpint(wb_message_decode(bytes->data + 4, bytes->len - 4, &back, NULL), ==,
+    wb_wire_message decoded;
+    g_assert_cmpint(wb_message_decode(bytes->data + 4, bytes->len - 4, &decoded, NULL), ==,
                     APR_SUCCESS);
-    g_assert_cmpstr(back.wb_wire_message_u.claim_want.key, ==, "north/k");
-    g_assert_cmpuint(back.wb_wire_message_u.claim_want.digest, ==, UINT64_MAX);
-    wb_message_clear(&back);
+    g_assert_cmpstr(decoded.wb_wire_message_u.claim_want.key, ==, "north/k");
+    g_assert_cmpuint(decoded.wb_wire_message_u.claim_want.digest, ==, UINT64_MAX);
+    wb_message_clear(&decoded);
     for (guint length = 0; length < bytes->len - 4; length++)
-        g_assert_cmpint(wb_message_decode(bytes->data + 4, length, &back, NULL), ==, APR_EINVAL);
+        g_assert_cmpint(wb_message_decode(bytes->data + 4, length, &decoded, NULL), ==, APR_EINVAL);
 }
 
 static void test_too_long_a_name(void) {
@@ -51,35 +51,38 @@
     return parts;
 }
 
-/* Parts behind a message come back; bytes that are none, or cut off, make it no message. */
+/* Extensions after a message are decoded; truncated or extra bytes make the message invalid. */
 static void test_parts(void) {
     wb_wire_message message = {.kind = WB_WIRE_SYNC};
     wb_wire_parts parts = parts_create();
     g_autoptr(GByteArray) bytes = g_byte_array_new();
     g_assert_cmpint(wb_message_encode_parts(&message, &parts, bytes, NULL), ==, APR_SUCCESS);
     wb_parts_clear(&parts);
-    wb_wire_message back;
-    wb_wire_parts read;
+    wb_wire_message decoded;
+    wb_wire_parts decoded_parts;
     const guchar *data = bytes->data + 4;
     guint length = bytes->len - 4;
-    g_assert_cmpint(wb_message_decode_parts(data, length, &back, &read, NULL), ==, APR_SUCCESS);
+    g_assert_cmpint(wb_message_decode_parts(data, length, &decoded, &decoded_parts, NULL), ==,
+                    APR_SUCCESS);
     wb_wire_starts starts = {{0, NULL}};
     g_assert_true(
-        wb_parts_read(&read, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts));
+        wb_parts_read(&decoded_parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts));
     g_assert_cmpuint(starts.born_ms.born_ms_len, ==, 3);
     g_assert_cmpuint(starts.born_ms.born_ms_val[2], ==, 1700000000003);
     xdr_free((xdrproc_t)xdr_wb_wire_starts, &starts);
-    wb_parts_clear(&read);
-    wb_message_clear(&back);
+    wb_parts_clear(&decoded_parts);
+    wb_message_clear(&decoded);
     for (guint cut = 5; cut < length; cut++) {
-        g_assert_cmpint(wb_message_decode_parts(data, cut, &back, &read, NULL), ==, APR_EINVAL);
+        g_assert_cmpint(wb_message_decode_parts(data, cut, &decoded, &decoded_parts, NULL), ==,
+                        APR_EINVAL);
     }
     g_byte_array_append(bytes, (const guint8 *)"more", 4);
-    g_assert_cmpint(wb_message_decode_parts(bytes->data + 4, length + 4, &back, &read, NULL), ==,
-                    APR_EINVAL);
+    g_assert_cmpint(
+        wb_message_decode_parts(bytes->data + 4, length + 4, &decoded, &decoded_parts, NULL), ==,
+        APR_EINVAL);
 }
 
-/* A part of a later build, and one that a later build has made longer, are passed over. */
+/* Unknown extensions, and extra bytes of known ones, are skipped: later builds may send them. */
 static void test_parts_of_a_later_build(void) {
     wb_wire_parts parts = parts_create();
     wb_wire_part *unknown = &parts.parts.parts_val[0];
--- a/tests/unit/test_pace_book.c
+++ b/tests/unit/test_pace_book.c
@@ -1,4 +1,4 @@
-/* What all gateways together know of engines, and what they are told of it. */
+/* Guards against wrong aggregated load of engines, and updates that grow without bound. */
 #include "unit.h"
 
 #include "pace/pace_book.h"
@@ -15,86 +15,87 @@
     return NULL;
 }
 
-/* Three gateways see one engine; a figure of a slowed moment doesn't raise its pace. */
+/* Reports of one engine add up; a value from a slowed moment doesn't raise its pace. */
 static void test_adds_up(void) {
-    wb_pace_book_t *book = wb_pace_book_create(TOKEN_MS);
+    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
     wb_pace_report_t first[] = {{"e1", 55, 4000}, {"e2", 120, 0}};
     wb_pace_report_t second[] = {{"e1", 137, 2000}};
-    wb_pace_book_report(book, first, 2, 1000);
-    wb_pace_book_report(book, second, 1, 1000);
-    wb_pace_book_report(book, second, 1, 1100);
-    g_autoptr(GArray) loads = wb_pace_book_changes(book, 100, 1100);
+    wb_pace_book_report(aggregate, first, 2, 1000);
+    wb_pace_book_report(aggregate, second, 1, 1000);
+    wb_pace_book_report(aggregate, second, 1, 1100);
+    g_autoptr(GArray) loads = wb_pace_book_changes(aggregate, 100, 1100);
     g_assert_cmpuint(loads->len, ==, 2);
     const wb_engine_load_t *load = load_find(loads, "e1");
     g_assert_cmpuint(load->pace_percent, ==, 55);
     g_assert_cmpuint(load->tokens_per_s, >, 1500);
     g_assert_cmpuint(load_find(loads, "e2")->pace_percent, ==, 120);
-    g_assert_cmpuint(wb_pace_book_pace(book, "e1", 1100), ==, 55);
-    g_assert_cmpuint(wb_pace_book_pace(book, "e9", 1100), ==, 0);
-    wb_pace_book_free(book);
+    g_assert_cmpuint(wb_pace_book_pace(aggregate, "e1", 1100), ==, 55);
+    g_assert_cmpuint(wb_pace_book_pace(aggregate, "e9", 1100), ==, 0);
+    wb_pace_book_free(aggregate);
 }
 
-/* What is no longer sent fades out, and an engine that nobody names is forgotten. */
+/* Load that ends decays, and an engine without reports is removed. */
 static void test_ends(void) {
-    wb_pace_book_t *book = wb_pace_book_create(TOKEN_MS);
+    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
     wb_pace_report_t report = {"e1", 100, 50000};
-    wb_pace_book_report(book, &report, 1, 1000);
-    g_autoptr(GArray) begun = wb_pace_book_changes(book, 100, 1000);
-    g_assert_cmpuint(load_find(begun, "e1")->tokens_per_s, ==, 10000);
-    g_autoptr(GArray) faded = wb_pace_book_changes(book, 100, 31000);
-    g_assert_cmpuint(load_find(faded, "e1")->tokens_per_s, <, 100);
-    wb_pace_book_sweep(book, 200000);
-    g_autoptr(GArray) told = wb_pace_book_told(book);
-    g_assert_cmpuint(told->len, ==, 0);
-    wb_pace_book_free(book);
+    wb_pace_book_report(aggregate, &report, 1, 1000);
+    g_autoptr(GArray) initial = wb_pace_book_changes(aggregate, 100, 1000);
+    g_assert_cmpuint(load_find(initial, "e1")->tokens_per_s, ==, 10000);
+    g_autoptr(GArray) decayed = wb_pace_book_changes(aggregate, 100, 31000);
+    g_assert_cmpuint(load_find(decayed, "e1")->tokens_per_s, <, 100);
+    wb_pace_book_sweep(aggregate, 200000);
+    g_autoptr(GArray) snapshot = wb_pace_book_told(aggregate);
+    g_assert_cmpuint(snapshot->len, ==, 0);
+    wb_pace_book_free(aggregate);
 }
 
-/* 1,000 engines change at once: messages stay bounded, what changed most goes first, and nothing is
- * left out for good. */
+/* 1,000 engines change at once: messages stay bounded, the largest change goes first, and every
+ * change is sent once. */
 static void test_bounded(void) {
-    wb_pace_book_t *book = wb_pace_book_create(TOKEN_MS);
+    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
     for (unsigned i = 0; i < 1000; i++) {
         g_autofree char *id = g_strdup_printf("e%u", i);
         wb_pace_report_t report = {id, 100, i % 50 * 10000};
-        wb_pace_book_report(book, &report, 1, 1000);
+        wb_pace_book_report(aggregate, &report, 1, 1000);
     }
-    unsigned told = 0;
+    unsigned sent = 0;
     for (unsigned round = 0; round < 20; round++) {
-        g_autoptr(GArray) loads = wb_pace_book_changes(book, 70, 1000);
+        g_autoptr(GArray) loads = wb_pace_book_changes(aggregate, 70, 1000);
         g_assert_cmpuint(loads->len, <=, 70);
-        told += loads->len;
+        sent += loads->len;
         if (round == 0) {
             g_assert_cmpuint(g_array_index(loads, wb_engine_load_t, 0).tokens_per_s, ==, 98000);
         }
     }
-    g_assert_cmpuint(told, ==, 1000);
-    wb_pace_book_tell_all(book);
-    g_autoptr(GArray) again = wb_pace_book_changes(book, 5000, 1000);
-    g_assert_cmpuint(again->len, ==, 1000);
-    wb_pace_book_free(book);
+    g_assert_cmpuint(sent, ==, 1000);
+    wb_pace_book_tell_all(aggregate);
+    g_autoptr(GArray) resent = wb_pace_book_changes(aggregate, 5000, 1000);
+    g_assert_cmpuint(resent->len, ==, 1000);
+    wb_pace_book_free(aggregate);
 }
 
-/* What is sent faster than it can be read piles up, and is read when less comes. */
+/* Tokens that arrive faster than the engine prefills them add to its backlog, which shrinks when
+ * fewer arrive. */
 static void test_backlog(void) {
-    wb_pace_book_t *book = wb_pace_book_create(TOKEN_MS);
-    wb_pace_report_t report = {"e1", 50, 20000}; /* 200 ms of reading at this pace */
+    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
+    wb_pace_report_t report = {"e1", 50, 20000}; /* 200 ms of prefill at this pace */
     int64_t now_ms = 1000;
     for (; now_ms < 3000; now_ms += 100) {
-        wb_pace_book_report(book, &report, 1, now_ms);
+        wb_pace_book_report(aggregate, &report, 1, now_ms);
     }
-    g_autoptr(GArray) piled = wb_pace_book_changes(book, 9, now_ms);
-    g_assert_cmpuint(load_find(piled, "e1")->backlog_ms, >, 1500);
-    g_assert_cmpuint(load_find(piled, "e1")->backlog_ms, <, 3000);
-    double behind_ms;
-    g_assert_cmpstr(wb_pace_book_furthest_behind(book, now_ms, &behind_ms), ==, "e1");
-    g_assert_cmpfloat(behind_ms, >, 1500);
+    g_autoptr(GArray) overloaded = wb_pace_book_changes(aggregate, 9, now_ms);
+    g_assert_cmpuint(load_find(overloaded, "e1")->backlog_ms, >, 1500);
+    g_assert_cmpuint(load_find(overloaded, "e1")->backlog_ms, <, 3000);
+    double backlog_ms;
+    g_assert_cmpstr(wb_pace_book_furthest_behind(aggregate, now_ms, &backlog_ms), ==, "e1");
+    g_assert_cmpfloat(backlog_ms, >, 1500);
     report.tokens = 5000;
     for (; now_ms < 8000; now_ms += 100) {
-        wb_pace_book_report(book, &report, 1, now_ms);
+        wb_pace_book_report(aggregate, &report, 1, now_ms);
     }
-    g_autoptr(GArray) read = wb_pace_book_changes(book, 9, now_ms);
-    g_assert_cmpuint(load_find(read, "e1")->backlog_ms, <, 100);
-    wb_pace_book_free(book);
+    g_autoptr(GArray) caught_up = wb_pace_book_changes(aggregate, 9, now_ms);
+    g_assert_cmpuint(load_find(caught_up, "e1")->backlog_ms, <, 100);
+    wb_pace_book_free(aggregate);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -129,8 +129,8 @@
     const wb_model_spec_t *model = g_hash_table_lookup(fixture.service->models, "m0");
     g_autoptr(GPtrArray) victims =
         wb_placement_victims(&fixture.snapshot, fixture.engines[1].state, model, &cost_ms);
-    g_assert_cmpstr(g_ptr_array_index(victims, 0), ==,
-                    "m2"); /* not the second replica of the busy model */
+    /* Not the second replica of the busy model. */
+    g_assert_cmpstr(g_ptr_array_index(victims, 0), ==, "m2");
     g_assert_cmpfloat(gain_ms, >, 1000);
     fixture_clear(&fixture);
 }
--- a/tests/unit/test_poison_book.c
+++ b/tests/unit/test_poison_book.c
@@ -72,8 +72,8 @@
     g_assert_true(clear_crashes(registry, 1));
     g_assert_false(clear_crashes(registry, 1));
     g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_NONE);
-    g_assert_false(
-        add_crash(registry, 1, 10)); /* already cleared: a late report of the same crash */
+    /* Already cleared: a late report of the same crash. */
+    g_assert_false(add_crash(registry, 1, 10));
     add_crash(registry, 1, 12);
     add_crash(registry, 1, 13);
     g_assert_cmpint(state_of(registry, 1), ==, WB_POISON_SUSPECT);
@@ -82,7 +82,7 @@
     wb_poison_book_free(registry);
 }
 
-/* Three nodes saw one crash each: merged in any order they make the request refused. */
+/* Three nodes saw one crash each: merging their entries in any order gets the request refused. */
 static void test_merge_in_any_order(void) {
     static const int orders[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 2, 0}, {1, 0, 2}};
     wb_poison_book_t *nodes[3];
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -1,4 +1,5 @@
-/* Policies are limited, can't reach outside, and are tried before they are accepted. */
+/* Guards against policy programs that use unbounded resources, reach outside, or are accepted
+ * untested. */
 #include "unit.h"
 
 #include "wickbridge/policy.h"
@@ -7,7 +8,7 @@
 
 static const wb_policy_model_t model = {"m", 1000, 5000, 0, 0, 1, 2, 60000};
 
-static void refused(const char *text, const char *expected) {
+static void assert_refused(const char *text, const char *expected) {
     wb_policy_program_t *program = NULL;
     wb_error_t error;
     g_assert_cmpint(wb_policy_compile(&program, "p", text, &error), ==, APR_EINVAL);
@@ -34,23 +35,24 @@
 }
 
 static void test_refused_programs(void) {
-    refused("function keep_alive_ms(model) return 1", "'end' expected");
-    refused("x = 1", "must define keep_alive_ms or placement_cost_ms");
-    refused("function keep_alive_ms(model) return 'soon' end", "whole number");
-    refused("function keep_alive_ms(model) return -1 end", "must return 0 to");
-    refused("function keep_alive_ms(model) while true do end end", "instructions");
-    refused("while true do end", "instructions");
-    refused("function keep_alive_ms(model) local t = {} for i = 1, 1e9 do t[i] = {i} end end", "");
-    refused("function keep_alive_ms(model) return #string.rep('x', 1 << 30) end",
-            "not enough memory");
-    refused("function keep_alive_ms(model) return io.open('x') end", "global 'io'");
-    refused("function keep_alive_ms(model) return os.time() end", "global 'os'");
-    refused("function keep_alive_ms(model) return math.random(5) end", "random");
-    refused("function keep_alive_ms(model) return load('return 1')() end", "global 'load'");
-    refused("function keep_alive_ms(model) print('x') return 1 end", "global 'print'");
+    assert_refused("function keep_alive_ms(model) return 1", "'end' expected");
+    assert_refused("x = 1", "must define keep_alive_ms or placement_cost_ms");
+    assert_refused("function keep_alive_ms(model) return 'soon' end", "whole number");
+    assert_refused("function keep_alive_ms(model) return -1 end", "must return 0 to");
+    assert_refused("function keep_alive_ms(model) while true do end end", "instructions");
+    assert_refused("while true do end", "instructions");
+    assert_refused(
+        "function keep_alive_ms(model) local t = {} for i = 1, 1e9 do t[i] = {i} end end", "");
+    assert_refused("function keep_alive_ms(model) return #string.rep('x', 1 << 30) end",
+                   "not enough memory");
+    assert_refused("function keep_alive_ms(model) return io.open('x') end", "global 'io'");
+    assert_refused("function keep_alive_ms(model) return os.time() end", "global 'os'");
+    assert_refused("function keep_alive_ms(model) return math.random(5) end", "random");
+    assert_refused("function keep_alive_ms(model) return load('return 1')() end", "global 'load'");
+    assert_refused("function keep_alive_ms(model) print('x') return 1 end", "global 'print'");
 }
 
-/* A program that fails for some input falls back, and works again for the next. */
+/* A failed call returns WB_POLICY_FAILED, and doesn't affect the next one. */
 static void test_failure_is_for_one_call(void) {
     wb_policy_program_t *program;
     wb_error_t error;
--- a/tests/unit/test_queue.c
+++ b/tests/unit/test_queue.c
@@ -1,4 +1,4 @@
-/* Waiting requests are served by their owners' shares. */
+/* Guards against owners served above or below their share. */
 #include "unit.h"
 
 #include "wickbridge/fair_queue.h"
@@ -11,19 +11,19 @@
         wb_fair_queue_push(queue, "north", 3.0, 1.0, "north");
     for (int i = 0; i < 400; i++)
         wb_fair_queue_push(queue, "coast", 1.0, 1.0, "coast");
-    int north = 0, worst = 0;
+    int north = 0, max_deviation = 0;
     for (int i = 1; i <= 400; i++) {
         north += strcmp(wb_fair_queue_pop(queue), "north") == 0;
-        worst = MAX(worst, ABS(north - i * 3 / 4));
+        max_deviation = MAX(max_deviation, ABS(north - i * 3 / 4));
     }
     g_assert_cmpint(north, ==, 300);
-    g_assert_cmpint(worst, <=, 2); /* no owner is ever more than two requests behind */
+    g_assert_cmpint(max_deviation, <=, 2); /* never more than two requests off its share */
     while (wb_fair_queue_pop(queue) != NULL)
         continue;
     wb_fair_queue_free(queue);
 }
 
-/* An owner that was idle has saved up nothing, and isn't behind a burst of another one. */
+/* An owner that was idle gets no credit for it, and doesn't wait behind another's burst. */
 static void test_idle_owner_is_served_next(void) {
     wb_fair_queue_t *queue = wb_fair_queue_create();
     for (int i = 0; i < 100; i++)
--- a/tests/unit/test_request_digest.c
+++ b/tests/unit/test_request_digest.c
@@ -1,4 +1,4 @@
-/* A request is known again by what it asks for, whatever its id and wherever it comes. */
+/* Guards against equal digests of different requests, and digests that differ between nodes. */
 #include "unit.h"
 
 #include "poison/request_digest.h"
@@ -18,11 +18,11 @@
 
 static void test_same_content(void) {
     wb_request_digest_t first = digest_of("POST", "a.example", "/x?y=1", NULL, "body");
-    wb_request_digest_t again = digest_of("POST", "a.example", "/x?y=1", NULL, "body");
-    g_assert_true(wb_request_digest_equal(&first, &again));
+    wb_request_digest_t second = digest_of("POST", "a.example", "/x?y=1", NULL, "body");
+    g_assert_true(wb_request_digest_equal(&first, &second));
 }
 
-/* Nodes and starts must agree, so the value itself is part of what is promised between them. */
+/* The value is fixed because all nodes, also after restarts, must compute the same. */
 static void test_value_is_fixed(void) {
     char text[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_request_digest_t digest = digest_of("POST", "a.example", "/x", "t1", "body");
@@ -39,22 +39,22 @@
     assert_differs(&first, digest_of("POST", "a.example", "/x?y=1", "t1", "bodz"));
 }
 
-/* An operator names a request by what the log says. */
+/* Operators name a request by the text in the log. */
 static void test_read_back(void) {
     char text[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_request_digest_t digest = digest_of("POST", "a.example", "/x", "t1", "body");
-    wb_request_digest_t read;
-    g_assert_true(wb_request_digest_read(wb_request_digest_write(&digest, text), &read));
-    g_assert_true(wb_request_digest_equal(&digest, &read));
-    const char *const bad[] = {"", "f5", "f58b869447b9bab86a3e6d65b58d1e5",
-                               "f58b869447b9bab86a3e6d65b58d1e533",
-                               "g58b869447b9bab86a3e6d65b58d1e53"};
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_false(wb_request_digest_read(bad[i], &read));
+    wb_request_digest_t parsed;
+    g_assert_true(wb_request_digest_read(wb_request_digest_write(&digest, text), &parsed));
+    g_assert_true(wb_request_digest_equal(&digest, &parsed));
+    const char *const malformed[] = {"", "f5", "f58b869447b9bab86a3e6d65b58d1e5",
+                                     "f58b869447b9bab86a3e6d65b58d1e533",
+                                     "g58b869447b9bab86a3e6d65b58d1e53"};
+    for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++) {
+        g_assert_false(wb_request_digest_read(malformed[i], &parsed));
     }
 }
 
-/* Bytes that move from one part to the next make another request. */
+/* Bytes moved from one field to the next change the digest. */
 static void test_parts_dont_run_together(void) {
     wb_request_digest_t first = digest_of("POST", "a.example", "/x", "t1", "body");
     assert_differs(&first, digest_of("POST", "a.example", "/xt", "1", "body"));
--- a/tests/unit/test_served_set.c
+++ b/tests/unit/test_served_set.c
@@ -1,4 +1,4 @@
-/* What was lately served is remembered for a while, in bounded memory. */
+/* Guards against requests that are forgotten too early or too late, or taken for another one. */
 #include "unit.h"
 
 #include "poison/served_set.h"
@@ -27,7 +27,7 @@
     wb_served_set_free(set);
 }
 
-/* Two requests that share a place aren't taken for each other. */
+/* Requests that share a slot aren't confused. */
 static void test_shared_place(void) {
     wb_served_set_t *set = wb_served_set_create();
     wb_request_digest_t digest = digest_of(7);
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings are checked, and a wrong one gives one clear line. */
+/* Guards against invalid settings that are accepted, or rejected without a one-line reason. */
 #include "unit.h"
 
 #include "wickbridge/settings.h"
@@ -32,7 +32,7 @@
     g_assert_cmpint(sample.flag, ==, 0);
 }
 
-static void wrong(const char *flag, const char *expected) {
+static void assert_invalid(const char *flag, const char *expected) {
     char *argv[] = {"sample", "--name=x", (char *)flag, NULL};
     sample_t sample;
     wb_error_t error;
@@ -42,11 +42,11 @@
 }
 
 static void test_wrong_values(void) {
-    wrong("--count=11", "must be from 1 to 10");
-    wrong("--count=x", "whole number of ms");
-    wrong("--address=here", "IP:PORT");
-    wrong("--address=localhost:1", "IP:PORT");
-    wrong("--flag=yes", "true or false");
+    assert_invalid("--count=11", "must be from 1 to 10");
+    assert_invalid("--count=x", "whole number of ms");
+    assert_invalid("--address=here", "IP:PORT");
+    assert_invalid("--address=localhost:1", "IP:PORT");
+    assert_invalid("--flag=yes", "true or false");
     char *argv[] = {"sample", NULL};
     sample_t sample;
     wb_error_t error;
--- a/tests/unit/test_store_calls.c
+++ b/tests/unit/test_store_calls.c
@@ -1,4 +1,4 @@
-/* Calls to the store, counted by table and cause. */
+/* Guards against store calls missing from the metrics or counted under the wrong table or cause. */
 #include "unit.h"
 
 #include "wickbridge/store_calls.h"
--- a/tests/unit/test_store_turns.c
+++ b/tests/unit/test_store_turns.c
@@ -1,32 +1,32 @@
-/* Who loads next from a slow weight store. */
+/* Guards against missing models or additional replicas that starve on a slow weight store. */
 #include "unit.h"
 
 #include "control/store_turns.h"
 
 #define LOAD_MS 13200
 
-/* A busy model lacks its second engine while rare ones are missing: they take turns. */
+/* Replicas of a busy model and missing rare models alternate. */
 static void test_take_turns(void) {
-    wb_store_turns_t turns = {0};
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 1000));
-    wb_store_turns_loaded(&turns, TRUE);
-    wb_store_turns_wish(&turns, 100000, 2000);
-    wb_store_turns_wish(&turns, 5000, 2000); /* another, that gains less */
-    g_assert_false(wb_store_turns_missing_may(&turns, 6000, LOAD_MS, 2100));
-    g_assert_true(wb_store_turns_missing_may(&turns, 200000, LOAD_MS, 2100));
-    wb_store_turns_loaded(&turns, FALSE);
-    wb_store_turns_wish(&turns, 50000, 2400);
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 2400));
+    wb_store_turns_t fairness = {0};
+    g_assert_true(wb_store_turns_missing_may(&fairness, 1000, LOAD_MS, 1000));
+    wb_store_turns_loaded(&fairness, TRUE);
+    wb_store_turns_wish(&fairness, 100000, 2000);
+    wb_store_turns_wish(&fairness, 5000, 2000); /* another one, with less gain */
+    g_assert_false(wb_store_turns_missing_may(&fairness, 6000, LOAD_MS, 2100));
+    g_assert_true(wb_store_turns_missing_may(&fairness, 200000, LOAD_MS, 2100));
+    wb_store_turns_loaded(&fairness, FALSE);
+    wb_store_turns_wish(&fairness, 50000, 2400);
+    g_assert_true(wb_store_turns_missing_may(&fairness, 1000, LOAD_MS, 2400));
 }
 
-/* A wish passes, and a quick store serves all. */
+/* A pending replica load expires, and a fast store isn't alternated. */
 static void test_nobody_waits_in_vain(void) {
-    wb_store_turns_t turns = {0};
-    wb_store_turns_loaded(&turns, TRUE);
-    wb_store_turns_wish(&turns, 100000, 2000);
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, 2000, 2000));
-    g_assert_false(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 2500));
-    g_assert_true(wb_store_turns_missing_may(&turns, 1000, LOAD_MS, 3500));
+    wb_store_turns_t fairness = {0};
+    wb_store_turns_loaded(&fairness, TRUE);
+    wb_store_turns_wish(&fairness, 100000, 2000);
+    g_assert_true(wb_store_turns_missing_may(&fairness, 1000, 2000, 2000));
+    g_assert_false(wb_store_turns_missing_may(&fairness, 1000, LOAD_MS, 2500));
+    g_assert_true(wb_store_turns_missing_may(&fairness, 1000, LOAD_MS, 3500));
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_table_readers.c
+++ b/tests/unit/test_table_readers.c
@@ -1,4 +1,4 @@
-/* Which nodes read the engines' table: the strongest, enough of them, found alike by all. */
+/* Guards against too many readers of the engine table, or nodes that disagree on who they are. */
 #include "unit.h"
 
 #include "directory/table_readers.h"
@@ -27,8 +27,8 @@
     g_array_unref(nodes->readers);
 }
 
-/* Rows read at a start, over all nodes, grow as engines times a thirty-second of the nodes or as
- * the strong machines, not as engines times nodes. */
+/* Bounds the rows read at a start: readers are a thirty-second of the nodes, or the strong
+ * machines, not all nodes. */
 static void test_count(void) {
     static const struct {
         guint strong;
@@ -43,35 +43,35 @@
         g_assert_true(wb_table_readers_has(nodes.readers, "edge-0"));
         nodes_clear(&nodes);
     }
-    g_autoptr(GArray) nobody = g_array_new(FALSE, FALSE, sizeof(wb_table_reader_t));
-    wb_table_readers_select(nobody, 5);
-    g_assert_cmpuint(nobody->len, ==, 0);
-    g_assert_null(wb_table_readers_relay(nobody, "edge-1", NULL));
+    g_autoptr(GArray) no_readers = g_array_new(FALSE, FALSE, sizeof(wb_table_reader_t));
+    wb_table_readers_select(no_readers, 5);
+    g_assert_cmpuint(no_readers->len, ==, 0);
+    g_assert_null(wb_table_readers_relay(no_readers, "edge-1", NULL));
 }
 
-/* In whatever order nodes know each other. */
+/* Independent of the order in which nodes are listed. */
 static void test_found_alike(void) {
     nodes_t nodes = nodes_create(3, 200);
-    nodes_t turned = nodes_create(3, 200);
+    nodes_t reordered = nodes_create(3, 200);
     for (guint i = 0; i < 100; i++) {
-        wb_table_reader_t *a = &g_array_index(turned.readers, wb_table_reader_t, i);
-        wb_table_reader_t *b = &g_array_index(turned.readers, wb_table_reader_t, 202 - i);
-        wb_table_reader_t kept = *a;
+        wb_table_reader_t *a = &g_array_index(reordered.readers, wb_table_reader_t, i);
+        wb_table_reader_t *b = &g_array_index(reordered.readers, wb_table_reader_t, 202 - i);
+        wb_table_reader_t saved = *a;
         *a = *b;
-        *b = kept;
+        *b = saved;
     }
     wb_table_readers_select(nodes.readers, 203);
-    wb_table_readers_select(turned.readers, 203);
+    wb_table_readers_select(reordered.readers, 203);
     g_assert_cmpuint(nodes.readers->len, ==, 7);
     for (guint i = 0; i < nodes.readers->len; i++) {
         g_assert_cmpstr(g_array_index(nodes.readers, wb_table_reader_t, i).id, ==,
-                        g_array_index(turned.readers, wb_table_reader_t, i).id);
+                        g_array_index(reordered.readers, wb_table_reader_t, i).id);
     }
     nodes_clear(&nodes);
-    nodes_clear(&turned);
+    nodes_clear(&reordered);
 }
 
-/* Gateways spread over readers, and those of a lost one over the others; the rest stay. */
+/* Gateways spread over the readers; only those of a failed reader choose another. */
 static void test_relays(void) {
     nodes_t nodes = nodes_create(60, 925);
     g_autoptr(GHashTable) failed = g_hash_table_new(g_str_hash, g_str_equal);
@@ -81,10 +81,10 @@
     for (guint i = 60; i < 985; i++) {
         const char *own = g_ptr_array_index(nodes.ids, i);
         const char *relay = wb_table_readers_relay(nodes.readers, own, NULL);
-        const char *then = wb_table_readers_relay(nodes.readers, own, failed);
+        const char *next = wb_table_readers_relay(nodes.readers, own, failed);
         counts[g_ascii_strtoull(relay + strlen("edge-"), NULL, 10)]++;
-        g_assert_cmpstr(then, !=, "edge-7");
-        g_assert_true(strcmp(relay, "edge-7") == 0 || strcmp(relay, then) == 0);
+        g_assert_cmpstr(next, !=, "edge-7");
+        g_assert_true(strcmp(relay, "edge-7") == 0 || strcmp(relay, next) == 0);
     }
     for (guint i = 0; i < 60; i++) {
         g_assert_cmpuint(counts[i], >, 3); /* 15 on average */
--- a/tests/unit/test_table_watch.c
+++ b/tests/unit/test_table_watch.c
@@ -60,8 +60,9 @@
     (void)table;
     (void)wait_ms;
     script_t *script = (script_t *)self;
+    /* The test is over. */
     if (script->reads == 3)
-        return; /* the test is over */
+        return;
     GPtrArray *rows = rows_make();
     script->calls++;
     if (script->calls > 1) {
@@ -152,8 +153,8 @@
     wb_table_row_t removed = {(char *)"a", NULL, 0, 9};
     wb_table_watch_take(poll->watch, &removed);
     GPtrArray *rows = rows_make();
-    g_ptr_array_add(rows,
-                    row_make("a", 8)); /* the pending call's answer is older than the removal */
+    /* The pending call's answer is older than the removal. */
+    g_ptr_array_add(rows, row_make("a", 8));
     send_answer(poll->on_answer, poll->context, WB_TABLE_DONE, rows, 8);
     g_assert_cmpstr(poll->script.seen->str, ==, "+a@5 -a@9 ");
     wb_table_row_t restored = {(char *)"a", (guchar *)"v", 1, 12};
@@ -281,7 +282,7 @@
     wb_loop_after(poll->loop, 150, full_read_end, poll);
 }
 
-/* After a full read the next poll waits for read_trust_ms. */
+/* After a full read the next poll waits for full_read_valid_ms. */
 static void test_whole_read_is_trusted(void) {
     long_poll_t poll = {0};
     wb_error_t error;
--- a/tests/unit/test_target.c
+++ b/tests/unit/test_target.c
@@ -1,11 +1,11 @@
-/* How long requests for a model wait for a node that can decide on it. */
+/* Guards against requests refused early because an earlier loss of the owner is still counted. */
 #include "unit.h"
 
 #include "gateway/gateway_types.h"
 
 #define WAIT_MS 6000
 
-/* A loss in which the last request was given up does not count against the next one. */
+/* A loss after which all requests were given up doesn't count against the next one. */
 static void test_earlier_loss_is_over(void) {
     wb_gateway_t gateway = {0};
     gw_shard_t *shard = &gateway.shards[0];
@@ -18,7 +18,7 @@
     g_assert_true(target_owner_is_missing(target, TRUE, 7000, WAIT_MS));
     wb_fair_queue_pop(target->queue);
     g_assert_false(target_owner_is_missing(target, FALSE, 7100, WAIT_MS));
-    /* Much later, the first request after the partition: it waits its own time. */
+    /* The first request after the partition waits its full time. */
     target_enqueue(target, &request, FALSE);
     g_assert_false(target_owner_is_missing(target, TRUE, 60000, WAIT_MS));
     g_assert_true(target_owner_is_missing(target, TRUE, 66000, WAIT_MS));
--- a/tests/unit/test_tenant.c
+++ b/tests/unit/test_tenant.c
@@ -1,4 +1,4 @@
-/* Tenants hold their keys as digests, and a request counts what its limit's unit says. */
+/* Guards against keys that match a wrong tenant or are stored in the clear, and wrong costs. */
 #include "unit.h"
 
 #include "wickbridge/tenant.h"
@@ -22,19 +22,19 @@
     wb_tenants_free(tenants);
 }
 
-/* No byte of a key stands in what is kept of it. */
+/* The digest contains no part of the key. */
 static void test_digest_hides_the_key(void) {
     const char *key = "0123456789abcdef0123456789abcdef";
     wb_key_digest_t digest = wb_key_digest(key, strlen(key));
-    wb_key_digest_t again = wb_key_digest(key, strlen(key));
-    g_assert_cmpmem(digest.bytes, sizeof(digest.bytes), again.bytes, sizeof(again.bytes));
+    wb_key_digest_t second = wb_key_digest(key, strlen(key));
+    g_assert_cmpmem(digest.bytes, sizeof(digest.bytes), second.bytes, sizeof(second.bytes));
     g_assert_null(memmem(digest.bytes, sizeof(digest.bytes), key, 4));
-    g_autofree char *plain = g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
+    g_autofree char *unkeyed = g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
     g_autoptr(GString) hex = g_string_new(NULL);
     for (size_t i = 0; i < sizeof(digest.bytes); i++) {
         g_string_append_printf(hex, "%02x", digest.bytes[i]);
     }
-    g_assert_cmpstr(hex->str, !=, plain); /* a digest without a secret could be guessed */
+    g_assert_cmpstr(hex->str, !=, unkeyed); /* an unkeyed digest could be brute-forced */
 }
 
 static void test_cost(void) {
--- a/tests/unit/test_told_state.c
+++ b/tests/unit/test_told_state.c
@@ -1,4 +1,4 @@
-/* What an engine tells of itself at the head of an answer, as far as it can be. */
+/* Guards against invalid state headers of engines that are applied. */
 #include "unit.h"
 
 #include "dispatch/told_state.h"
@@ -6,28 +6,28 @@
 static const wb_dialect_t dialect = {.engine_limit = "Server-Limit",
                                      .engine_leaving = "Server-Leaving"};
 
-/* Reads an answer with up to two headers. */
-static wb_told_state_t told_by(unsigned status, const char *name, const char *value,
-                               const char *again) {
+/* Parses a response with up to two headers of the same name. */
+static wb_told_state_t parse_response(unsigned status, const char *name, const char *value,
+                                      const char *second) {
     wb_http_head_t *head = wb_http_head_create();
     head->status = status;
-    const char *const values[] = {value, again};
+    const char *const values[] = {value, second};
     for (gsize i = 0; i < G_N_ELEMENTS(values); i++) {
         if (values[i] != NULL) {
             wb_http_header_t header = {g_strdup(name), g_strdup(values[i])};
             g_array_append_val(head->headers, header);
         }
     }
-    wb_told_state_t told = wb_told_state_read(head, &dialect);
+    wb_told_state_t state = wb_told_state_read(head, &dialect);
     wb_http_head_free(head);
-    return told;
+    return state;
 }
 
 static void test_nothing(void) {
-    wb_told_state_t told = told_by(200, "X-Other", "1", NULL);
-    g_assert_false(told.limit_named || told.limit_known || told.leaving);
-    g_assert_cmpint(told.rest_ms, ==, 0);
-    g_assert_cmpuint(told.refused, ==, 0);
+    wb_told_state_t state = parse_response(200, "X-Other", "1", NULL);
+    g_assert_false(state.limit_named || state.limit_known || state.leaving);
+    g_assert_cmpint(state.rest_ms, ==, 0);
+    g_assert_cmpuint(state.refused, ==, 0);
 }
 
 static void test_limit(void) {
@@ -36,24 +36,24 @@
         double per_s;
     } limits[] = {{"1", 1}, {"0.4", 0.4}, {"0", 0}, {"250", 250}};
     for (gsize i = 0; i < G_N_ELEMENTS(limits); i++) {
-        wb_told_state_t told = told_by(200, "server-limit", limits[i].text, NULL);
-        g_assert_true(told.limit_named && told.limit_known);
-        g_assert_cmpfloat(told.limit_per_s, ==, limits[i].per_s);
-        g_assert_cmpuint(told.refused, ==, 0);
+        wb_told_state_t state = parse_response(200, "server-limit", limits[i].text, NULL);
+        g_assert_true(state.limit_named && state.limit_known);
+        g_assert_cmpfloat(state.limit_per_s, ==, limits[i].per_s);
+        g_assert_cmpuint(state.refused, ==, 0);
     }
 }
 
-/* It names a limit, so that none ends by it, and none that could be gone by. */
+/* An invalid limit keeps the present limit, and sets none. */
 static void test_limits_that_cant_be(void) {
     static const char *const texts[] = {"",    "-1",  "nan", "inf",  "1e3",  "1000000000000",
                                         "1,2", "1 2", ".",   "0x10", "1.2.3"};
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
-        wb_told_state_t told = told_by(200, "Server-Limit", texts[i], NULL);
-        g_assert_true(told.limit_named);
-        g_assert_false(told.limit_known);
-        g_assert_cmpuint(told.refused, ==, 1);
+        wb_told_state_t state = parse_response(200, "Server-Limit", texts[i], NULL);
+        g_assert_true(state.limit_named);
+        g_assert_false(state.limit_known);
+        g_assert_cmpuint(state.refused, ==, 1);
     }
-    wb_told_state_t twice = told_by(200, "Server-Limit", "1", "5");
+    wb_told_state_t twice = parse_response(200, "Server-Limit", "1", "5");
     g_assert_true(twice.limit_named);
     g_assert_false(twice.limit_known);
     g_assert_cmpuint(twice.refused, ==, 1);
@@ -62,15 +62,16 @@
 static void test_leaving(void) {
     static const struct {
         const char *text;
-        const char *again;
+        const char *second;
         gboolean leaving;
         unsigned refused;
-    } words[] = {
+    } cases[] = {
         {"1", NULL, TRUE, 0}, {"0", NULL, FALSE, 0}, {"yes", NULL, FALSE, 1}, {"1", "1", FALSE, 1}};
-    for (gsize i = 0; i < G_N_ELEMENTS(words); i++) {
-        wb_told_state_t told = told_by(200, "Server-Leaving", words[i].text, words[i].again);
-        g_assert_cmpint(told.leaving, ==, words[i].leaving);
-        g_assert_cmpuint(told.refused, ==, words[i].refused);
+    for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
+        wb_told_state_t state =
+            parse_response(200, "Server-Leaving", cases[i].text, cases[i].second);
+        g_assert_cmpint(state.leaving, ==, cases[i].leaving);
+        g_assert_cmpuint(state.refused, ==, cases[i].refused);
     }
 }
 
@@ -78,24 +79,24 @@
     static const struct {
         unsigned status;
         const char *text;
-        const char *again;
+        const char *second;
         int64_t rest_ms;
         unsigned refused;
-    } words[] = {{503, "3", NULL, 3000, 0},
+    } cases[] = {{503, "3", NULL, 3000, 0},
                  {503, "0.25", NULL, 250, 0},
                  {503, "0", NULL, 0, 0},
-                 {429, "3", NULL, 0, 0}, /* when to come back, no wish for rest */
+                 {429, "3", NULL, 0, 0}, /* Retry-After of one request, not a backoff */
                  {503, "", NULL, 0, 1},
                  {503, "-3", NULL, 0, 1},
                  {503, "nan", NULL, 0, 1},
                  {503, "1000000000000", NULL, 0, 1},
                  {503, "Thu, 03 Dec 2026 08:00:00 GMT", NULL, 0, 1},
                  {503, "3", "5", 0, 1}};
-    for (gsize i = 0; i < G_N_ELEMENTS(words); i++) {
-        wb_told_state_t told =
-            told_by(words[i].status, "Retry-After", words[i].text, words[i].again);
-        g_assert_cmpint(told.rest_ms, ==, words[i].rest_ms);
-        g_assert_cmpuint(told.refused, ==, words[i].refused);
+    for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
+        wb_told_state_t state =
+            parse_response(cases[i].status, "Retry-After", cases[i].text, cases[i].second);
+        g_assert_cmpint(state.rest_ms, ==, cases[i].rest_ms);
+        g_assert_cmpuint(state.refused, ==, cases[i].refused);
     }
 }
 
--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -1,6 +1,6 @@
 /**
  * @file unit.h
- * @brief What the unit tests share: each module's tests are a program of their own.
+ * @brief Main function of the unit tests: each module has its own test program.
  */
 #ifndef WICKBRIDGE_UNIT_H
 #define WICKBRIDGE_UNIT_H
@@ -8,7 +8,7 @@
 #include <apr_general.h>
 #include <glib.h>
 
-/** The main function of a module's tests. @param tests_add adds them all */
+/** Defines main(). @param tests_add registers the module's tests */
 #define UNIT_TEST_MAIN(tests_add)                                                                  \
     int main(int argc, char **argv) {                                                              \
         g_test_init(&argc, &argv, NULL);                                                           \
