--- a/tests/unit/test_crash_watch.c
+++ b/tests/unit/test_crash_watch.c
@@ -1,5 +1,4 @@
-/* Guards against requests recorded for a crash that didn't happen, and crashes that are not
- * noticed. */
+/* Guards against crashes that are missed, and requests recorded for crashes that did not happen. */
 #include "unit.h"
 
 #include "request/crash_watch.h"
--- a/tests/unit/test_lease_grants.c
+++ b/tests/unit/test_lease_grants.c
@@ -1,5 +1,5 @@
-/* Guards against two holders that send orders to one engine: grants in the lease row, and how long
- * a successor is blocked. */
+/* Guards against two holders that send orders to one engine: grants in the lease row block the
+ * successor. */
 #include "unit.h"
 
 #include "control/lease_grants.h"
