--- a/tests/unit/test_engine_limit.c
+++ b/tests/unit/test_engine_limit.c
@@ -9,7 +9,7 @@
 #define PERIOD_MS 4000
 #define STEP_MS 50
 
-/* Nodes that all always have requests to send. */
+/* Nodes that always have requests to send. */
 typedef struct node_set_t {
     unsigned count;
     wb_engine_limit_t *limits;
--- a/tests/unit/test_store_turns.c
+++ b/tests/unit/test_store_turns.c
@@ -19,7 +19,7 @@
     g_assert_true(wb_store_turns_missing_may(&fairness, 1000, LOAD_MS, 2400));
 }
 
-/* A pending replica load expires, and a fast store isn't alternated. */
+/* A pending replica load expires, and on a fast store missing models need not wait for it. */
 static void test_nobody_waits_in_vain(void) {
     wb_store_turns_t fairness = {0};
     wb_store_turns_loaded(&fairness, TRUE);
