--- a/include/wickbridge/cold_share.h
+++ b/include/wickbridge/cold_engine_share.h
@@ -1,5 +1,5 @@
 /**
- * @file cold_share.h
+ * @file cold_engine_share.h
  * @brief How many requests a second this node may send to an engine that is cold.
  *
  * The load that it answers: an engine has just started, or a whole zone of them comes back, with
@@ -20,7 +20,7 @@
 #ifndef WICKBRIDGE_COLD_SHARE_H
 #define WICKBRIDGE_COLD_SHARE_H
 
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 /** In which requests are counted: a second as the engine counts it, and a tenth for what takes
  * longer on its way than what comes after it. */
--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -20,7 +20,7 @@
 #ifndef WICKBRIDGE_ENGINE_LIMIT_H
 #define WICKBRIDGE_ENGINE_LIMIT_H
 
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 /** In which a node's requests are counted, for a limit of one request in four seconds or more. */
 #define WB_LIMIT_WINDOW_MS 4500
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -10,7 +10,7 @@
  *
  * A gateway hears from an engine rarely: 89 gateways before 140 engines with 300 requests a second
  * between them hear from each once in 40 s. So what all of them hear is put together
- * (pace_book.h), and `wb_engine_pace_share` takes what others heard.
+ * (pace_aggregate.h), and `wb_engine_pace_share` takes what others heard.
  *
  * Pure: the time is passed in. What it doesn't do: choose an engine (engine_choice.h).
  */
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -8,7 +8,7 @@
 #ifndef WICKBRIDGE_FLEET_H
 #define WICKBRIDGE_FLEET_H
 
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 #include "wickbridge/engine_limit.h"
 #include "wickbridge/engine_pace.h"
 #include "wickbridge/list.h"
--- a/include/wickbridge/homes.h
+++ b/include/wickbridge/regions.h
@@ -1,5 +1,5 @@
 /**
- * @file homes.h
+ * @file regions.h
  * @brief Regions in which requests of a route or a tenant may be served.
  *
  * A zone lies in one region. Where both a route and a tenant name regions, a request may be served
--- a/include/wickbridge/send_gate.h
+++ b/include/wickbridge/send_limiter.h
@@ -1,5 +1,5 @@
 /**
- * @file send_gate.h
+ * @file send_limiter.h
  * @brief How many requests this node may send to an engine in any window of time, and the part of a
  * node of what an engine takes from all of them.
  *
--- a/src/catalog/homes.c
+++ b/src/catalog/regions.c
@@ -1,5 +1,5 @@
 /* Regions in which requests of a route or a tenant may be served. */
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 
 GHashTable *wb_regions_read(const char *text) {
     GHashTable *regions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -7,13 +7,13 @@
 
 #include "control/controller.h"
 
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 #include "control/engine_orders.h"
 #include "control/load_faults.h"
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 #include "control/load_window.h"
 #include "control/placement.h"
-#include "control/store_turns.h"
+#include "control/store_fairness.h"
 
 struct wb_controller_t {
     wb_loop_t *loop;
--- a/src/control/demand_book.c
+++ b/src/control/demand_stats.c
@@ -1,5 +1,5 @@
 /* What all gateways ask for, by model and adapter. */
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/control/demand_book.h
+++ b/src/control/demand_stats.h
@@ -1,5 +1,5 @@
 /**
- * @file demand_book.h
+ * @file demand_stats.h
  * @brief What all gateways ask for, by model and adapter: what they said last, and rates of
  * arrivals.
  *
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -2,7 +2,7 @@
 #include "control/engine_orders_types.h"
 
 #include "control/placement.h"
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
 #include "wickbridge/event_log.h"
 
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -42,7 +42,7 @@
     int64_t late_told_ms; /* when gateways were last told that the load is late; 0: never */
 };
 
-/* engine_orders_late.c */
+/* engine_orders_overdue.c */
 /** The load under way goes on beyond its time. */
 void wb_engine_orders_load_is_late(wb_engine_orders_t *orders);
 /** The leave to order takes longer than a decision should: beside a slow store it is one write of
--- a/src/control/load_pace.c
+++ b/src/control/load_concurrency.c
@@ -1,5 +1,5 @@
 /* How many loads from the weight store are worth having under way at once. */
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 
 #include <math.h>
 
--- a/src/control/load_pace.h
+++ b/src/control/load_concurrency.h
@@ -1,5 +1,5 @@
 /**
- * @file load_pace.h
+ * @file load_concurrency.h
  * @brief How many loads from the weight store are worth having under way at once. Pure.
  *
  * Past some number, which nobody tells, each load takes longer by as much as there are more: no
--- a/src/control/load_faults.h
+++ b/src/control/load_faults.h
@@ -16,7 +16,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Engines that must have ended in a row, as for requests (poison_book.h). */
+/** Engines that must have ended in a row, as for requests (poison_registry.h). */
 #define WB_LOAD_FAULTS_MOST 3
 /** A minute, then twice that and so on. It is what callers of a sound model lose when three engines
  * that loaded it ended for other reasons; a damaged one costs an engine after each pause. */
--- a/src/control/store_turns.c
+++ b/src/control/store_fairness.c
@@ -1,7 +1,7 @@
 /* Who loads next from a slow weight store. */
-#include "control/store_turns.h"
+#include "control/store_fairness.h"
 
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 
 /* Replicas are looked for each 300 ms; a wish that isn't renewed has passed. */
 #define WISH_LIFE_MS 1000
--- a/src/control/store_turns.h
+++ b/src/control/store_fairness.h
@@ -1,5 +1,5 @@
 /**
- * @file store_turns.h
+ * @file store_fairness.h
  * @brief Who loads next from a slow weight store: a model that no engine holds, or one more replica
  * of a busy one.
  *
--- a/src/dispatch/cold_share.c
+++ b/src/dispatch/cold_engine_share.c
@@ -1,5 +1,5 @@
 /* How many requests a second this node may send to an engine that is cold. */
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 
 /* Nodes that come and go are known to others some seconds later: until then two of them may take
  * one share. Of 87 nodes some three come at a time. */
--- a/src/dispatch/length_guess.c
+++ b/src/dispatch/length_estimate.c
@@ -1,5 +1,5 @@
 /* How many tokens an answer will have. */
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 
 #include <math.h>
 
--- a/src/dispatch/length_guess.h
+++ b/src/dispatch/length_estimate.h
@@ -1,5 +1,5 @@
 /**
- * @file length_guess.h
+ * @file length_estimate.h
  * @brief How many tokens an answer will have: by the caller's hint, else by what answers of its
  * kind had.
  *
--- a/src/dispatch/told_load.c
+++ b/src/dispatch/load_header.c
@@ -1,5 +1,5 @@
 /* Reads what an engine tells of its load on an answer. */
-#include "dispatch/told_load.h"
+#include "dispatch/load_header.h"
 
 #include "wickbridge/engine_pace.h"
 
--- a/src/dispatch/told_load.h
+++ b/src/dispatch/load_header.h
@@ -1,5 +1,5 @@
 /**
- * @file told_load.h
+ * @file load_header.h
  * @brief Reads what an engine tells of its load on an answer. Pure.
  */
 #ifndef WICKBRIDGE_TOLD_LOAD_H
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_limiter.c
@@ -1,5 +1,5 @@
 /* How many requests this node may send to an engine in any window of time. */
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/dispatch/told_state.c
+++ b/src/dispatch/state_headers.c
@@ -1,5 +1,5 @@
 /* Reads what an engine tells of its state at the head of an answer. */
-#include "dispatch/told_state.h"
+#include "dispatch/state_headers.h"
 
 #include <string.h>
 
--- a/src/dispatch/told_state.h
+++ b/src/dispatch/state_headers.h
@@ -1,5 +1,5 @@
 /**
- * @file told_state.h
+ * @file state_headers.h
  * @brief Reads what an engine tells of its state at the head of an answer, beside its load. Pure.
  *
  * Three things: how many requests a second it takes from all nodes together, that it leaves, and
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -10,8 +10,8 @@
 
 #include "control/controller.h"
 
-#include "pace/pace_book.h"
-#include "quota/quota_book.h"
+#include "pace/pace_aggregate.h"
+#include "quota/quota_ledger.h"
 
 #include "wickbridge/lease.h"
 #include "wickbridge/link.h"
@@ -81,7 +81,7 @@
     wb_link_listener_t *link_listener;
     wb_link_counters_t link_counters;
     GHashTable *gateways; /* wb_link_t -> wb_gateway_t, when this node is the controller */
-    GArray *placements;   /* of wb_wire_placement_entry, not yet told to gateways: node_tell.c */
+    GArray *placements;   /* of wb_wire_placement_entry, not yet told to gateways: node_broadcast.c */
     GArray *placement_starts;  /* of uint64_t: when their engines started; 0: not told */
     uint64_t placements_token; /* under which they were decided */
     wb_timer_t *placements_timer;
@@ -113,7 +113,7 @@
     gboolean demand_told; /* the last message was not empty */
     int64_t demand_told_ms;
     int64_t link_opened_ms;
-    /* What the holder reads in the store, for gateways: node_news.c. */
+    /* What the holder reads in the store, for gateways: node_store_updates.c. */
     GArray *news_rows; /* of wb_wire_table_row, not yet told */
     gsize news_bytes;
     gboolean news_look; /* too much to tell */
@@ -293,7 +293,7 @@
 /** Read it back. */
 void wb_edge_node_poison_read(wb_edge_node_t *node, XDR *stream);
 
-/* node_states.c */
+/* node_engine_states.c */
 /** Tell on what engines have told of themselves. */
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms);
 /** Another node has told it. */
@@ -301,7 +301,7 @@
 /** An engine has told the controller of this node something new. @param context the node */
 void wb_edge_node_states_heard(wb_engine_t *engine, void *context);
 
-/* node_tell.c */
+/* node_broadcast.c */
 /** Tell the gateways that read messages of form 2 or later. */
 void wb_edge_node_tell_newer_gateways(wb_edge_node_t *node, const wb_wire_message *message);
 /** Tell all gateways; what is told of models and adapters may be sent some ms later. */
@@ -339,7 +339,7 @@
  * @param context the node */
 wb_controller_view_t wb_edge_node_controller_view(void *context);
 
-/* node_news.c */
+/* node_store_updates.c */
 /* A gateway that has heard nothing for so long asks the store itself. */
 #define WB_NEWS_LIFE_MS 1200
 /** @return the watch of a table, or NULL. @param table a wb_table_name_t, perhaps from a message */
--- a/src/edge/node_states.c
+++ b/src/edge/node_engine_states.c
@@ -5,7 +5,7 @@
  * which are late on their way look newer than they are, by a link's delay at most. */
 #include "edge/edge_node_types.h"
 
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
 /* Bytes of an engine in a message. */
 #define ENTRY_BYTES 48
--- a/src/fleet/engine_heard.c
+++ b/src/fleet/engine_response.c
@@ -1,8 +1,8 @@
 /* Takes what engines tell of themselves at the heads of their answers. */
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
-#include "dispatch/told_load.h"
-#include "dispatch/told_state.h"
+#include "dispatch/load_header.h"
+#include "dispatch/state_headers.h"
 
 #include "wickbridge/event_log.h"
 
--- a/src/fleet/engine_heard.h
+++ b/src/fleet/engine_response.h
@@ -1,5 +1,5 @@
 /**
- * @file engine_heard.h
+ * @file engine_response.h
  * @brief The one place that takes what engines tell of themselves at the heads of their answers.
  */
 #ifndef WICKBRIDGE_ENGINE_HEARD_H
--- a/src/pace/pace_book.c
+++ b/src/pace/pace_aggregate.c
@@ -1,5 +1,5 @@
 /* What all gateways together know of engines. */
-#include "pace/pace_book.h"
+#include "pace/pace_aggregate.h"
 
 #include "wickbridge/engine_pace.h"
 #include "quota/token_bucket.h"
--- a/src/pace/pace_book.h
+++ b/src/pace/pace_aggregate.h
@@ -1,5 +1,5 @@
 /**
- * @file pace_book.h
+ * @file pace_aggregate.h
  * @brief What all gateways together know of engines: their own pace, and what is sent there.
  *
  * The node that gateways report to keeps the book. It tells them what has changed: an engine's own
--- a/src/poison/poison_book.c
+++ b/src/poison/poison_registry.c
@@ -1,5 +1,5 @@
 /* Which requests crash the engines that run them. */
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_registry.h
@@ -1,5 +1,5 @@
 /**
- * @file poison_book.h
+ * @file poison_registry.h
  * @brief Which requests crash the engines that run them.
  *
  * A poison request (elsewhere: query of death) ends each engine that begins to run it, and all that
--- a/src/quota/quota_book.c
+++ b/src/quota/quota_ledger.c
@@ -1,5 +1,5 @@
 /* Keeps the book of what gateways spend of tenants' limits. */
-#include "quota/quota_book.h"
+#include "quota/quota_ledger.h"
 
 #include "quota/token_bucket.h"
 
@@ -212,7 +212,7 @@
     book->sole = sole;
 }
 
-/* What a node may spend of each tenant's limit without the book: see quota_gate.h. */
+/* What a node may spend of each tenant's limit without the book: see quota_limiter.h. */
 static void assume(const wb_quota_book_t *book, wb_quota_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer tenant;
@@ -223,7 +223,7 @@
         wb_quota_entry_t *entry = g_hash_table_lookup(book->entries, tenant);
         double per_s = wb_decayed_rate_read(rate, ADMITTED_TIME_S, now_ms);
         if (entry != NULL && entry->share_told >= 1) {
-            /* As quota_gate.c has it: nodes with little demand may spend an equal part. With a
+            /* As quota_limiter.c has it: nodes with little demand may spend an equal part. With a
              * third of 350 nodes cut off a second before a sevenfold surge, 1.01 of the users' rule
              * was spent without it (wb-bench-quota). */
             double nodes = MAX(g_hash_table_size(book->nodes), 1);
--- a/src/quota/quota_book.h
+++ b/src/quota/quota_ledger.h
@@ -1,5 +1,5 @@
 /**
- * @file quota_book.h
+ * @file quota_ledger.h
  * @brief What all gateways together spend of each tenant's limit, and which share of a tenant's
  * requests they may admit.
  *
@@ -9,7 +9,7 @@
  * **short**: gateways then admit the share of its requests that the bucket can bear. Tenants that
  * are not short cost nothing but the gateways' reports.
  *
- * A node that can't be reached goes on at the rate of its last reports (quota_gate.h), so the book
+ * A node that can't be reached goes on at the rate of its last reports (quota_limiter.h), so the book
  * takes that much for it. Of a node that never reported to this book, or while another node may
  * keep a book too, it takes an equal part of each limit: two books then share each limit by the
  * nodes that report to either.
--- a/src/quota/quota_gate.c
+++ b/src/quota/quota_limiter.c
@@ -1,5 +1,5 @@
 /* Admits requests within their tenants' limits. */
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #include "quota/token_bucket.h"
 
--- a/src/quota/quota_gate.h
+++ b/src/quota/quota_limiter.h
@@ -1,8 +1,8 @@
 /**
- * @file quota_gate.h
+ * @file quota_limiter.h
  * @brief Admits a gateway's requests within their tenants' limits, which hold over all nodes.
  *
- * Three states, by what the node that keeps the book (quota_book.h) has told:
+ * Three states, by what the node that keeps the book (quota_ledger.h) has told:
  * - the tenant isn't short: all its requests are admitted, and reported;
  * - it is short: the told share of its requests of each kind (quota_order.h) is admitted, by their
  *   cost, one after the other;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -1,5 +1,5 @@
 /* One sending of a request to one engine, and the connections to engines that are kept. */
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 #include "request/request_types.h"
 
 #include <string.h>
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -1,5 +1,5 @@
 /* A caller's request, from its arrival to its answer. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include "dispatch/admission.h"
 
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -1,6 +1,6 @@
 /* Passes an engine's answer on: whole events as they come, short answers whole. */
 #include "request/event_stream.h"
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #define OUTPUT_LIMIT_BYTES (256 * 1024)
 
--- a/src/request/exchange_budget.c
+++ b/src/request/exchange_budget.c
@@ -1,5 +1,5 @@
 /* Whether a request may be sent again: the budget of its service, and what is written of it. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge) {
     return (int64_t)(edge->settings.retry_window_s * 1000);
--- a/src/request/exchange_inner.h
+++ b/src/request/exchange_internal.h
@@ -1,7 +1,7 @@
 /**
- * @file exchange_inner.h
+ * @file exchange_internal.h
  * @brief What the files of a request share: exchange.c (sendings and answers), exchange_read.c,
- * exchange_budget.c, exchange_tenant.c, exchange_poison.c, exchange_wait.c, exchange_end.c.
+ * exchange_budget.c, exchange_tenant.c, exchange_poison.c, exchange_wait.c, exchange_outcome.c.
  */
 #ifndef WICKBRIDGE_EXCHANGE_INNER_H
 #define WICKBRIDGE_EXCHANGE_INNER_H
@@ -83,7 +83,7 @@
 /** Pass the engine's whole answer on, or what is left of it. It is freed. */
 void wb_exchange_pass_whole(wb_exchange_t *exchange);
 
-/* exchange_end.c */
+/* exchange_outcome.c */
 /** Write its end into log, counters and memory for operators. */
 void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status);
 
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_outcome.c
@@ -1,5 +1,5 @@
 /* Notes how requests end: in the log, in the counters, and for operators who ask. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 static const char *const ending_names[WB_ENDING_COUNT] = {
     "served",        "engine-failed", "no-catalog",  "no-route", "bad-request",
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -1,5 +1,5 @@
 /* Requests that crash the engines that run them: found out, and refused. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 const wb_request_digest_t *wb_exchange_digest(wb_exchange_t *exchange) {
     if (exchange->digest_known) {
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -1,5 +1,5 @@
 /* Reads what a request asks for: route, service, model, prompt, deadline. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include <string.h>
 
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -1,5 +1,5 @@
 /* A request's tenant: who its key belongs to, and what it takes of that tenant's limit. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 /* Nobody holds the key. When this node may not know the newest configuration, the key may be a new
  * one: a caller must not be told that it is wrong, and its next try reaches another node. */
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -1,5 +1,5 @@
 /* Waiting for an engine or a model: how long it has a use, and when it ends. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include "control/placement.h"
 
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -15,7 +15,7 @@
 #include "wickbridge/edge.h"
 #include "wickbridge/event_log.h"
 #include "wickbridge/fleet.h"
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 #include "wickbridge/http_listener.h"
 #include "wickbridge/list.h"
 #include "wickbridge/message.h"
@@ -23,15 +23,15 @@
 
 #include "wickbridge/edge_metrics.h"
 #include "dispatch/engine_choice.h"
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 #include "dispatch/wait_scale.h"
 #include "request/api_key.h"
 #include "request/crash_watch.h"
 #include "request/retry_budget.h"
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 #include "poison/served_set.h"
 #include "quota/equal_share.h"
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 typedef struct wb_exchange_t wb_exchange_t;
 typedef struct wb_attempt_t wb_attempt_t;
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -1,8 +1,8 @@
 /* Three ways to share limits over gateways; only the last one is the product's. */
 #include "quota_sim.h"
 
-#include "quota/quota_book.h"
-#include "quota/quota_gate.h"
+#include "quota/quota_ledger.h"
+#include "quota/quota_limiter.h"
 #include "quota/token_bucket.h"
 
 #include <string.h>
--- a/tests/fuzz/target_engine_head.c
+++ b/tests/fuzz/target_engine_head.c
@@ -1,8 +1,8 @@
 /* The head of an engine's answer, and what it tells of itself. */
 #include "targets.h"
 
-#include "dispatch/told_state.h"
-#include "fleet/engine_heard.h"
+#include "dispatch/state_headers.h"
+#include "fleet/engine_response.h"
 
 #include <stdlib.h>
 
--- a/tests/unit/test_cold_share.c
+++ b/tests/unit/test_cold_engine_share.c
@@ -2,7 +2,7 @@
  * capacity unused. */
 #include "unit.h"
 
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/unit/test_demand_book.c
+++ b/tests/unit/test_demand_stats.c
@@ -2,7 +2,7 @@
  * requests. */
 #include "unit.h"
 
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 
 #include <string.h>
 
--- a/tests/unit/test_engine_choice.c
+++ b/tests/unit/test_engine_choice.c
@@ -3,7 +3,7 @@
 #include "unit.h"
 
 #include "dispatch/engine_choice.h"
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 
 /* 30 prefill tokens per ms, 5.3 ms per decoding step. */
 static const wb_choice_setup_t setup = {
--- a/tests/unit/test_engine_pace.c
+++ b/tests/unit/test_engine_pace.c
@@ -4,7 +4,7 @@
 
 #include "wickbridge/engine_pace.h"
 
-#include "dispatch/told_load.h"
+#include "dispatch/load_header.h"
 
 static void test_figures_that_cannot_be(void) {
     static const char *const texts[] = {
--- a/tests/unit/test_exchange_wait.c
+++ b/tests/unit/test_exchange_wait.c
@@ -2,7 +2,7 @@
  * comes in time. */
 #include "unit.h"
 
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include <string.h>
 
--- a/tests/unit/test_load_pace.c
+++ b/tests/unit/test_load_concurrency.c
@@ -1,7 +1,7 @@
 /* Guards against too many or too few parallel loads from the weight store. */
 #include "unit.h"
 
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 
 #define NOMINAL_MS 6000
 
--- a/tests/unit/test_pace_book.c
+++ b/tests/unit/test_pace_aggregate.c
@@ -1,7 +1,7 @@
 /* Guards against wrong aggregated load of engines, and updates that grow without bound. */
 #include "unit.h"
 
-#include "pace/pace_book.h"
+#include "pace/pace_aggregate.h"
 
 #define TOKEN_MS 0.02
 
--- a/tests/unit/test_poison_book.c
+++ b/tests/unit/test_poison_registry.c
@@ -1,7 +1,7 @@
 /* Guards against harmless requests that are refused as poison, and poison requests that are not. */
 #include "unit.h"
 
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 
 #include <string.h>
 
--- a/tests/unit/test_quota_book.c
+++ b/tests/unit/test_quota_ledger.c
@@ -2,7 +2,7 @@
 #include "unit.h"
 
 #include "fuzz/quota_sim.h"
-#include "quota/quota_book.h"
+#include "quota/quota_ledger.h"
 
 #define SEEDS 4
 #define NODES 84
--- a/tests/unit/test_quota_gate.c
+++ b/tests/unit/test_quota_limiter.c
@@ -2,7 +2,7 @@
  * the ledger. */
 #include "unit.h"
 
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #define NODES 10
 
--- a/tests/unit/test_quota_order.c
+++ b/tests/unit/test_quota_order.c
@@ -2,7 +2,7 @@
  * class. */
 #include "unit.h"
 
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #include <math.h>
 
--- a/tests/unit/test_homes.c
+++ b/tests/unit/test_regions.c
@@ -1,7 +1,7 @@
 /* Guards against requests served outside their allowed regions. */
 #include "unit.h"
 
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 
 static void test_regions(void) {
     g_autoptr(GHashTable) regions = wb_regions_read("a-1=a,a-2=a,b-1=b,,odd,=c");
--- a/tests/unit/test_told_state.c
+++ b/tests/unit/test_state_headers.c
@@ -1,7 +1,7 @@
 /* Guards against invalid state headers of engines that are applied. */
 #include "unit.h"
 
-#include "dispatch/told_state.h"
+#include "dispatch/state_headers.h"
 
 static const wb_dialect_t dialect = {.engine_limit = "Server-Limit",
                                      .engine_leaving = "Server-Leaving"};
--- a/tests/unit/test_store_turns.c
+++ b/tests/unit/test_store_fairness.c
@@ -1,7 +1,7 @@
 /* Guards against missing models or additional replicas that starve on a slow weight store. */
 #include "unit.h"
 
-#include "control/store_turns.h"
+#include "control/store_fairness.h"
 
 #define LOAD_MS 13200
 
