--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -79,7 +79,7 @@
     const char *adapter; /**< "" for none */
     int waiting;
     int running;
-    int64_t tightest_deadline_ms; /**< from now, of what waits; 0 for none */
+    int64_t earliest_deadline_ms; /**< from now, of what waits; 0 for none */
 } wb_demand_t;
 
 typedef struct wb_cell_events_t {
--- a/include/wickbridge/cold_engine_share.h
+++ b/include/wickbridge/cold_engine_share.h
@@ -17,8 +17,8 @@
  *
  * Pure: the time is passed in.
  */
-#ifndef WICKBRIDGE_COLD_SHARE_H
-#define WICKBRIDGE_COLD_SHARE_H
+#ifndef WICKBRIDGE_COLD_ENGINE_SHARE_H
+#define WICKBRIDGE_COLD_ENGINE_SHARE_H
 
 #include "wickbridge/send_limiter.h"
 
@@ -29,9 +29,9 @@
 /**
  * @param per_s requests a second that the engine bears from all nodes together
  * @param nodes all nodes that share it, with this one; 0: this one has no part now
- * @param rank  nodes that come before this one, by wb_dealt_rank
+ * @param rank  nodes that come before this one, by wb_rendezvous_rank
  * @return requests a second for this node
  */
-unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank);
+unsigned wb_cold_engine_share(double per_s, unsigned nodes, unsigned rank);
 
 #endif
--- a/include/wickbridge/config_store.h
+++ b/include/wickbridge/config_store.h
@@ -64,7 +64,7 @@
                                  const wb_wire_message *message);
 
 /** A neighbour's heartbeat shows its version. */
-void wb_config_store_heard(wb_config_store_t *store, const char *node, uint64_t version);
+void wb_config_store_on_peer_version(wb_config_store_t *store, const char *node, uint64_t version);
 
 /** @return recent accepted changes, oldest first, as a JSON array */
 json_t *wb_config_store_history(const wb_config_store_t *store);
--- a/include/wickbridge/http_reader.h
+++ b/include/wickbridge/http_reader.h
@@ -38,7 +38,7 @@
 /** @return the value as a number of at least `minimum`, or `fallback` */
 int64_t wb_http_head_number(const wb_http_head_t *head, const char *name, int64_t fallback);
 /** @return TRUE for headers that concern one connection only, which are never passed on */
-gboolean wb_http_header_is_hop(const wb_http_head_t *head, const char *name);
+gboolean wb_http_header_is_hop_by_hop(const wb_http_head_t *head, const char *name);
 
 typedef struct wb_http_reader_t wb_http_reader_t;
 
--- a/include/wickbridge/peers.h
+++ b/include/wickbridge/peers.h
@@ -55,7 +55,7 @@
 GPtrArray *wb_peers_overlay(wb_peers_t *peers);
 
 /** @return when something last arrived from the node, 0 when no link is open */
-int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node);
+int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node);
 
 /** We don't want heartbeats from this node any more. */
 void wb_peers_release_overlay(wb_peers_t *peers, const char *node);
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -71,7 +71,7 @@
 /** What is to be done about a request that asks for its key's one run. */
 typedef enum wb_claim_decision_t {
     WB_CLAIM_PROPOSE,     /**< the key is free, or its last attempt is known not to have run */
-    WB_CLAIM_ASKED_AGAIN, /**< this very attempt has been proposed before */
+    WB_CLAIM_REPEATED, /**< this very attempt has been proposed before */
     WB_CLAIM_TAKEN,       /**< another attempt ran or may still run */
     WB_CLAIM_DONE,        /**< the first run's answer is known */
     WB_CLAIM_MISMATCH,    /**< the key belongs to another request */
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -243,7 +243,7 @@
     }
 }
 
-unsigned wb_settings_differ(const wb_settings_table_t *table, const void *left, const void *right) {
+unsigned wb_settings_count_changed(const wb_settings_table_t *table, const void *left, const void *right) {
     unsigned differ = 0;
     for (size_t i = 0; i < table->count; i++) {
         differ += value_differs(&table->rows[i], left, right);
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -291,7 +291,7 @@
     gateway->running = demand->running;
     gateway->heard_ms = now_ms;
     gateway->deadline_ms =
-        demand->tightest_deadline_ms > 0 ? now_ms + demand->tightest_deadline_ms : 0;
+        demand->earliest_deadline_ms > 0 ? now_ms + demand->earliest_deadline_ms : 0;
     if (demand->waiting + demand->running > 0)
         target->used_ms = now_ms;
     wb_cell_step(cell, now_ms);
--- a/src/cell/cell_claims.c
+++ b/src/cell/cell_claims.c
@@ -86,7 +86,7 @@
     case WB_CLAIM_PROPOSE:
         claim_propose(hosted, node, want, claim != NULL ? claim->attempt + 1 : 1);
         break;
-    case WB_CLAIM_ASKED_AGAIN:
+    case WB_CLAIM_REPEATED:
         /* if the claim doesn't count yet, its waiting entry will answer */
         if (wb_group_committed(hosted->group) == wb_group_sequence(hosted->group))
             show_send(host, node, want->request, WB_WIRE_CLAIM_GRANTED, claim, "");
--- a/src/cell/cell_founding.c
+++ b/src/cell/cell_founding.c
@@ -108,7 +108,7 @@
         record->slots_unsure = TRUE;
         record->unsure_until_ms = now_ms + founding->host->options.claim_retention_ms;
     }
-    wb_log_message(WB_PART_CELL,
+    wb_log_message(WB_LOG_CELL,
                    "Cell %s is founded%s by this node at epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, founding->again ? " again" : "", (guint64)epoch);
     wb_group_found(group, record, founding->members, founding->generation, epoch, now_ms);
@@ -278,7 +278,7 @@
     members->names.names_len = founding->members->len;
     members->names.names_val = (wb_wire_name *)founding->members->pdata;
     uint64_t sequence = wb_group_propose(hosted->group, &command, wb_clock_ms());
-    wb_log_message(WB_PART_CELL, "Cell %s gets %u members%s.", hosted->name, founding->members->len,
+    wb_log_message(WB_LOG_CELL, "Cell %s gets %u members%s.", hosted->name, founding->members->len,
                    sequence == 0 ? ", but not yet" : "");
 }
 
--- a/src/cell/cell_host.c
+++ b/src/cell/cell_host.c
@@ -32,7 +32,7 @@
 static void cell_order(const wb_order_t *order, void *context) {
     hosted_cell_t *hosted = context;
     static const char *const names[] = {"fence", "load", "unload"};
-    wb_log_info(WB_PART_CELL, "Order %s %s%s%s to %s.", names[order->action],
+    wb_log_info(WB_LOG_CELL, "Order %s %s%s%s to %s.", names[order->action],
                 order->model != NULL ? order->model : "", order->adapter != NULL ? "+" : "",
                 order->adapter != NULL ? order->adapter : "", order->engine);
     wb_engine_client_order(hosted->engines, order);
@@ -94,7 +94,7 @@
     const wb_cell_host_options_t *options = &host->options;
     wb_config_t *config = wb_config_store_current(host->parts.config_store);
     g_autoptr(GPtrArray) cells = wb_config_cells(config);
-    wb_log_message(WB_PART_CELL, "Cell %s is owned here at epoch %" G_GUINT64_FORMAT ".",
+    wb_log_message(WB_LOG_CELL, "Cell %s is owned here at epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, (guint64)epoch);
     wb_engine_client_options_t engine_options = {options->engine_scheme, options->order_timeout_ms,
                                                  options->inventory_wait_ms};
@@ -121,7 +121,7 @@
 
 static void group_lost(void *context) {
     hosted_cell_t *hosted = context;
-    wb_log_message(WB_PART_CELL, "Cell %s is no longer owned here.", hosted->name);
+    wb_log_message(WB_LOG_CELL, "Cell %s is no longer owned here.", hosted->name);
     cell_claims_drop(hosted);
     wb_engine_client_free(hosted->engines);
     hosted->engines = NULL;
@@ -274,7 +274,7 @@
                               want->adapter,
                               (int)MIN(want->waiting, G_MAXINT32),
                               (int)MIN(want->running, G_MAXINT32),
-                              want->tightest_deadline_ms};
+                              want->earliest_deadline_ms};
         wb_cell_demand(hosted->cell, &demand, wb_clock_ms());
         return;
     }
@@ -365,7 +365,7 @@
         done = FALSE;
     }
     if (!done && now_ms - host->leaving_since_ms > HAND_OVER_LIMIT_MS) {
-        wb_log_warning(WB_PART_CELL, "Nobody takes over the cells of this node.");
+        wb_log_warning(WB_LOG_CELL, "Nobody takes over the cells of this node.");
         return TRUE;
     }
     return done;
--- a/src/cell/record.c
+++ b/src/cell/record.c
@@ -266,7 +266,7 @@
     if (claim->digest != want->digest)
         return WB_CLAIM_MISMATCH;
     if (strcmp(claim->stream, want->stream) == 0)
-        return WB_CLAIM_ASKED_AGAIN;
+        return WB_CLAIM_REPEATED;
     if (claim->done)
         return WB_CLAIM_DONE;
     if (want->retry_of != 0 && want->retry_of == claim->attempt)
--- a/src/config/config_apply.c
+++ b/src/config/config_apply.c
@@ -52,7 +52,7 @@
     (void)body;
     (void)context;
     if (status != WB_PLATFORM_DONE)
-        wb_log_info(WB_PART_CONFIG, "The snapshot's row was not written; the changes stay.");
+        wb_log_info(WB_LOG_CONFIG, "The snapshot's row was not written; the changes stay.");
 }
 
 typedef struct snapshot_write_t {
--- a/src/config/config_catch_up.c
+++ b/src/config/config_catch_up.c
@@ -78,7 +78,7 @@
         return;
     }
     if (!store->ready)
-        wb_log_message(WB_PART_CONFIG, "The table service has no newer configuration than ours.");
+        wb_log_message(WB_LOG_CONFIG, "The table service has no newer configuration than ours.");
     store->ready = TRUE;
     poll_schedule(store, TRUE);
 }
--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -36,13 +36,13 @@
     if (version <= store->current->version)
         return FALSE;
     if (wb_config_parse(objects, version, &config, NULL, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_CONFIG, "Version %" G_GUINT64_FORMAT " can't be read: %s.",
+        wb_log_warning(WB_LOG_CONFIG, "Version %" G_GUINT64_FORMAT " can't be read: %s.",
                        (guint64)version, error.message);
         return FALSE;
     }
     wb_config_unref(store->current);
     store->current = config;
-    wb_log_info(WB_PART_CONFIG, "Version %" G_GUINT64_FORMAT " is in force.", (guint64)version);
+    wb_log_info(WB_LOG_CONFIG, "Version %" G_GUINT64_FORMAT " is in force.", (guint64)version);
     store->events.on_config(config, store->events.context);
     return TRUE;
 }
@@ -132,7 +132,7 @@
     return TRUE;
 }
 
-void wb_config_store_heard(wb_config_store_t *store, const char *node, uint64_t version) {
+void wb_config_store_on_peer_version(wb_config_store_t *store, const char *node, uint64_t version) {
     if (version > store->current->version) {
         g_hash_table_remove_all(store->heard_same);
         fetch_ask(store, node);
@@ -144,7 +144,7 @@
     g_hash_table_replace(store->heard_same, g_strdup(node), GUINT_TO_POINTER(count));
     if (version == store->current->version && count >= HEARD_SAME_NEEDED) {
         /* The store may be away: all that neighbours know is known here as well. */
-        wb_log_message(WB_PART_CONFIG, "The configuration was learnt from other nodes.");
+        wb_log_message(WB_LOG_CONFIG, "The configuration was learnt from other nodes.");
         store->ready = TRUE;
     }
 }
--- a/src/control/engine_orders_create.c
+++ b/src/control/engine_orders_create.c
@@ -23,7 +23,7 @@
         wb_timer_cancel(orders->timer);
     wb_http_peer_free(orders->peer);
     while (orders->tasks.len > 0) {
-        wb_task_free(wb_task_pop(&orders->tasks));
+        wb_engine_task_free(wb_engine_task_pop(&orders->tasks));
     }
     wb_engine_state_free(orders->state);
     wb_engine_unref(orders->engine);
--- a/src/dispatch/cold_engine_share.c
+++ b/src/dispatch/cold_engine_share.c
@@ -5,6 +5,6 @@
  * one share. Of 87 nodes some three come at a time. */
 #define USED_SHARE 0.75
 
-unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank) {
-    return wb_dealt_share((unsigned)MAX(USED_SHARE * per_s, 1), nodes, rank);
+unsigned wb_cold_engine_share(double per_s, unsigned nodes, unsigned rank) {
+    return wb_rendezvous_share((unsigned)MAX(USED_SHARE * per_s, 1), nodes, rank);
 }
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -102,7 +102,7 @@
     if (inventory != NULL && inventory->fence == call->fence && outcome == WB_ORDER_STALE)
         outcome = WB_ORDER_REFUSED; /* 409 for the order itself: it was unloading */
     if (outcome != WB_ORDER_TAKEN)
-        wb_log_info(WB_PART_ENGINE, "Engine %s did not take order %" G_GUINT64_FORMAT ": %u %s.",
+        wb_log_info(WB_LOG_ENGINE, "Engine %s did not take order %" G_GUINT64_FORMAT ": %u %s.",
                     call->engine, (guint64)call->fence, result->status, result->reason);
     if (!client->closed)
         client->events.on_order_done(call->engine, call->fence, outcome, inventory,
@@ -169,7 +169,7 @@
 static void follow_failed(follow_t *follow) {
     wb_engine_client_t *client = follow->client;
     if (++follow->failures == LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s doesn't answer.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s doesn't answer.", follow->engine);
         client->events.on_reachable(follow->engine, FALSE, client->events.context);
     }
     follow->calling = TRUE;
@@ -180,7 +180,7 @@
 static void follow_succeeded(follow_t *follow, wb_inventory_t *inventory) {
     wb_engine_client_t *client = follow->client;
     if (follow->failures >= LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s answers again.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s answers again.", follow->engine);
         client->events.on_reachable(follow->engine, TRUE, client->events.context);
     }
     follow->failures = 0;
--- a/src/gateway/want.c
+++ b/src/gateway/want.c
@@ -45,7 +45,7 @@
     want->adapter = target->adapter;
     want->waiting = wb_fair_queue_length(target->queue);
     want->running = (u_int)target->running;
-    want->tightest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
+    want->earliest_deadline_ms = deadline_ms > 0 ? (u_int)MAX(deadline_ms - now_ms, 1) : 0;
     target->wanted_ms = now_ms;
     target->wanted_waiting = (int)want->waiting;
     target->wanted_running = target->running;
--- a/src/http/http_listener.c
+++ b/src/http/http_listener.c
@@ -286,8 +286,8 @@
     (void)how;
     wb_http_connection_t *connection = context;
     wb_http_listener_t *listener = connection->listener;
-    if (connection->running && listener->handler.on_gone != NULL)
-        listener->handler.on_gone(connection, connection->request, listener->handler.context);
+    if (connection->running && listener->handler.on_client_closed != NULL)
+        listener->handler.on_client_closed(connection, connection->request, listener->handler.context);
     wb_tcp_stream_close(stream);
     connection_free(connection);
 }
@@ -374,7 +374,7 @@
     listener->listener = NULL;
 }
 
-void wb_http_listener_close_resting(wb_http_listener_t *listener) {
+void wb_http_listener_close_idle(wb_http_listener_t *listener) {
     g_autoptr(GList) connections = g_hash_table_get_keys(listener->connections);
     for (GList *item = connections; item != NULL; item = item->next) {
         wb_http_connection_t *connection = item->data;
--- a/src/http/http_reader.c
+++ b/src/http/http_reader.c
@@ -90,7 +90,7 @@
     return FALSE;
 }
 
-gboolean wb_http_header_is_hop(const wb_http_head_t *head, const char *name) {
+gboolean wb_http_header_is_hop_by_hop(const wb_http_head_t *head, const char *name) {
     for (size_t i = 0; i < G_N_ELEMENTS(hop_headers); i++)
         if (strcasecmp(hop_headers[i], name) == 0)
             return TRUE;
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -59,7 +59,7 @@
 static void member_learnt(wb_membership_t *membership, const char *node) {
     g_hash_table_add(membership->fresh_members, g_strdup(node));
     const wb_member_t *member = wb_member_table_find(membership->table, node);
-    wb_log_info(WB_PART_MEMBERSHIP, "Member %s is %s.", node, wb_member_state_name(member->state));
+    wb_log_info(WB_LOG_MEMBERSHIP, "Member %s is %s.", node, wb_member_state_name(member->state));
     membership->events.on_member(member, membership->events.context);
 }
 
@@ -115,7 +115,7 @@
 static void member_to_wire(const wb_member_t *member, wb_wire_member *wire) {
     wire->node = member->node;
     wire->address = member->address;
-    wire->caller_address = member->caller_address;
+    wire->client_address = member->client_address;
     wire->zone = member->zone;
     wire->incarnation = member->incarnation;
     wire->state = member->state;
@@ -210,7 +210,7 @@
         const wb_wire_member *wire = &gossip->members.members_val[i];
         if (wire->state > WB_MEMBER_GONE)
             continue;
-        wb_member_t update = {wire->node, wire->address,     wire->caller_address,
+        wb_member_t update = {wire->node, wire->address,     wire->client_address,
                               wire->zone, wire->incarnation, (wb_member_state_t)wire->state,
                               0};
         member_merge(membership, &update);
@@ -295,7 +295,7 @@
     int64_t now_ms = wb_clock_ms();
     for (guint i = 0; i < overlay->len; i++) {
         const char *node = overlay->pdata[i];
-        int64_t silence_ms = now_ms - wb_peers_heard_ms(membership->peers, node);
+        int64_t silence_ms = now_ms - wb_peers_last_received_ms(membership->peers, node);
         if (silence_ms <= membership->suspect_after_ms)
             continue;
         member_set_state(membership, node, WB_MEMBER_SUSPECT);
@@ -396,7 +396,7 @@
             g_ptr_array_add(membership->seeds, g_strdup(*seed));
     membership->self.node = g_strdup(options->node);
     membership->self.address = g_strdup(options->address);
-    membership->self.caller_address = g_strdup(options->caller_address);
+    membership->self.client_address = g_strdup(options->client_address);
     membership->self.zone = g_strdup(options->zone);
     membership->self.incarnation = 1;
     membership->interval_ms = options->heartbeat_interval_ms;
@@ -422,7 +422,7 @@
     g_ptr_array_unref(membership->seeds);
     g_free(membership->self.node);
     g_free(membership->self.address);
-    g_free(membership->self.caller_address);
+    g_free(membership->self.client_address);
     g_free(membership->self.zone);
     g_free(membership);
 }
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -80,7 +80,7 @@
 static gboolean greeting_take(wb_peer_t *peer, const wb_wire_hello *hello) {
     wb_peers_t *peers = peer->peers;
     if (strcmp(hello->cluster, peers->cluster) != 0) {
-        wb_log_warning(WB_PART_LINK, "A node of cluster %s was turned away.", hello->cluster);
+        wb_log_warning(WB_LOG_LINK, "A node of cluster %s was turned away.", hello->cluster);
         return FALSE;
     }
     if (strcmp(hello->node, peers->node) == 0)
@@ -158,7 +158,7 @@
     wb_error_t error;
     if (wb_link_connect(peers->loop, address, &events, &peers->counters, &link, &error) !=
         APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "No link: %s.", error.message);
+        wb_log_warning(WB_LOG_LINK, "No link: %s.", error.message);
         return NULL;
     }
     wb_peer_t *peer = peer_create(peers, link, node, address);
@@ -263,7 +263,7 @@
     return nodes;
 }
 
-int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node) {
+int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node) {
     int64_t heard_ms = 0;
     for (guint i = 0; i < peers->all->len; i++) {
         const wb_peer_t *peer = peers->all->pdata[i];
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -287,7 +287,7 @@
 static void connect_timed_out(void *context) {
     wb_tcp_stream_t *stream = context;
     stream->timer = NULL;
-    stream_end(stream, WB_TCP_END_UNREACHED);
+    stream_end(stream, WB_TCP_END_UNREACHABLE);
 }
 
 static void connect_ready(int16_t events, void *context) {
@@ -296,7 +296,7 @@
     int failure = wb_socket_connect_failure(stream->socket, events);
     if (failure != 0) {
         gboolean refused = stream->refused || failure == ECONNREFUSED;
-        stream_end(stream, refused ? WB_TCP_END_REFUSED : WB_TCP_END_UNREACHED);
+        stream_end(stream, refused ? WB_TCP_END_REFUSED : WB_TCP_END_UNREACHABLE);
         return;
     }
     wb_watch_remove(stream->watch);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -34,7 +34,7 @@
         wb_cell_host_message(node->cell_host, from, message) ||
         wb_gateway_message(node->gateway, from, message))
         return;
-    wb_log_info(WB_PART_NODE, "A %s message from %s was not expected.",
+    wb_log_info(WB_LOG_NODE, "A %s message from %s was not expected.",
                 wb_message_kind_name(message->kind), from);
 }
 
@@ -88,7 +88,7 @@
 }
 
 static void peer_down(const char *name, const char *reason, void *context) {
-    wb_log_info(WB_PART_LINK, "The link to %s ended: %s.", name, reason);
+    wb_log_info(WB_LOG_LINK, "The link to %s ended: %s.", name, reason);
     wb_membership_link_down(((wb_node_t *)context)->membership, name);
 }
 
@@ -109,14 +109,14 @@
 
 static void owner_changed(const char *cell, const char *owner, uint64_t epoch, void *context) {
     (void)context;
-    wb_log_info(WB_PART_CELL, "Cell %s is owned by %s at epoch %" G_GUINT64_FORMAT ".", cell, owner,
+    wb_log_info(WB_LOG_CELL, "Cell %s is owned by %s at epoch %" G_GUINT64_FORMAT ".", cell, owner,
                 (guint64)epoch);
 }
 
 static void config_version_heard(const char *name, uint64_t version, void *context) {
     wb_node_t *node = context;
     if (node->config_store != NULL)
-        wb_config_store_heard(node->config_store, name, version);
+        wb_config_store_on_peer_version(node->config_store, name, version);
 }
 
 static void config_changed(wb_config_t *config, void *context) {
@@ -255,7 +255,7 @@
 
 void wb_node_drain(wb_node_t *node) {
     if (!node->draining)
-        wb_log_message(WB_PART_NODE, "This node stops: it finishes what is open.");
+        wb_log_message(WB_LOG_NODE, "This node stops: it finishes what is open.");
     node->draining = TRUE;
     wb_gateway_drain(node->gateway);
     wb_cell_host_hand_over(node->cell_host);
--- a/src/node/operators.c
+++ b/src/node/operators.c
@@ -45,7 +45,7 @@
         const wb_member_t *member = list->pdata[i];
         json_array_append_new(members, json_pack("{s:s, s:s, s:s, s:s, s:s}", "node", member->node,
                                                  "address", member->address, "callers",
-                                                 member->caller_address, "zone", member->zone,
+                                                 member->client_address, "zone", member->zone,
                                                  "state", wb_member_state_name(member->state)));
     }
     return members;
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -21,7 +21,7 @@
 struct wb_wire_member {
     wb_wire_name node;
     wb_wire_name address;
-    wb_wire_name caller_address;
+    wb_wire_name client_address;
     wb_wire_name zone;
     unsigned hyper incarnation;
     unsigned int state;
@@ -180,7 +180,7 @@
     wb_wire_name adapter;
     unsigned int waiting;
     unsigned int running;
-    unsigned int tightest_deadline_ms; /* of what waits; 0: none */
+    unsigned int earliest_deadline_ms; /* of what waits; 0: none */
 };
 
 struct wb_wire_replica {
@@ -335,7 +335,7 @@
 };
 
 /* What the placement controller reads in the store, so that gateways need not ask. */
-struct wb_wire_store_news {
+struct wb_wire_store_update {
     wb_wire_table_view views<8>;
     wb_wire_lease lease;
     unsigned hyper lease_version;
@@ -400,7 +400,7 @@
 };
 
 /* Engines of a service that hold a model, or any of them. */
-struct wb_wire_engine_want {
+struct wb_wire_engine_selector {
     wb_wire_name service;
     wb_wire_name model; /* empty: any engine of the service */
 };
@@ -412,17 +412,17 @@
 
 /* A gateway that doesn't read the table of engines asks a node that does. Added to what it asked on
  * this link before. */
-struct wb_wire_engines_want {
+struct wb_wire_engine_subscribe {
     wb_wire_name zone; /* of the gateway */
-    wb_wire_engine_want wants<WB_WIRE_LIST_MAX>;
+    wb_wire_engine_selector wants<WB_WIRE_LIST_MAX>;
     wb_wire_known_row known<WB_WIRE_LIST_MAX>; /* rows whose changes it needs, too */
 };
 
 /* The answer, later changes of rows that were told, and each half second that there are none. */
-struct wb_wire_engines_show {
+struct wb_wire_engine_update {
     bool whole;          /* the sender has read the table */
     unsigned int age_ms; /* since it was last sure to know the newest rows */
-    wb_wire_engine_want answered<WB_WIRE_LIST_MAX>;
+    wb_wire_engine_selector answered<WB_WIRE_LIST_MAX>;
     wb_wire_table_row rows<WB_WIRE_LIST_MAX>;
     wb_wire_placement_entry holds<WB_WIRE_LIST_MAX>; /* what rows don't show yet */
 };
@@ -453,21 +453,21 @@
 /* How messages between nodes are formed, told in a hello's incarnation by edge nodes. Form 1 is the
  * message alone; form 2 lets parts follow it. docs/COMPATIBILITY.md tells what a release may
  * change. */
-const WB_WIRE_FORM = 2;
+const WB_WIRE_FORMAT_VERSION = 2;
 
 /* What was added to a message or a row later: a reader passes over kinds that it doesn't know. */
-enum wb_wire_part_kind {
-    WB_WIRE_PART_STARTS = 1, /* wb_wire_starts */
-    WB_WIRE_PART_WRITER = 2  /* wb_wire_writer */
+enum wb_wire_extension_kind {
+    WB_WIRE_EXTENSION_STARTS = 1, /* wb_wire_starts */
+    WB_WIRE_EXTENSION_WRITER = 2  /* wb_wire_writer */
 };
 
-struct wb_wire_part {
-    unsigned int kind; /* wb_wire_part_kind */
+struct wb_wire_extension {
+    unsigned int kind; /* wb_wire_extension_kind */
     opaque value<WB_WIRE_TEXT_MAX>;
 };
 
-struct wb_wire_parts {
-    wb_wire_part parts<64>;
+struct wb_wire_extensions {
+    wb_wire_extension parts<64>;
 };
 
 /* When the engines that a message's entries name started, one by one; 0: not known. */
@@ -477,7 +477,7 @@
 
 /* Who wrote a row. */
 struct wb_wire_writer {
-    unsigned int form; /* WB_WIRE_FORM of its build */
+    unsigned int form; /* WB_WIRE_FORMAT_VERSION of its build */
 };
 
 enum wb_wire_kind {
@@ -500,13 +500,13 @@
     WB_WIRE_GROUP_HAND_OVER = 17,
     WB_WIRE_DEMAND = 18,
     WB_WIRE_PLACEMENT = 19,
-    WB_WIRE_STORE_NEWS = 20,
+    WB_WIRE_STORE_UPDATE = 20,
     WB_WIRE_LOAD_PLAN = 21,
     WB_WIRE_QUOTA = 22,
     WB_WIRE_POISON = 23,
     WB_WIRE_ENGINE_LOADS = 24,
-    WB_WIRE_ENGINES_WANT = 25, /* from here on: only to readers of form 2 */
-    WB_WIRE_ENGINES_SHOW = 26,
+    WB_WIRE_ENGINE_SUBSCRIBE = 25, /* from here on: only to readers of form 2 */
+    WB_WIRE_ENGINE_UPDATE = 26,
     WB_WIRE_ENGINE_STATES = 27
 };
 
@@ -549,8 +549,8 @@
     wb_wire_demand demand;
 case WB_WIRE_PLACEMENT:
     wb_wire_placement placement;
-case WB_WIRE_STORE_NEWS:
-    wb_wire_store_news store_news;
+case WB_WIRE_STORE_UPDATE:
+    wb_wire_store_update store_update;
 case WB_WIRE_LOAD_PLAN:
     wb_wire_load_plan load_plan;
 case WB_WIRE_QUOTA:
@@ -559,10 +559,10 @@
     wb_wire_poison poison;
 case WB_WIRE_ENGINE_LOADS:
     wb_wire_engine_loads engine_loads;
-case WB_WIRE_ENGINES_WANT:
-    wb_wire_engines_want engines_want;
-case WB_WIRE_ENGINES_SHOW:
-    wb_wire_engines_show engines_show;
+case WB_WIRE_ENGINE_SUBSCRIBE:
+    wb_wire_engine_subscribe engine_subscribe;
+case WB_WIRE_ENGINE_UPDATE:
+    wb_wire_engine_update engine_update;
 case WB_WIRE_ENGINE_STATES:
     wb_wire_engine_states engine_states;
 };
--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -31,7 +31,7 @@
     char *id;
     char *address;
     wb_engine_end_t state;
-    GArray *requests; /* of wb_broken_request_t, not yet told */
+    GArray *requests; /* of wb_aborted_request_t, not yet told */
     wb_timer_t *timer;
     wb_tcp_stream_t *stream;
     int64_t since_ms; /* when the last check was planned */
@@ -91,7 +91,7 @@
     wb_event("engine-crashed", ",\"engine\":\"%s\",\"shown_by\":\"%s\",\"requests\":%u",
              wb_event_text(engine->id), shown_by, engine->requests->len);
     g_autoptr(GArray) requests = engine->requests;
-    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_broken_request_t));
+    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_aborted_request_t));
     engine->watch->events.on_crashed(engine->id, requests, engine->watch->events.context);
 }
 
@@ -149,14 +149,14 @@
     engine->watch = watch;
     engine->id = g_strdup(id);
     engine->address = g_strdup(address);
-    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_broken_request_t));
+    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_aborted_request_t));
     check_plan(engine);
     g_hash_table_insert(watch->engines, engine->id, engine);
     return engine;
 }
 
-void wb_crash_watch_broken(wb_crash_watch_t *watch, const char *engine_id, const char *address,
-                           const wb_broken_request_t *request) {
+void wb_crash_watch_note_aborted(wb_crash_watch_t *watch, const char *engine_id, const char *address,
+                           const wb_aborted_request_t *request) {
     wb_broken_engine_t *engine = g_hash_table_lookup(watch->engines, engine_id);
     if (engine == NULL) {
         engine = engine_begin(watch, engine_id, address);
@@ -179,7 +179,7 @@
     }
 }
 
-void wb_crash_watch_row_gone(wb_crash_watch_t *watch, const char *engine_id) {
+void wb_crash_watch_row_removed(wb_crash_watch_t *watch, const char *engine_id) {
     wb_broken_engine_t *engine = g_hash_table_lookup(watch->engines, engine_id);
     if (engine != NULL) {
         engine_ended(engine, "row");
--- a/src/request/exchange_budget.c
+++ b/src/request/exchange_budget.c
@@ -18,12 +18,12 @@
  * know what the one before it has spent, nor whether all others count it yet: until that is over it
  * has the ratio of its own requests alone. */
 static double slack_share(const wb_edge_t *edge, int64_t now_ms) {
-    return wb_equal_share_part(edge->share, edge->settings.retry_slack,
+    return wb_equal_share_amount(edge->share, edge->settings.retry_slack,
                                wb_edge_retry_window_ms(edge), now_ms);
 }
 
 void wb_exchange_count_request(const wb_exchange_t *exchange) {
-    wb_retry_budget_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
+    wb_retry_budget_note_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
 }
 
 double wb_exchange_resends_left(const wb_exchange_t *exchange) {
--- a/tests/edge/test_control.c
+++ b/tests/edge/test_control.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /* Two orders that an engine got one after the other: tokens never fall, and two holders are
- * `quiet_ms` apart. */
-static void assert_in_turn(const json_t *before, const json_t *after, int64_t quiet_ms) {
+ * `handover_interval_ms` apart. */
+static void assert_in_turn(const json_t *before, const json_t *after, int64_t handover_interval_ms) {
     int64_t gap_ms = json_integer_value(json_object_get(after, "at_ms")) -
                      json_integer_value(json_object_get(before, "at_ms"));
     int64_t rise = json_integer_value(json_object_get(after, "token")) -
@@ -16,12 +16,12 @@
     g_assert_cmpint(rise, >=, 0);
     if (!same) {
         g_assert_cmpint(rise, >, 0);
-        g_assert_cmpint(gap_ms, >=, quiet_ms);
+        g_assert_cmpint(gap_ms, >=, handover_interval_ms);
     }
 }
 
 /* No engine is ordered by two controllers within the quiet time. */
-static void assert_one_controller(const estate_t *estate, int64_t quiet_ms) {
+static void assert_one_controller(const estate_t *estate, int64_t handover_interval_ms) {
     json_t *seen = estate_seen(estate);
     const json_t *orders = json_object_get(seen, "orders");
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
@@ -31,7 +31,7 @@
         g_assert_nonnull(engine);
         const json_t *before = g_hash_table_lookup(last, engine);
         if (before != NULL) {
-            assert_in_turn(before, order, quiet_ms);
+            assert_in_turn(before, order, handover_interval_ms);
         }
         g_hash_table_insert(last, (gpointer)engine, order);
     }
--- a/tests/edge/test_told.c
+++ b/tests/edge/test_told.c
@@ -149,9 +149,9 @@
 
 /* Checks an engine that has named a limit; @return how much it got in its fullest window */
 static unsigned limit_check(const callers_t *callers, const char *engine, double per_s,
-                            int64_t named_ms) {
+                            int64_t limit_reported_ms) {
     limit_oracle_t *oracle = limit_oracle_create(per_s, CONTACT_MS);
-    limit_oracle_named(oracle, named_ms);
+    limit_oracle_named(oracle, limit_reported_ms);
     for (guint i = 0; i < callers->answers->len; i++) {
         const seen_answer_t *seen = &g_array_index(callers->answers, seen_answer_t, i);
         if (seen->limited && strcmp(seen->engine, engine) == 0) {
@@ -171,13 +171,13 @@
     g_usleep(SHARES_MS * 1000);
     callers_t *callers = callers_start(estate);
     g_usleep(500000);
-    int64_t named_ms = harness_now_ms();
+    int64_t limit_reported_ms = harness_now_ms();
     state_lines(estate, "lock-1", lines);
     state_lines(estate, "lock-2", lines);
     g_usleep(13000000);
     callers_join(callers);
-    unsigned arrivals = limit_check(callers, "lock-1", per_s, named_ms) +
-                        limit_check(callers, "lock-2", per_s, named_ms);
+    unsigned arrivals = limit_check(callers, "lock-1", per_s, limit_reported_ms) +
+                        limit_check(callers, "lock-2", per_s, limit_reported_ms);
     /* What an engine takes is there to be used. */
     g_assert_cmpfloat(arrivals, >=, per_s * 4);
     callers_free(callers);
--- a/tests/harness/limit_oracle.c
+++ b/tests/harness/limit_oracle.c
@@ -15,7 +15,7 @@
 struct limit_oracle_t {
     double per_s;
     int64_t contact_ms;
-    int64_t named_ms;            /* G_MAXINT64: it hasn't named one */
+    int64_t limit_reported_ms;            /* G_MAXINT64: it hasn't named one */
     int64_t told_ms[NODES_MOST]; /* when each node passed it on; G_MAXINT64: it hasn't */
     GArray *arrivals;            /* of arrival_t */
 };
@@ -24,7 +24,7 @@
     limit_oracle_t *oracle = g_new0(limit_oracle_t, 1);
     oracle->per_s = per_s;
     oracle->contact_ms = contact_ms;
-    oracle->named_ms = G_MAXINT64;
+    oracle->limit_reported_ms = G_MAXINT64;
     for (int i = 0; i < NODES_MOST; i++) {
         oracle->told_ms[i] = G_MAXINT64;
     }
@@ -38,7 +38,7 @@
 }
 
 void limit_oracle_named(limit_oracle_t *oracle, int64_t at_ms) {
-    oracle->named_ms = MIN(oracle->named_ms, at_ms);
+    oracle->limit_reported_ms = MIN(oracle->limit_reported_ms, at_ms);
 }
 
 void limit_oracle_passed_on(limit_oracle_t *oracle, int node, int64_t at_ms) {
@@ -60,8 +60,8 @@
 /* Whether an arrival counts against the limit. */
 static gboolean is_counted(const limit_oracle_t *oracle, const arrival_t *arrival) {
     int64_t told_ms = oracle->told_ms[arrival->node];
-    return oracle->named_ms != G_MAXINT64 && told_ms != G_MAXINT64 &&
-           arrival->at_ms >= oracle->named_ms + oracle->contact_ms &&
+    return oracle->limit_reported_ms != G_MAXINT64 && told_ms != G_MAXINT64 &&
+           arrival->at_ms >= oracle->limit_reported_ms + oracle->contact_ms &&
            arrival->at_ms >= told_ms + TOLD_BEFORE_MS;
 }
 
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -10,7 +10,7 @@
     wb_choice_request_t request = {
         .has_prompt = TRUE, .target_ms = target_ms, .waited_ms = waited_ms, .wait_scale = 1};
     wb_choice_estimate_t estimate = {.first_ms = first_ms};
-    return wb_admission_refusal_chance(&request, &estimate, priority, 4 * target_ms);
+    return wb_admission_refusal_probability(&request, &estimate, priority, 4 * target_ms);
 }
 
 static void test_by_target(void) {
@@ -31,7 +31,7 @@
     g_assert_cmpfloat(refusal_probability(800, 0, 3300, 0), ==, 1);
     wb_choice_request_t lookup = {.target_ms = 150, .wait_scale = 1};
     wb_choice_estimate_t estimate = {.first_ms = 1e6};
-    g_assert_cmpfloat(wb_admission_refusal_chance(&lookup, &estimate, 1, 600), ==, 0);
+    g_assert_cmpfloat(wb_admission_refusal_probability(&lookup, &estimate, 1, 600), ==, 0);
 }
 
 /* Overload with reports half a second old: the refusal probability doesn't oscillate between 0 and
--- a/tests/unit/test_cold_engine_share.c
+++ b/tests/unit/test_cold_engine_share.c
@@ -25,7 +25,8 @@
     gpointer id;
     g_hash_table_iter_init(&iter, nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        sum += wb_cold_share(per_s, g_hash_table_size(nodes), wb_dealt_rank(engine, id, nodes));
+        sum += wb_cold_engine_share(per_s, g_hash_table_size(nodes),
+                                    wb_rendezvous_rank(engine, id, nodes));
     }
     return sum;
 }
@@ -45,9 +46,10 @@
 
 /* A node without a share sends nothing. */
 static void test_no_part(void) {
-    wb_send_gate_t limiter = {NULL};
-    g_assert_cmpuint(wb_cold_share(CAPACITY_PER_S, 0, 0), ==, 0);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 1000), ==, G_MAXINT64);
+    wb_send_limiter_t limiter = {NULL};
+    g_assert_cmpuint(wb_cold_engine_share(CAPACITY_PER_S, 0, 0), ==, 0);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 1000), ==,
+                    G_MAXINT64);
 }
 
 /* Shares of engines and of their incarnations fall to different nodes. */
@@ -56,7 +58,8 @@
     unsigned shares = 0;
     for (unsigned i = 0; i < 200; i++) {
         g_autofree char *engine = g_strdup_printf("e%u@%u", i / 2, i % 2);
-        shares += wb_cold_share(CAPACITY_PER_S, 87, wb_dealt_rank(engine, "edge-3", nodes));
+        shares +=
+            wb_cold_engine_share(CAPACITY_PER_S, 87, wb_rendezvous_rank(engine, "edge-3", nodes));
     }
     g_assert_cmpuint(shares, >, 10); /* 11 of 87 of them, 25 on average */
     g_assert_cmpuint(shares, <, 50);
@@ -69,7 +72,7 @@
     unsigned sum = sum_shares("e1@5", known, CAPACITY_PER_S);
     for (unsigned i = 87; i < 90; i++) {
         g_autofree char *id = g_strdup_printf("edge-%u", i);
-        sum += wb_cold_share(CAPACITY_PER_S, 90, wb_dealt_rank("e1@5", id, with_new));
+        sum += wb_cold_engine_share(CAPACITY_PER_S, 90, wb_rendezvous_rank("e1@5", id, with_new));
     }
     g_assert_cmpuint(sum, <=, (unsigned)CAPACITY_PER_S);
 }
@@ -79,17 +82,18 @@
 static void test_storm(void) {
     enum { NODES = 87, STEPS = 500, STEP_MS = 10 };
     g_autoptr(GHashTable) nodes = nodes_create(NODES);
-    static wb_send_gate_t limiters[NODES];
+    static wb_send_limiter_t limiters[NODES];
     unsigned sent[STEPS] = {0};
     unsigned total = 0;
     for (unsigned step = 0; step < STEPS; step++) {
         int64_t now_ms = 1000 + (int64_t)step * STEP_MS;
         for (unsigned i = 0; i < NODES; i++) {
             g_autofree char *id = g_strdup_printf("edge-%u", i);
-            unsigned share = wb_cold_share(CAPACITY_PER_S, NODES, wb_dealt_rank("e1@5", id, nodes));
-            if (wb_send_gate_opens_ms(&limiters[i], share, WB_COLD_WINDOW_MS, 0, now_ms) ==
+            unsigned share =
+                wb_cold_engine_share(CAPACITY_PER_S, NODES, wb_rendezvous_rank("e1@5", id, nodes));
+            if (wb_send_limiter_next_ms(&limiters[i], share, WB_COLD_WINDOW_MS, 0, now_ms) ==
                 now_ms) {
-                wb_send_gate_note(&limiters[i], WB_COLD_WINDOW_MS, now_ms);
+                wb_send_limiter_record(&limiters[i], WB_COLD_WINDOW_MS, now_ms);
                 sent[step]++;
                 total++;
             }
@@ -104,26 +108,27 @@
     }
     g_assert_cmpuint(total, >=, 50); /* 11 each 1.1 s */
     for (unsigned i = 0; i < NODES; i++) {
-        wb_send_gate_clear(&limiters[i]);
+        wb_send_limiter_clear(&limiters[i]);
     }
 }
 
 static void test_gate(void) {
-    wb_send_gate_t limiter = {0};
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 500), ==, G_MAXINT64);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
-    wb_send_gate_note(&limiter, WB_COLD_WINDOW_MS, 500);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
-    wb_send_gate_note(&limiter, WB_COLD_WINDOW_MS, 600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
+    wb_send_limiter_t limiter = {0};
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 0, WB_COLD_WINDOW_MS, 0, 500), ==,
+                    G_MAXINT64);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
+    wb_send_limiter_record(&limiter, WB_COLD_WINDOW_MS, 500);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
+    wb_send_limiter_record(&limiter, WB_COLD_WINDOW_MS, 600);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
     /* A request behind others that wait gets a time after theirs. */
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
-    g_assert_cmpint(wb_send_gate_opens_ms(&limiter, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
-    wb_send_gate_clear(&limiter);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
+    g_assert_cmpint(wb_send_limiter_next_ms(&limiter, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
+    wb_send_limiter_clear(&limiter);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_crash_watch.c
+++ b/tests/unit/test_crash_watch.c
@@ -62,8 +62,8 @@
 }
 
 static void abort_request(fixture_t *fixture, const char *engine, guint8 digest) {
-    wb_broken_request_t request = {{{digest}}, 5};
-    wb_crash_watch_broken(fixture->watch, engine, fixture->address, &request);
+    wb_aborted_request_t request = {{{digest}}, 5};
+    wb_crash_watch_note_aborted(fixture->watch, engine, fixture->address, &request);
 }
 
 static void fixture_free(fixture_t *fixture) {
@@ -124,9 +124,9 @@
 static void test_row_goes(void) {
     fixture_t *fixture = fixture_create(TRUE);
     abort_request(fixture, "e1", 1);
-    wb_crash_watch_row_gone(fixture->watch, "e9"); /* aborted nothing here */
+    wb_crash_watch_row_removed(fixture->watch, "e9"); /* aborted nothing here */
     g_assert_cmpuint(fixture->calls, ==, 0);
-    wb_crash_watch_row_gone(fixture->watch, "e1"); /* while the check is pending */
+    wb_crash_watch_row_removed(fixture->watch, "e1"); /* while the check is pending */
     g_assert_cmpuint(fixture->calls, ==, 1);
     fixture_run(fixture);
     g_assert_cmpuint(fixture->calls, ==, 1);
@@ -139,7 +139,7 @@
     abort_request(fixture, "e1", 1);
     fixture_run(fixture);
     wb_crash_watch_sweep(fixture->watch, wb_clock_ms() + 60000);
-    wb_crash_watch_row_gone(fixture->watch, "e1");
+    wb_crash_watch_row_removed(fixture->watch, "e1");
     g_assert_cmpuint(fixture->calls, ==, 0);
     fixture_free(fixture);
 }
--- a/tests/unit/test_exchange_wait.c
+++ b/tests/unit/test_exchange_wait.c
@@ -34,9 +34,9 @@
     edge->fleet = wb_fleet_create();
     edge->demand = wb_demand_create();
     edge->expected = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    edge->on_need = ignore_pending_demand;
+    edge->on_pending_demand = ignore_pending_demand;
     edge->controller_view = get_controller_view;
-    edge->need_context = fixture;
+    edge->node_context = fixture;
     wb_list_init(&edge->waiting);
     fixture->catalog = wb_catalog_create(1);
     wb_service_t *service = wb_catalog_add_service(fixture->catalog, "llm");
@@ -62,7 +62,7 @@
     exchange->adapter = g_strdup(adapter);
     exchange->tried = g_array_new(FALSE, FALSE, sizeof(wb_tried_engine_t));
     exchange->began_ms = wb_clock_ms();
-    exchange->hold_until_ms = exchange->began_ms + 20000;
+    exchange->answer_due_ms = exchange->began_ms + 20000;
     fixture->exchange = exchange;
 }
 
@@ -75,33 +75,33 @@
 static void test_model_that_comes_too_late(void) {
     fixture_t fixture;
     fixture_init(&fixture, "m2", "");
-    wb_exchanges_expect(&fixture.edge, "llm", "m2", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m2", LONG_LOAD_MS);
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), >, LONG_LOAD_MS - 1000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), >, LONG_LOAD_MS - 1000);
 }
 
 /* A request that waits for an adapter isn't delayed by the load of another replica of its model. */
 static void test_adapter_does_not_wait_for_a_replica(void) {
     fixture_t fixture;
     fixture_init(&fixture, "m1", "a1");
-    wb_exchanges_expect(&fixture.edge, "llm", "m1", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m1", LONG_LOAD_MS);
     int64_t wait_ms = fixture_wait_ms(&fixture);
     g_assert_cmpint(wait_ms, >, TARGET_MS / 2);
     g_assert_cmpint(wait_ms, <, 4 * TARGET_MS);
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), <, 1000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), <, 1000);
     /* Nor when the load is reported while it waits. */
-    wb_exchanges_expect(&fixture.edge, "llm", "m1", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m1", LONG_LOAD_MS);
     g_assert_cmpint(fixture.exchange->wait_until_ms, >, wb_clock_ms());
 }
 
 static void test_nobody_decides(void) {
     fixture_t fixture;
     fixture_init(&fixture, "m2", "");
-    fixture.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 5000};
+    fixture.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 5000};
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), >=, 5500);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), >=, 5500);
     fixture_init(&fixture, "m2", "");
-    fixture.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 700};
+    fixture.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 700};
     g_assert_cmpint(fixture_wait_ms(&fixture), >=, 1200);
 }
 
@@ -113,29 +113,29 @@
     wb_model_spec_t *spec = g_hash_table_lookup(fixture.exchange->service->models, "m2");
     spec->store_load_ms = 13000;
     spec->disk_load_ms = 1000;
-    fixture.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 700};
+    fixture.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 700};
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), >=, 13700);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), >=, 13700);
     wb_engine_t *engine = wb_fleet_find(fixture.edge.fleet, "e1");
     g_hash_table_add(engine->state->on_disk, g_strdup("m2"));
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), <, 2000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), <, 2000);
 }
 
 /* Without a controller a request is refused at once, also one that waits for an adapter, unless a
  * load that was reported before ends in time. */
 static void test_controller_is_unreached(void) {
-    static const wb_controller_view_t unreachable = {WB_CONTROLLER_UNREACHED, 300};
+    static const wb_controller_view_t unreachable = {WB_CONTROLLER_UNREACHABLE, 300};
     fixture_t fixture;
     fixture_init(&fixture, "m2", "");
     fixture.view = unreachable;
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), ==, 300);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), ==, 300);
     fixture_init(&fixture, "m1", "a1");
     fixture.view = unreachable;
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
     fixture_init(&fixture, "m2", "");
     fixture.view = unreachable;
-    wb_exchanges_expect(&fixture.edge, "llm", "m2", 500);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m2", 500);
     g_assert_cmpint(fixture_wait_ms(&fixture), >=, 500);
 }
 
@@ -144,7 +144,7 @@
     fixture_t fixture;
     fixture_init(&fixture, "m2", "");
     fixture.exchange->route = NULL;
-    g_assert_cmpint(wb_exchange_come_back_ms(fixture.exchange), ==, 700);
+    g_assert_cmpint(wb_exchange_retry_after_ms(fixture.exchange), ==, 700);
 }
 
 /* Without load reports a request waits until its answer would be late. An overdue load doesn't
@@ -156,9 +156,9 @@
     int64_t wait_ms = fixture_wait_ms(&fixture);
     g_assert_cmpint(wait_ms, >=, 2250);
     g_assert_cmpint(wait_ms, <=, 2500);
-    wb_exchanges_expect(&fixture.edge, "llm", "m2", 100);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m2", 100);
     g_assert_cmpint(fixture.exchange->wait_until_ms - wb_clock_ms(), >=, wait_ms - 50);
-    wb_exchanges_expect(&fixture.edge, "llm", "m2", 4000);
+    wb_exchanges_expect_model(&fixture.edge, "llm", "m2", 4000);
     g_assert_cmpint(fixture.exchange->wait_until_ms - wb_clock_ms(), >=, 4600);
 }
 
@@ -173,8 +173,8 @@
     g_assert_cmpint(wait_ms, <=, 1100);
 }
 
-static void add_tried_engine(wb_exchange_t *exchange, const char *engine, int64_t again_ms) {
-    wb_tried_engine_t tried = {g_strdup(engine), again_ms};
+static void add_tried_engine(wb_exchange_t *exchange, const char *engine, int64_t eligible_at_ms) {
+    wb_tried_engine_t tried = {g_strdup(engine), eligible_at_ms};
     g_array_append_val(exchange->tried, tried);
 }
 
@@ -185,10 +185,10 @@
     fixture_init(&fixture, NULL, "");
     fixture.route->kind = WB_ROUTE_ONCE;
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    wb_exchange_leave_waiting(fixture.exchange);
+    wb_exchange_stop_waiting(fixture.exchange);
     add_tried_engine(fixture.exchange, "e1", 0);
     g_assert_cmpint(fixture_wait_ms(&fixture), ==, 0);
-    wb_exchange_leave_waiting(fixture.exchange);
+    wb_exchange_stop_waiting(fixture.exchange);
     add_tried_engine(fixture.exchange, "e1", wb_clock_ms() + 120);
     int64_t wait_ms = fixture_wait_ms(&fixture);
     g_assert_cmpint(wait_ms, >=, 120);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -17,24 +17,24 @@
 /* A drain begins when the row was removed, at the earliest when the table was last known. */
 static void test_gone_since_last_known(void) {
     int64_t now_ms = 100000;
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 1600, DRAIN_MS, now_ms), <, now_ms);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 1600, DRAIN_MS, now_ms), <, now_ms);
     /* After a store outage, live engines announce themselves again soon. */
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), >, now_ms + 2000);
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), <, now_ms + DRAIN_MS);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 9000, DRAIN_MS, now_ms), >, now_ms + 2000);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 9000, DRAIN_MS, now_ms), <, now_ms + DRAIN_MS);
 }
 
 static void test_gone_engine_closes(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
-    g_assert_true(wb_engine_is_open(engine, now_ms));
+    g_assert_true(wb_engine_is_usable(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 499));
-    g_assert_false(wb_engine_is_open(engine, now_ms + 500));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 499));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + 500));
     const wb_engine_t *back = announce_engine(fleet, FALSE);
     g_assert_true(back == engine);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 5000));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 5000));
 }
 
 /* An engine that announced its drain stays unusable when its row is removed. */
@@ -42,9 +42,9 @@
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = announce_engine(fleet, TRUE);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
 }
 
 /* A drain reported in a response holds for this incarnation: rows written before, or announced
@@ -54,27 +54,27 @@
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
-    g_assert_true(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
-    g_assert_false(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
-    g_assert_false(wb_engine_stays(engine));
+    g_assert_true(wb_engine_set_draining(engine, DRAIN_MS, now_ms));
+    g_assert_false(wb_engine_set_draining(engine, DRAIN_MS, now_ms));
+    g_assert_false(wb_engine_is_available(engine));
     /* It stays usable for half the drain time: other engines can't take over its work at once. */
-    g_assert_true(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2 - 1));
-    g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2 - 1));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2));
     const wb_engine_t *again = announce_engine(fleet, FALSE);
     g_assert_true(again == engine);
-    g_assert_false(wb_engine_stays(engine));
-    g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
+    g_assert_false(wb_engine_is_available(engine));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2));
     /* A reported drain isn't part of the digest that nodes compare. */
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), ==, digest);
     announce_engine(fleet, TRUE);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     /* Its row is removed for long, then announced again. */
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     wb_fleet_sweep(fleet, now_ms + 60000);
     const wb_engine_t *back = announce_engine(fleet, FALSE);
-    g_assert_false(wb_engine_stays(back));
-    g_assert_false(wb_engine_is_open(back, now_ms + 60000));
+    g_assert_false(wb_engine_is_available(back));
+    g_assert_false(wb_engine_is_usable(back, now_ms + 60000));
 }
 
 /* Placement updates of the controller override rows, but not one that is announced long after. */
@@ -82,7 +82,7 @@
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
-    wb_engine_note(engine, "m1", "", FALSE, now_ms, 100, 60000);
+    wb_engine_apply_placement(engine, "m1", "", FALSE, now_ms, 100, 60000);
     wb_engine_state_add_model(announce_engine(fleet, FALSE)->state, "m1", 1);
     /* May have been written before the update. */
     g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms()));
@@ -97,13 +97,13 @@
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
-    g_assert_false(wb_engine_has_news(engine));
+    g_assert_false(wb_engine_has_placement_updates(engine));
     g_hash_table_add(wb_engine_state_add_model(engine->state, "m1", 1)->adapters, g_strdup("a1"));
     wb_engine_state_add_model(engine->state, "m2", 1);
-    wb_engine_note(engine, "m2", "", FALSE, now_ms, 100, 60000);
-    wb_engine_note(engine, "m3", "a2", TRUE, now_ms, 100, 60000);
-    g_assert_true(wb_engine_has_news(engine));
-    g_autoptr(GHashTable) held = wb_engine_holdings(engine, now_ms);
+    wb_engine_apply_placement(engine, "m2", "", FALSE, now_ms, 100, 60000);
+    wb_engine_apply_placement(engine, "m3", "a2", TRUE, now_ms, 100, 60000);
+    g_assert_true(wb_engine_has_placement_updates(engine));
+    g_autoptr(GHashTable) held = wb_engine_held_models(engine, now_ms);
     g_assert_cmpuint(g_hash_table_size(held), ==, 3);
     g_assert_true(g_hash_table_contains(held, "m1/"));
     g_assert_true(g_hash_table_contains(held, "m1/a1"));
@@ -126,12 +126,12 @@
     wb_engine_t *updated = announce_engine(left, FALSE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
     wb_engine_t *announced = announce_engine(right, FALSE);
-    wb_engine_note(updated, "m1", "", TRUE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(updated, "m1", "", TRUE, now_ms, 1000, 60000);
     wb_engine_state_add_model(announced->state, "m1", 1);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
-    wb_engine_note(updated, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(updated, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
-    wb_engine_note(announced, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(announced, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
     announce_engine(right, TRUE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
@@ -152,18 +152,18 @@
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = announce_incarnation(fleet, 100);
-    wb_engine_limit_name(&engine->limit, 0.4, now_ms, now_ms);
-    engine->rest_until_ms = now_ms + 100000;
+    wb_engine_limit_set(&engine->limit, 0.4, now_ms, now_ms);
+    engine->backoff_until_ms = now_ms + 100000;
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     const wb_engine_t *back = announce_incarnation(fleet, 100);
     g_assert_true(back->limit.named);
     g_assert_cmpfloat(back->limit.per_s, ==, 0.4);
-    g_assert_cmpint(back->limit.named_ms, ==, now_ms);
-    g_assert_cmpint(back->rest_until_ms, ==, now_ms + 100000);
-    g_assert_true(wb_engine_stays(back));
+    g_assert_cmpint(back->limit.limit_reported_ms, ==, now_ms);
+    g_assert_cmpint(back->backoff_until_ms, ==, now_ms + 100000);
+    g_assert_true(wb_engine_is_available(back));
     /* An ended limit isn't restored. */
-    wb_engine_limit_unname(&wb_fleet_find(fleet, "e1")->limit, now_ms + 1000);
+    wb_engine_limit_end(&wb_fleet_find(fleet, "e1")->limit, now_ms + 1000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     back = announce_incarnation(fleet, 100);
@@ -171,21 +171,21 @@
     /* The next incarnation has reported nothing. */
     const wb_engine_t *later = announce_incarnation(fleet, 200);
     g_assert_false(later->limit.named);
-    g_assert_cmpint(later->rest_until_ms, ==, 0);
+    g_assert_cmpint(later->backoff_until_ms, ==, 0);
 }
 
 /* A reported drain doesn't apply to the next incarnation. */
 static void test_told_leaving_ends_with_its_start(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_tell_leaving(announce_incarnation(fleet, 100), DRAIN_MS, now_ms);
+    wb_engine_set_draining(announce_incarnation(fleet, 100), DRAIN_MS, now_ms);
     const wb_engine_t *later = announce_incarnation(fleet, 200);
-    g_assert_true(wb_engine_stays(later));
+    g_assert_true(wb_engine_is_available(later));
     wb_fleet_sweep(fleet, now_ms + 60000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     later = announce_incarnation(fleet, 200);
-    g_assert_true(wb_engine_stays(later));
+    g_assert_true(wb_engine_is_available(later));
 }
 
 /* A new incarnation holds no models and runs no requests; those sent to the previous one stay with
@@ -195,7 +195,7 @@
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *previous = wb_engine_ref(announce_incarnation(fleet, 1000));
     wb_engine_state_add_model(previous->state, "m1", 1);
-    wb_engine_note(previous, "m2", "", TRUE, now_ms, 100, 60000);
+    wb_engine_apply_placement(previous, "m2", "", TRUE, now_ms, 100, 60000);
     previous->running = 7;
     previous->failures = 3;
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
@@ -207,8 +207,8 @@
     g_assert_false(wb_engine_holds(current, "m2", "", now_ms));
     g_assert_cmpuint(current->running, ==, 0);
     g_assert_cmpuint(current->failures, ==, 0);
-    g_assert_false(wb_engine_is_open(previous, now_ms));
-    g_assert_true(wb_engine_is_open(current, now_ms));
+    g_assert_false(wb_engine_is_usable(previous, now_ms));
+    g_assert_true(wb_engine_is_usable(current, now_ms));
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), !=, digest);
     wb_engine_unref(previous);
 }
@@ -253,19 +253,19 @@
     state->zone = g_strdup("z1");
     wb_engine_state_add_model(state, "m1", 1);
     wb_engine_t *engine = wb_fleet_announce(fleet, state);
-    g_assert_cmpuint(wb_fleet_close_zone(fleet, "z1", now_ms + 1000), ==, 1);
-    g_assert_cmpuint(wb_fleet_close_zone(fleet, "nowhere", now_ms), ==, 0);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 999));
-    g_assert_false(wb_engine_is_open(engine, now_ms + 1000));
-    g_assert_false(wb_engine_stays(engine));
+    g_assert_cmpuint(wb_fleet_evacuate_zone(fleet, "z1", now_ms + 1000), ==, 1);
+    g_assert_cmpuint(wb_fleet_evacuate_zone(fleet, "nowhere", now_ms), ==, 0);
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 999));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + 1000));
+    g_assert_false(wb_engine_is_available(engine));
     g_assert_false(wb_fleet_holds(fleet, "llm", "m1", "", now_ms));
     wb_engine_state_t *other = wb_engine_state_create("e2");
     other->service = g_strdup("llm");
     other->zone = g_strdup("z1");
-    g_assert_false(wb_engine_is_open(wb_fleet_announce(fleet, other), now_ms + 1000));
-    g_assert_cmpuint(wb_fleet_open_zone(fleet, "z1"), ==, 2);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 2000));
-    g_assert_true(wb_engine_stays(engine));
+    g_assert_false(wb_engine_is_usable(wb_fleet_announce(fleet, other), now_ms + 1000));
+    g_assert_cmpuint(wb_fleet_end_evacuation(fleet, "z1"), ==, 2);
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 2000));
+    g_assert_true(wb_engine_is_available(engine));
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -42,9 +42,9 @@
     wb_lease_on_row(b, NULL, 0, 100);
     g_assert_true(lease_write(a, &store, 100));
     g_assert_false(lease_write(b, &store, 100)); /* lost the race */
-    g_assert_cmpint(wb_lease_ask_order(a, "e1", 105), ==, -1);
+    g_assert_cmpint(wb_lease_authorize_order(a, "e1", 105), ==, -1);
     g_assert_true(lease_write(a, &store, 105));
-    g_assert_cmpint(wb_lease_ask_order(a, "e1", 105), ==, 0);
+    g_assert_cmpint(wb_lease_authorize_order(a, "e1", 105), ==, 0);
     wb_lease_on_row(b, &store.row, store.version, 110);
     g_assert_true(wb_lease_is_held(a, 1504));
     g_assert_false(wb_lease_is_held(a, 1505)); /* the holder's own safety margin ends it early */
@@ -55,11 +55,11 @@
     g_assert_cmpint(taken_ms, >=, 1500 + 200);
     /* Engines that the first holder may have sent orders to are blocked for the handover interval;
      * others need only a row that grants them. */
-    g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), >=, 3000);
-    g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), <=, 3200 + 200);
-    g_assert_cmpint(wb_lease_ask_order(b, "e2", taken_ms), ==, -1);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e1", taken_ms), >=, 3000);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e1", taken_ms), <=, 3200 + 200);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e2", taken_ms), ==, -1);
     g_assert_true(lease_write(b, &store, taken_ms + 10));
-    g_assert_cmpint(wb_lease_ask_order(b, "e2", taken_ms + 10), ==, 0);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e2", taken_ms + 10), ==, 0);
     g_assert_cmpuint(wb_lease_token(b), ==, 2);
     g_assert_true(wb_lease_is_held(b, taken_ms));
     wb_lease_on_row(a, &store.row, store.version, taken_ms + 5);
@@ -77,7 +77,7 @@
     store_row_t store = {{0}, 0};
     wb_lease_on_row(a, NULL, 0, 100);
     g_assert_true(lease_write(a, &store, 100));
-    wb_lease_set_spread(b, 300, 0);
+    wb_lease_set_takeover_delay(b, 300, 0);
     wb_lease_on_row(b, &store.row, store.version, 100);
     int64_t due_ms = wb_lease_takeover_at_ms(b);
     g_assert_false(lease_write(b, &store, due_ms + 299));
@@ -96,7 +96,7 @@
     wb_lease_on_row(lease, NULL, 0, 0);
     g_assert_true(wb_lease_next_write(lease, 0, &row, &expected));
     store_row_write(&store, &row); /* written, but the answer was lost */
-    wb_lease_on_unknown(lease, 900);
+    wb_lease_on_write_unknown(lease, 900);
     g_assert_false(wb_lease_is_held(lease, 900));
     /* On the same expected version. */
     g_assert_true(wb_lease_next_write(lease, 900, &row, &expected));
@@ -130,11 +130,11 @@
     int other_attempts = 0;
     for (int64_t now_ms = 5000; now_ms < 10000; now_ms += 10) {
         if (wb_lease_next_write(holder, now_ms, &row, &expected)) {
-            wb_lease_on_unknown(holder, now_ms);
+            wb_lease_on_write_unknown(holder, now_ms);
             holder_attempts++;
         }
         if (wb_lease_next_write(other, now_ms, &row, &expected)) {
-            wb_lease_on_unknown(other, now_ms);
+            wb_lease_on_write_unknown(other, now_ms);
             other_attempts++;
         }
     }
@@ -152,7 +152,7 @@
     wb_lease_t *lease = lease_held_by_other(&settings);
     wb_lease_row_t row;
     int64_t expected;
-    wb_lease_store_back(lease, 9000);
+    wb_lease_on_store_recovered(lease, 9000);
     g_assert_false(wb_lease_next_write(lease, 9990, &row, &expected));
     g_assert_true(wb_lease_next_write(lease, 10000, &row, &expected));
     wb_lease_free(lease);
--- a/tests/unit/test_message.c
+++ b/tests/unit/test_message.c
@@ -39,38 +39,39 @@
     g_assert_cmpuint(bytes->len, ==, 0);
 }
 
-static wb_wire_parts parts_create(void) {
+static wb_wire_extensions parts_create(void) {
     static uint64_t born_ms[] = {1700000000001, 0, 1700000000003};
-    wb_wire_parts parts = {0};
+    wb_wire_extensions parts = {0};
     wb_wire_starts starts = {{3, born_ms}};
-    wb_wire_writer writer = {WB_WIRE_FORM};
-    g_assert_true(
-        wb_parts_add(&parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts));
-    g_assert_true(
-        wb_parts_add(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer));
+    wb_wire_writer writer = {WB_WIRE_FORMAT_VERSION};
+    g_assert_true(wb_extensions_add(&parts, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+                                    &starts));
+    g_assert_true(wb_extensions_add(&parts, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer,
+                                    &writer));
     return parts;
 }
 
 /* Extensions after a message are decoded; truncated or extra bytes make the message invalid. */
 static void test_parts(void) {
     wb_wire_message message = {.kind = WB_WIRE_SYNC};
-    wb_wire_parts parts = parts_create();
+    wb_wire_extensions parts = parts_create();
     g_autoptr(GByteArray) bytes = g_byte_array_new();
-    g_assert_cmpint(wb_message_encode_parts(&message, &parts, bytes, NULL), ==, APR_SUCCESS);
-    wb_parts_clear(&parts);
+    g_assert_cmpint(wb_message_encode_with_extensions(&message, &parts, bytes, NULL), ==,
+                    APR_SUCCESS);
+    wb_extensions_clear(&parts);
     wb_wire_message decoded;
-    wb_wire_parts decoded_parts;
+    wb_wire_extensions decoded_parts;
     const guchar *data = bytes->data + 4;
     guint length = bytes->len - 4;
     g_assert_cmpint(wb_message_decode_parts(data, length, &decoded, &decoded_parts, NULL), ==,
                     APR_SUCCESS);
     wb_wire_starts starts = {{0, NULL}};
-    g_assert_true(
-        wb_parts_read(&decoded_parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts));
+    g_assert_true(wb_extensions_read(&decoded_parts, WB_WIRE_EXTENSION_STARTS,
+                                     (xdrproc_t)xdr_wb_wire_starts, &starts));
     g_assert_cmpuint(starts.born_ms.born_ms_len, ==, 3);
     g_assert_cmpuint(starts.born_ms.born_ms_val[2], ==, 1700000000003);
     xdr_free((xdrproc_t)xdr_wb_wire_starts, &starts);
-    wb_parts_clear(&decoded_parts);
+    wb_extensions_clear(&decoded_parts);
     wb_message_clear(&decoded);
     for (guint cut = 5; cut < length; cut++) {
         g_assert_cmpint(wb_message_decode_parts(data, cut, &decoded, &decoded_parts, NULL), ==,
@@ -84,21 +85,21 @@
 
 /* Unknown extensions, and extra bytes of known ones, are skipped: later builds may send them. */
 static void test_parts_of_a_later_build(void) {
-    wb_wire_parts parts = parts_create();
-    wb_wire_part *unknown = &parts.parts.parts_val[0];
+    wb_wire_extensions parts = parts_create();
+    wb_wire_extension *unknown = &parts.parts.parts_val[0];
     unknown->kind = 4711;
-    wb_wire_part *longer = &parts.parts.parts_val[1];
+    wb_wire_extension *longer = &parts.parts.parts_val[1];
     longer->value.value_val = realloc(longer->value.value_val, 12);
     memset(longer->value.value_val + 4, 7, 8);
     longer->value.value_len = 12;
     wb_wire_writer writer = {0};
     wb_wire_starts starts = {{0, NULL}};
-    g_assert_false(
-        wb_parts_read(&parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts));
-    g_assert_true(
-        wb_parts_read(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer));
-    g_assert_cmpuint(writer.form, ==, WB_WIRE_FORM);
-    wb_parts_clear(&parts);
+    g_assert_false(wb_extensions_read(&parts, WB_WIRE_EXTENSION_STARTS,
+                                      (xdrproc_t)xdr_wb_wire_starts, &starts));
+    g_assert_true(wb_extensions_read(&parts, WB_WIRE_EXTENSION_WRITER,
+                                     (xdrproc_t)xdr_wb_wire_writer, &writer));
+    g_assert_cmpuint(writer.form, ==, WB_WIRE_FORMAT_VERSION);
+    wb_extensions_clear(&parts);
 }
 
 static void test_kinds_of_a_later_build(void) {
--- a/tests/unit/test_pace_aggregate.c
+++ b/tests/unit/test_pace_aggregate.c
@@ -17,50 +17,50 @@
 
 /* Reports of one engine add up; a value from a slowed moment doesn't raise its pace. */
 static void test_adds_up(void) {
-    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
+    wb_pace_aggregate_t *aggregate = wb_pace_aggregate_create(TOKEN_MS);
     wb_pace_report_t first[] = {{"e1", 55, 4000}, {"e2", 120, 0}};
     wb_pace_report_t second[] = {{"e1", 137, 2000}};
-    wb_pace_book_report(aggregate, first, 2, 1000);
-    wb_pace_book_report(aggregate, second, 1, 1000);
-    wb_pace_book_report(aggregate, second, 1, 1100);
-    g_autoptr(GArray) loads = wb_pace_book_changes(aggregate, 100, 1100);
+    wb_pace_aggregate_report(aggregate, first, 2, 1000);
+    wb_pace_aggregate_report(aggregate, second, 1, 1000);
+    wb_pace_aggregate_report(aggregate, second, 1, 1100);
+    g_autoptr(GArray) loads = wb_pace_aggregate_changes(aggregate, 100, 1100);
     g_assert_cmpuint(loads->len, ==, 2);
     const wb_engine_load_t *load = load_find(loads, "e1");
     g_assert_cmpuint(load->pace_percent, ==, 55);
     g_assert_cmpuint(load->tokens_per_s, >, 1500);
     g_assert_cmpuint(load_find(loads, "e2")->pace_percent, ==, 120);
-    g_assert_cmpuint(wb_pace_book_pace(aggregate, "e1", 1100), ==, 55);
-    g_assert_cmpuint(wb_pace_book_pace(aggregate, "e9", 1100), ==, 0);
-    wb_pace_book_free(aggregate);
+    g_assert_cmpuint(wb_pace_aggregate_pace(aggregate, "e1", 1100), ==, 55);
+    g_assert_cmpuint(wb_pace_aggregate_pace(aggregate, "e9", 1100), ==, 0);
+    wb_pace_aggregate_free(aggregate);
 }
 
 /* Load that ends decays, and an engine without reports is removed. */
 static void test_ends(void) {
-    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
+    wb_pace_aggregate_t *aggregate = wb_pace_aggregate_create(TOKEN_MS);
     wb_pace_report_t report = {"e1", 100, 50000};
-    wb_pace_book_report(aggregate, &report, 1, 1000);
-    g_autoptr(GArray) initial = wb_pace_book_changes(aggregate, 100, 1000);
+    wb_pace_aggregate_report(aggregate, &report, 1, 1000);
+    g_autoptr(GArray) initial = wb_pace_aggregate_changes(aggregate, 100, 1000);
     g_assert_cmpuint(load_find(initial, "e1")->tokens_per_s, ==, 10000);
-    g_autoptr(GArray) decayed = wb_pace_book_changes(aggregate, 100, 31000);
+    g_autoptr(GArray) decayed = wb_pace_aggregate_changes(aggregate, 100, 31000);
     g_assert_cmpuint(load_find(decayed, "e1")->tokens_per_s, <, 100);
-    wb_pace_book_sweep(aggregate, 200000);
-    g_autoptr(GArray) snapshot = wb_pace_book_told(aggregate);
+    wb_pace_aggregate_sweep(aggregate, 200000);
+    g_autoptr(GArray) snapshot = wb_pace_aggregate_snapshot(aggregate);
     g_assert_cmpuint(snapshot->len, ==, 0);
-    wb_pace_book_free(aggregate);
+    wb_pace_aggregate_free(aggregate);
 }
 
 /* 1,000 engines change at once: messages stay bounded, the largest change goes first, and every
  * change is sent once. */
 static void test_bounded(void) {
-    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
+    wb_pace_aggregate_t *aggregate = wb_pace_aggregate_create(TOKEN_MS);
     for (unsigned i = 0; i < 1000; i++) {
         g_autofree char *id = g_strdup_printf("e%u", i);
         wb_pace_report_t report = {id, 100, i % 50 * 10000};
-        wb_pace_book_report(aggregate, &report, 1, 1000);
+        wb_pace_aggregate_report(aggregate, &report, 1, 1000);
     }
     unsigned sent = 0;
     for (unsigned round = 0; round < 20; round++) {
-        g_autoptr(GArray) loads = wb_pace_book_changes(aggregate, 70, 1000);
+        g_autoptr(GArray) loads = wb_pace_aggregate_changes(aggregate, 70, 1000);
         g_assert_cmpuint(loads->len, <=, 70);
         sent += loads->len;
         if (round == 0) {
@@ -68,34 +68,34 @@
         }
     }
     g_assert_cmpuint(sent, ==, 1000);
-    wb_pace_book_tell_all(aggregate);
-    g_autoptr(GArray) resent = wb_pace_book_changes(aggregate, 5000, 1000);
+    wb_pace_aggregate_resend_all(aggregate);
+    g_autoptr(GArray) resent = wb_pace_aggregate_changes(aggregate, 5000, 1000);
     g_assert_cmpuint(resent->len, ==, 1000);
-    wb_pace_book_free(aggregate);
+    wb_pace_aggregate_free(aggregate);
 }
 
 /* Tokens that arrive faster than the engine prefills them add to its backlog, which shrinks when
  * fewer arrive. */
 static void test_backlog(void) {
-    wb_pace_book_t *aggregate = wb_pace_book_create(TOKEN_MS);
+    wb_pace_aggregate_t *aggregate = wb_pace_aggregate_create(TOKEN_MS);
     wb_pace_report_t report = {"e1", 50, 20000}; /* 200 ms of prefill at this pace */
     int64_t now_ms = 1000;
     for (; now_ms < 3000; now_ms += 100) {
-        wb_pace_book_report(aggregate, &report, 1, now_ms);
+        wb_pace_aggregate_report(aggregate, &report, 1, now_ms);
     }
-    g_autoptr(GArray) overloaded = wb_pace_book_changes(aggregate, 9, now_ms);
+    g_autoptr(GArray) overloaded = wb_pace_aggregate_changes(aggregate, 9, now_ms);
     g_assert_cmpuint(load_find(overloaded, "e1")->backlog_ms, >, 1500);
     g_assert_cmpuint(load_find(overloaded, "e1")->backlog_ms, <, 3000);
     double backlog_ms;
-    g_assert_cmpstr(wb_pace_book_furthest_behind(aggregate, now_ms, &backlog_ms), ==, "e1");
+    g_assert_cmpstr(wb_pace_aggregate_max_backlog(aggregate, now_ms, &backlog_ms), ==, "e1");
     g_assert_cmpfloat(backlog_ms, >, 1500);
     report.tokens = 5000;
     for (; now_ms < 8000; now_ms += 100) {
-        wb_pace_book_report(aggregate, &report, 1, now_ms);
+        wb_pace_aggregate_report(aggregate, &report, 1, now_ms);
     }
-    g_autoptr(GArray) caught_up = wb_pace_book_changes(aggregate, 9, now_ms);
+    g_autoptr(GArray) caught_up = wb_pace_aggregate_changes(aggregate, 9, now_ms);
     g_assert_cmpuint(load_find(caught_up, "e1")->backlog_ms, <, 100);
-    wb_pace_book_free(aggregate);
+    wb_pace_aggregate_free(aggregate);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -24,7 +24,7 @@
     fixture->snapshot.engines = g_array_new(FALSE, TRUE, sizeof(wb_placement_engine_t));
     fixture->snapshot.uses = g_hash_table_new(g_str_hash, g_str_equal);
     fixture->snapshot.power.tokens_per_ms = 30;
-    fixture->snapshot.store_room = 8;
+    fixture->snapshot.store_loads_allowed = 8;
     for (int i = 0; i < 6; i++) {
         wb_model_spec_t *model = wb_service_add_model(fixture->service, names[i]);
         model->weights_mb = 40;
@@ -123,7 +123,7 @@
     fixture.uses[1].work_per_s = fixture.uses[1].recent_work_per_s = 60000;
     wb_model_use_t single_replica = fixture.uses[1];
     single_replica.replicas = 1;
-    g_assert_cmpuint(wb_placement_wanted(&single_replica, &fixture.snapshot.power), >, 1);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&single_replica, &fixture.snapshot.power), >, 1);
     double gain_ms = wb_placement_gain_ms(&single_replica, &fixture.snapshot.power, 1);
     double cost_ms;
     const wb_model_spec_t *model = g_hash_table_lookup(fixture.service->models, "m0");
@@ -139,16 +139,16 @@
 static void test_placement_spreads_by_slots(void) {
     fixture_t fixture;
     fixture_init(&fixture);
-    wb_engine_power_t power = {30, 24};
+    wb_engine_capacity_t power = {30, 24};
     wb_model_use_t use = {.rate_per_s = 45, .recent_rate_per_s = 45, .replicas = 2, .running = 20};
     use.work_per_s = use.recent_work_per_s = 9000;
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), <=, 2);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), <=, 2);
     g_assert_cmpfloat(wb_placement_gain_ms(&use, &power, 1), <, 100);
     use.running = 140; /* 70 at each of two engines with 24 slots */
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), >=, 6);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), >=, 6);
     g_assert_cmpfloat(wb_placement_gain_ms(&use, &power, 1), >, 10000);
     power.slots = 0; /* slots not reported: judged by prompts alone */
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), <=, 2);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), <=, 2);
     fixture_clear(&fixture);
 }
 
@@ -160,11 +160,11 @@
         (wb_placement_engine_t *)(void *)fixture.snapshot.engines->data;
     candidates[0].speed = 0.8;
     candidates[1].speed = 1.8;
-    fixture.snapshot.place_rate_per_s = 1;
+    fixture.snapshot.replica_rate_per_s = 1;
     wb_model_use_t *busy = &fixture.uses[0];
     *busy = (wb_model_use_t){.rate_per_s = 8, .replicas = 1, .running = 12, .speed = 0.8};
     g_assert_cmpstr(fixture_choose(&fixture, "m0"), ==, "e1");
-    g_assert_true(wb_placement_is_slow(busy, wb_placement_fastest(&fixture.snapshot)));
+    g_assert_true(wb_placement_engines_are_slow(busy, wb_placement_max_speed(&fixture.snapshot)));
     wb_model_use_t *rare = &fixture.uses[1];
     *rare = (wb_model_use_t){.rate_per_s = 0.2, .replicas = 1, .running = 0.4, .speed = 0.8};
     g_assert_cmpstr(fixture_choose(&fixture, "m1"), ==, "e0");
@@ -176,7 +176,7 @@
     g_assert_cmpfloat(fast_ms, >, 5000);
     g_assert_cmpfloat(slow_ms, <, 100);
     busy->speed = 1.8;
-    g_assert_false(wb_placement_is_slow(busy, wb_placement_fastest(&fixture.snapshot)));
+    g_assert_false(wb_placement_engines_are_slow(busy, wb_placement_max_speed(&fixture.snapshot)));
     fixture_clear(&fixture);
 }
 
@@ -184,7 +184,7 @@
 static void test_placement_waits_for_the_store(void) {
     fixture_t fixture;
     fixture_init(&fixture);
-    fixture.snapshot.store_room = 0;
+    fixture.snapshot.store_loads_allowed = 0;
     g_assert_null(fixture_choose(&fixture, "m0"));
     g_hash_table_add(fixture.engines[1].state->on_disk, g_strdup("m0"));
     g_assert_cmpstr(fixture_choose(&fixture, "m0"), ==, "e1");
@@ -273,7 +273,7 @@
             &fixture.snapshot, g_hash_table_lookup(fixture.service->models, "m0"), &cost_ms,
             &victims_ms);
         g_assert_true(g_hash_table_contains(candidate->state->on_disk, "m0"));
-        g_assert_cmpuint(query_count, ==, MIN(sizes[i], WB_PLACES_JUDGED));
+        g_assert_cmpuint(query_count, ==, MIN(sizes[i], WB_PLACEMENT_MAX_CANDIDATES));
         fixture_clear(&fixture);
     }
 }
--- a/tests/unit/test_quota_ledger.c
+++ b/tests/unit/test_quota_ledger.c
@@ -16,91 +16,92 @@
 }
 
 /* Reports a demand of per_s for a while. @return the share at the end, 1 when not throttled */
-static double report_for(wb_quota_book_t *ledger, double per_s, int64_t from_ms, int64_t for_ms) {
+static double report_for(wb_quota_ledger_t *ledger, double per_s, int64_t from_ms, int64_t for_ms) {
     gboolean changed;
     double share = 1;
     for (int64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 100) {
-        wb_quota_use_t usage = {"north", WB_QUOTA_OTHER_KINDS, per_s / 10, 1, share * per_s / 10};
-        wb_quota_book_report(ledger, "node-1", &usage, now_ms);
-        const GArray *shares = wb_quota_book_shares(ledger, now_ms, &changed);
+        wb_quota_usage_t usage = {"north", WB_QUOTA_OTHER_CLASSES, per_s / 10, 1,
+                                  share * per_s / 10};
+        wb_quota_ledger_report(ledger, "node-1", &usage, now_ms);
+        const GArray *shares = wb_quota_ledger_shares(ledger, now_ms, &changed);
         share = shares->len > 0 ? g_array_index(shares, wb_quota_share_t, 0).share : 1;
     }
     return share;
 }
 
 static void test_short_or_not(void) {
-    wb_quota_book_t *ledger = wb_quota_book_create();
+    wb_quota_ledger_t *ledger = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
-    wb_quota_book_set_tenants(ledger, tenants, 0);
+    wb_quota_ledger_set_tenants(ledger, tenants, 0);
     g_assert_cmpfloat(report_for(ledger, 6000, 1000, 10000), ==, 1);
     double share = report_for(ledger, 40000, 11000, 10000);
     g_assert_cmpfloat(share, >, 0.24);
     g_assert_cmpfloat(share, <, 0.26);
     g_assert_cmpfloat(report_for(ledger, 6000, 21000, 10000), ==, 1);
     wb_tenants_free(tenants);
-    wb_quota_book_free(ledger);
+    wb_quota_ledger_free(ledger);
 }
 
 /* A tenant that is removed from the configuration, or has no limit there, is forgotten. */
 static void test_limits_change(void) {
-    wb_quota_book_t *ledger = wb_quota_book_create();
+    wb_quota_ledger_t *ledger = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(ledger, tenants, 0);
-    g_assert_true(wb_quota_book_state(ledger, "north", 0, &state));
+    wb_quota_ledger_set_tenants(ledger, tenants, 0);
+    g_assert_true(wb_quota_ledger_state(ledger, "north", 0, &state));
     wb_tenants_t *without = one_tenant(0);
-    wb_quota_book_set_tenants(ledger, without, 1000);
-    g_assert_false(wb_quota_book_state(ledger, "north", 1000, &state));
+    wb_quota_ledger_set_tenants(ledger, without, 1000);
+    g_assert_false(wb_quota_ledger_state(ledger, "north", 1000, &state));
     g_assert_cmpfloat(report_for(ledger, 1e9, 1000, 1000), ==, 1);
-    wb_quota_book_set_tenants(ledger, NULL, 3000);
+    wb_quota_ledger_set_tenants(ledger, NULL, 3000);
     wb_tenants_free(without);
     wb_tenants_free(tenants);
-    wb_quota_book_free(ledger);
+    wb_quota_ledger_free(ledger);
 }
 
 /* A lost node is assumed to continue: its usage is deducted from the other nodes' share. */
 static void test_lost_node_counts(void) {
-    wb_quota_book_t *ledger = wb_quota_book_create();
+    wb_quota_ledger_t *ledger = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(ledger, tenants, 0);
+    wb_quota_ledger_set_tenants(ledger, tenants, 0);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
-        wb_quota_use_t usage = {"north", WB_QUOTA_OTHER_KINDS, 400, 1, 400};
-        wb_quota_book_report(ledger, "node-2", &usage, now_ms);
+        wb_quota_usage_t usage = {"north", WB_QUOTA_OTHER_CLASSES, 400, 1, 400};
+        wb_quota_ledger_report(ledger, "node-2", &usage, now_ms);
     }
-    wb_quota_book_node_lost(ledger, "node-2", 10000);
+    wb_quota_ledger_node_lost(ledger, "node-2", 10000);
     report_for(ledger, 40000, 10000, 9000);
-    g_assert_true(wb_quota_book_state(ledger, "north", 19000, &state));
+    g_assert_true(wb_quota_ledger_state(ledger, "north", 19000, &state));
     g_assert_cmpfloat(state.assumed_per_s, >=, 3500);
     g_assert_cmpfloat(state.admitted_per_s, <, 5000);
-    wb_quota_book_node_reached(ledger, "node-2");
+    wb_quota_ledger_node_connected(ledger, "node-2");
     report_for(ledger, 40000, 19000, 20000);
-    g_assert_true(wb_quota_book_state(ledger, "north", 39000, &state));
+    g_assert_true(wb_quota_ledger_state(ledger, "north", 39000, &state));
     g_assert_cmpfloat(state.assumed_per_s, ==, 0);
     g_assert_cmpfloat(state.admitted_per_s, >, 9000);
     wb_tenants_free(tenants);
-    wb_quota_book_free(ledger);
+    wb_quota_ledger_free(ledger);
 }
 
 /* A lost node with little demand may still spend an equal part of the limit, as its limiter allows:
  * the ledger assumes that. */
 static void test_lost_node_with_little_demand(void) {
-    wb_quota_book_t *ledger = wb_quota_book_create();
+    wb_quota_ledger_t *ledger = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(ledger, tenants, 0);
+    wb_quota_ledger_set_tenants(ledger, tenants, 0);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
-        wb_quota_use_t little = {"north", WB_QUOTA_OTHER_KINDS, 1, 1, 1};
-        wb_quota_book_report(ledger, "node-2", &little, now_ms);
+        wb_quota_usage_t little = {"north", WB_QUOTA_OTHER_CLASSES, 1, 1, 1};
+        wb_quota_ledger_report(ledger, "node-2", &little, now_ms);
     }
     report_for(ledger, 100, 9000, 1000);
-    wb_quota_book_node_lost(ledger, "node-2", 10000);
+    wb_quota_ledger_node_lost(ledger, "node-2", 10000);
     report_for(ledger, 100, 10000, 1000);
-    g_assert_true(wb_quota_book_state(ledger, "north", 11000, &state));
-    double equal_per_s = WB_QUOTA_UNREACHED_PART * 10000 / 2;
+    g_assert_true(wb_quota_ledger_state(ledger, "north", 11000, &state));
+    double equal_per_s = WB_QUOTA_OFFLINE_SHARE * 10000 / 2;
     g_assert_cmpfloat_with_epsilon(state.assumed_per_s, equal_per_s, 1);
     wb_tenants_free(tenants);
-    wb_quota_book_free(ledger);
+    wb_quota_ledger_free(ledger);
 }
 
 /* A third of many nodes is cut off before a surge: the limit holds. */
--- a/tests/unit/test_quota_limiter.c
+++ b/tests/unit/test_quota_limiter.c
@@ -8,66 +8,67 @@
 
 static wb_tenant_t limited_tenant(void) {
     return (wb_tenant_t){.name = "north",
-                         .rank = WB_TENANT_NO_RANK,
+                         .rank = WB_TENANT_NO_PRIORITY,
                          .unit = WB_QUOTA_TOKENS,
                          .rate_per_s = 100000,
                          .burst = 100000};
 }
 
 /* Asks every 10 ms for a while. @return the fraction admitted */
-static double admitted_share(wb_quota_gate_t *limiter, const wb_tenant_t *tenant, int64_t from_ms,
-                             int64_t for_ms) {
+static double admitted_share(wb_quota_limiter_t *limiter, const wb_tenant_t *tenant,
+                             int64_t from_ms, int64_t for_ms) {
     unsigned asked = 0;
     unsigned admitted = 0;
     for (int64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 10) {
         asked++;
         admitted +=
-            wb_quota_gate_ask(limiter, tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_limiter_admit(limiter, tenant, WB_QUOTA_OTHER_CLASSES, 1000, NODES, now_ms)
+                .admitted;
     }
     return (double)admitted / asked;
 }
 
 static void test_all_is_admitted(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
     wb_tenant_t unlimited = {.name = "south"};
-    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_limiter_set_connected(limiter, TRUE);
     g_assert_cmpfloat(admitted_share(limiter, &tenant, 1000, 5000), ==, 1);
-    wb_quota_gate_set_reached(limiter, FALSE);
+    wb_quota_limiter_set_connected(limiter, FALSE);
     g_assert_cmpfloat(admitted_share(limiter, &unlimited, 6000, 5000), ==, 1);
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_free(limiter);
 }
 
 /* A throttled tenant is admitted its share by cost, and everything once it is not throttled. */
 static void test_share_is_kept(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
-    wb_quota_share_t share = {"north", WB_QUOTA_OTHER_KINDS, 0.25};
-    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_share_t share = {"north", WB_QUOTA_OTHER_CLASSES, 0.25};
+    wb_quota_limiter_set_connected(limiter, TRUE);
     admitted_share(limiter, &tenant, 0, 1000);
-    wb_quota_gate_tell(limiter, &share, 1, 1000);
+    wb_quota_limiter_set_shares(limiter, &share, 1, 1000);
     double admitted = admitted_share(limiter, &tenant, 1000, 10000);
     g_assert_cmpfloat(admitted, >, 0.24);
     g_assert_cmpfloat(admitted, <, 0.26);
-    wb_quota_gate_tell(limiter, NULL, 0, 11000);
+    wb_quota_limiter_set_shares(limiter, NULL, 0, 11000);
     g_assert_cmpfloat(admitted_share(limiter, &tenant, 11000, 1000), ==, 1);
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_free(limiter);
 }
 
 /* A request retried after its Retry-After is admitted. */
 static void test_retry_comes_true(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
-    wb_quota_share_t share = {"north", WB_QUOTA_OTHER_KINDS, 0.2};
+    wb_quota_share_t share = {"north", WB_QUOTA_OTHER_CLASSES, 0.2};
     unsigned on_time = 0;
     unsigned refusals = 0;
-    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_limiter_set_connected(limiter, TRUE);
     admitted_share(limiter, &tenant, 0, 20000);
-    wb_quota_gate_tell(limiter, &share, 1, 20000);
+    wb_quota_limiter_set_shares(limiter, &share, 1, 20000);
     int64_t due_ms = 0;
     for (int64_t now_ms = 20000; now_ms < 40000; now_ms += 10) {
-        wb_quota_verdict_t verdict =
-            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
+        wb_quota_decision_t verdict =
+            wb_quota_limiter_admit(limiter, &tenant, WB_QUOTA_OTHER_CLASSES, 1000, NODES, now_ms);
         if (!verdict.admitted && due_ms == 0) {
             due_ms = now_ms + verdict.retry_ms;
             refusals++;
@@ -78,69 +79,72 @@
     }
     g_assert_cmpuint(refusals, >, 100);
     g_assert_cmpuint(on_time, >=, refusals - 1);
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_free(limiter);
 }
 
 /* Without the ledger a tenant is admitted up to 1.5 times its recent demand. */
 static void test_alone(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
     tenant.rate_per_s = 20000; /* small, so that the equal share doesn't matter */
-    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_limiter_set_connected(limiter, TRUE);
     for (int64_t now_ms = 0; now_ms < 40000; now_ms += 100) {
-        wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms);
+        wb_quota_limiter_admit(limiter, &tenant, WB_QUOTA_OTHER_CLASSES, 1000, NODES, now_ms);
     }
-    wb_quota_gate_set_reached(limiter, FALSE);
+    wb_quota_limiter_set_connected(limiter, FALSE);
     unsigned admitted = 0;
     for (int64_t now_ms = 40000; now_ms < 50000; now_ms += 100) {
         admitted +=
-            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_limiter_admit(limiter, &tenant, WB_QUOTA_OTHER_CLASSES, 1000, NODES, now_ms)
+                .admitted;
     }
     g_assert_cmpuint(admitted, ==, 100);
     admitted = 0;
     for (int64_t now_ms = 50000; now_ms < 60000; now_ms += 10) {
         admitted +=
-            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, NODES, now_ms).admitted;
+            wb_quota_limiter_admit(limiter, &tenant, WB_QUOTA_OTHER_CLASSES, 1000, NODES, now_ms)
+                .admitted;
     }
     g_assert_cmpuint(admitted, >, 130);
     g_assert_cmpuint(admitted, <, 175);
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_free(limiter);
 }
 
 /* While the number of nodes is unknown a node's equal share is 0, as each starting node would spend
  * the whole limit otherwise. */
 static void test_alone_at_start(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
     unsigned admitted = 0;
     tenant.rate_per_s = 100000;
-    wb_quota_gate_set_reached(limiter, FALSE);
+    wb_quota_limiter_set_connected(limiter, FALSE);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
         admitted +=
-            wb_quota_gate_ask(limiter, &tenant, WB_QUOTA_OTHER_KINDS, 1000, 0, now_ms).admitted;
+            wb_quota_limiter_admit(limiter, &tenant, WB_QUOTA_OTHER_CLASSES, 1000, 0, now_ms)
+                .admitted;
     }
     g_assert_cmpuint(admitted, <=, 1); /* a bucket holds one unit at least */
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_free(limiter);
 }
 
 /* The cost of a request that didn't run is returned in the next report. */
 static void test_uses(void) {
-    wb_quota_gate_t *limiter = wb_quota_gate_create();
+    wb_quota_limiter_t *limiter = wb_quota_limiter_create();
     wb_tenant_t tenant = limited_tenant();
-    wb_quota_gate_set_reached(limiter, TRUE);
+    wb_quota_limiter_set_connected(limiter, TRUE);
     admitted_share(limiter, &tenant, 0, 100);
-    wb_quota_gate_adjust(limiter, "north", WB_QUOTA_OTHER_KINDS, -3000);
-    GArray *usage = wb_quota_gate_take_uses(limiter);
+    wb_quota_limiter_adjust(limiter, "north", WB_QUOTA_OTHER_CLASSES, -3000);
+    GArray *usage = wb_quota_limiter_take_usage(limiter);
     g_assert_cmpuint(usage->len, ==, 1);
-    g_assert_cmpfloat(g_array_index(usage, wb_quota_use_t, 0).asked, ==, 10000);
-    g_assert_cmpfloat(g_array_index(usage, wb_quota_use_t, 0).admitted, ==, 7000);
+    g_assert_cmpfloat(g_array_index(usage, wb_quota_usage_t, 0).asked, ==, 10000);
+    g_assert_cmpfloat(g_array_index(usage, wb_quota_usage_t, 0).admitted, ==, 7000);
     g_array_unref(usage);
-    usage = wb_quota_gate_take_uses(limiter);
+    usage = wb_quota_limiter_take_usage(limiter);
     g_assert_cmpuint(usage->len, ==, 0);
     g_array_unref(usage);
-    wb_quota_gate_adjust(limiter, "nobody", WB_QUOTA_OTHER_KINDS, 100);
-    wb_quota_gate_sweep(limiter, 1000000);
-    wb_quota_gate_free(limiter);
+    wb_quota_limiter_adjust(limiter, "nobody", WB_QUOTA_OTHER_CLASSES, 100);
+    wb_quota_limiter_sweep(limiter, 1000000);
+    wb_quota_limiter_free(limiter);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_state_headers.c
+++ b/tests/unit/test_state_headers.c
@@ -4,11 +4,11 @@
 #include "dispatch/state_headers.h"
 
 static const wb_dialect_t dialect = {.engine_limit = "Server-Limit",
-                                     .engine_leaving = "Server-Leaving"};
+                                     .engine_draining = "Server-Leaving"};
 
 /* Parses a response with up to two headers of the same name. */
-static wb_told_state_t parse_response(unsigned status, const char *name, const char *value,
-                                      const char *second) {
+static wb_state_headers_t parse_response(unsigned status, const char *name, const char *value,
+                                         const char *second) {
     wb_http_head_t *head = wb_http_head_create();
     head->status = status;
     const char *const values[] = {value, second};
@@ -18,14 +18,14 @@
             g_array_append_val(head->headers, header);
         }
     }
-    wb_told_state_t state = wb_told_state_read(head, &dialect);
+    wb_state_headers_t state = wb_state_headers_parse(head, &dialect);
     wb_http_head_free(head);
     return state;
 }
 
 static void test_nothing(void) {
-    wb_told_state_t state = parse_response(200, "X-Other", "1", NULL);
-    g_assert_false(state.limit_named || state.limit_known || state.leaving);
+    wb_state_headers_t state = parse_response(200, "X-Other", "1", NULL);
+    g_assert_false(state.limit_present || state.limit_valid || state.leaving);
     g_assert_cmpint(state.rest_ms, ==, 0);
     g_assert_cmpuint(state.refused, ==, 0);
 }
@@ -36,8 +36,8 @@
         double per_s;
     } limits[] = {{"1", 1}, {"0.4", 0.4}, {"0", 0}, {"250", 250}};
     for (gsize i = 0; i < G_N_ELEMENTS(limits); i++) {
-        wb_told_state_t state = parse_response(200, "server-limit", limits[i].text, NULL);
-        g_assert_true(state.limit_named && state.limit_known);
+        wb_state_headers_t state = parse_response(200, "server-limit", limits[i].text, NULL);
+        g_assert_true(state.limit_present && state.limit_valid);
         g_assert_cmpfloat(state.limit_per_s, ==, limits[i].per_s);
         g_assert_cmpuint(state.refused, ==, 0);
     }
@@ -48,14 +48,14 @@
     static const char *const texts[] = {"",    "-1",  "nan", "inf",  "1e3",  "1000000000000",
                                         "1,2", "1 2", ".",   "0x10", "1.2.3"};
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
-        wb_told_state_t state = parse_response(200, "Server-Limit", texts[i], NULL);
-        g_assert_true(state.limit_named);
-        g_assert_false(state.limit_known);
+        wb_state_headers_t state = parse_response(200, "Server-Limit", texts[i], NULL);
+        g_assert_true(state.limit_present);
+        g_assert_false(state.limit_valid);
         g_assert_cmpuint(state.refused, ==, 1);
     }
-    wb_told_state_t twice = parse_response(200, "Server-Limit", "1", "5");
-    g_assert_true(twice.limit_named);
-    g_assert_false(twice.limit_known);
+    wb_state_headers_t twice = parse_response(200, "Server-Limit", "1", "5");
+    g_assert_true(twice.limit_present);
+    g_assert_false(twice.limit_valid);
     g_assert_cmpuint(twice.refused, ==, 1);
 }
 
@@ -68,7 +68,7 @@
     } cases[] = {
         {"1", NULL, TRUE, 0}, {"0", NULL, FALSE, 0}, {"yes", NULL, FALSE, 1}, {"1", "1", FALSE, 1}};
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
-        wb_told_state_t state =
+        wb_state_headers_t state =
             parse_response(200, "Server-Leaving", cases[i].text, cases[i].second);
         g_assert_cmpint(state.leaving, ==, cases[i].leaving);
         g_assert_cmpuint(state.refused, ==, cases[i].refused);
@@ -93,7 +93,7 @@
                  {503, "Thu, 03 Dec 2026 08:00:00 GMT", NULL, 0, 1},
                  {503, "3", "5", 0, 1}};
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
-        wb_told_state_t state =
+        wb_state_headers_t state =
             parse_response(cases[i].status, "Retry-After", cases[i].text, cases[i].second);
         g_assert_cmpint(state.rest_ms, ==, cases[i].rest_ms);
         g_assert_cmpuint(state.refused, ==, cases[i].refused);
--- a/tests/unit/test_table_watch.c
+++ b/tests/unit/test_table_watch.c
@@ -67,7 +67,7 @@
     script->calls++;
     if (script->calls > 1) {
         g_assert_cmpint(after, ==, 12);
-        send_answer(on_answer, context, WB_TABLE_HISTORY_GONE, rows, 0);
+        send_answer(on_answer, context, WB_TABLE_HISTORY_EXPIRED, rows, 0);
         return;
     }
     g_assert_cmpint(after, ==, 11);
@@ -94,7 +94,7 @@
     g_assert_cmpint(wb_loop_create(&script.loop, "test", 16, &error), ==, APR_SUCCESS);
     script.table = (wb_table_t){script_read, script_changes, NULL};
     script.seen = g_string_new(NULL);
-    wb_table_pace_t pace = {10, 20, 0, 20, 0};
+    wb_table_watch_intervals_t pace = {10, 20, 0, 20, 0};
     wb_table_watch_create(script.loop, &script.table, WB_TABLE_ENGINES, &pace, &events);
     wb_loop_run(script.loop);
     g_assert_cmpstr(script.seen->str, ==, "+a@10 +b@11 +b@12 +c@18 -b@20 ");
@@ -138,7 +138,7 @@
     long_poll_t *poll = context;
     wb_error_t error;
     wb_table_watch_events_t events = {record_row, ignore_batch, NULL, &poll->script};
-    wb_table_pace_t pace = {10, 20, 500, 20, 300};
+    wb_table_watch_intervals_t pace = {10, 20, 500, 20, 300};
     g_assert_cmpint(wb_loop_create(&poll->loop, "test", 16, &error), ==, APR_SUCCESS);
     poll->table = (wb_table_t){long_poll_read, long_poll_changes, NULL};
     poll->script.seen = g_string_new(NULL);
@@ -151,14 +151,14 @@
 static void removal_begin(void *context) {
     long_poll_t *poll = context;
     wb_table_row_t removed = {(char *)"a", NULL, 0, 9};
-    wb_table_watch_take(poll->watch, &removed);
+    wb_table_watch_apply_row(poll->watch, &removed);
     GPtrArray *rows = rows_make();
     /* The pending call's answer is older than the removal. */
     g_ptr_array_add(rows, row_make("a", 8));
     send_answer(poll->on_answer, poll->context, WB_TABLE_DONE, rows, 8);
     g_assert_cmpstr(poll->script.seen->str, ==, "+a@5 -a@9 ");
     wb_table_row_t restored = {(char *)"a", (guchar *)"v", 1, 12};
-    wb_table_watch_take(poll->watch, &restored);
+    wb_table_watch_apply_row(poll->watch, &restored);
     g_assert_cmpstr(poll->script.seen->str, ==, "+a@5 -a@9 +a@12 ");
     wb_loop_quit(poll->loop);
 }
@@ -180,7 +180,7 @@
     long_poll_t *poll = context;
     g_assert_cmpint(poll->calls, ==, 2);
     send_answer(poll->on_answer, poll->context, WB_TABLE_DONE, rows_make(), 6);
-    wb_table_watch_vouch(poll->watch, 6, wb_clock_ms());
+    wb_table_watch_note_peer_read(poll->watch, 6, wb_clock_ms());
     wb_loop_after(poll->loop, 360, peer_read_end, poll);
 }
 
@@ -188,10 +188,10 @@
     long_poll_t *poll = context;
     g_assert_cmpint(poll->calls, ==, 1);
     send_answer(poll->on_answer, poll->context, WB_TABLE_DONE, rows_make(), 5);
-    wb_table_watch_vouch(poll->watch, 5, wb_clock_ms());
+    wb_table_watch_note_peer_read(poll->watch, 5, wb_clock_ms());
     g_assert_cmpint(poll->calls, ==, 1);
     /* The other node knows a newer row: it is read at once. */
-    wb_table_watch_vouch(poll->watch, 6, wb_clock_ms());
+    wb_table_watch_note_peer_read(poll->watch, 6, wb_clock_ms());
     wb_loop_after(poll->loop, 40, peer_read_newer, poll);
 }
 
@@ -213,8 +213,8 @@
 
 static void page_begin(void *context) {
     long_poll_t *poll = context;
-    wb_table_pace_t slow = {10, 60000, 500, 20, 300};
-    wb_table_watch_set_pace(poll->watch, &slow);
+    wb_table_watch_intervals_t slow = {10, 60000, 500, 20, 300};
+    wb_table_watch_set_intervals(poll->watch, &slow);
     poll->asked_ms = wb_clock_ms();
     g_autoptr(GPtrArray) rows = rows_make();
     g_ptr_array_add(rows, row_make("b", 7));
@@ -243,7 +243,7 @@
     long_poll_t *poll = context;
     g_assert_cmpint(poll->calls, ==, 3);
     send_failure(poll); /* its own next retry would be after 9.6 s */
-    wb_table_watch_vouch(poll->watch, 99, wb_clock_ms());
+    wb_table_watch_note_peer_read(poll->watch, 99, wb_clock_ms());
     wb_loop_after(poll->loop, 1100, retry_end, poll);
 }
 
@@ -256,8 +256,9 @@
 
 static void retry_begin(void *context) {
     long_poll_t *poll = context;
-    wb_table_pace_t pace = {.wait_ms = 10, .pause_ms = 20, .trust_ms = 500, .retry_ms = 60000};
-    wb_table_watch_set_pace(poll->watch, &pace);
+    wb_table_watch_intervals_t pace = {
+        .wait_ms = 10, .pause_ms = 20, .peer_read_valid_ms = 500, .retry_ms = 60000};
+    wb_table_watch_set_intervals(poll->watch, &pace);
     send_failure(poll);
     wb_loop_after(poll->loop, 250, retry_second, poll);
 }
@@ -287,7 +288,7 @@
     long_poll_t poll = {0};
     wb_error_t error;
     wb_table_watch_events_t events = {record_row, ignore_batch, NULL, &poll.script};
-    wb_table_pace_t pace = {.wait_ms = 10, .pause_ms = 20, .read_trust_ms = 150};
+    wb_table_watch_intervals_t pace = {.wait_ms = 10, .pause_ms = 20, .full_read_valid_ms = 150};
     g_assert_cmpint(wb_loop_create(&poll.loop, "test", 16, &error), ==, APR_SUCCESS);
     poll.table = (wb_table_t){long_poll_read, long_poll_changes, NULL};
     poll.script.seen = g_string_new(NULL);
@@ -342,14 +343,14 @@
     growing_t *growing = context;
     growing->limit_calls++;
     if (growing->reads_all) {
-        wb_table_watch_go_on(growing->watch);
+        wb_table_watch_read_all(growing->watch);
     } else {
-        wb_table_watch_follow_part(growing->watch);
+        wb_table_watch_follow_subset(growing->watch);
         wb_table_row_t received = {(char *)"b", (guchar *)"v", 1, 11};
         wb_table_row_t newer = {(char *)"b", (guchar *)"v", 1, 15};
-        wb_table_watch_take(growing->watch, &received);
-        wb_table_watch_take(growing->watch, &newer);
-        wb_table_watch_take(growing->watch, &received);
+        wb_table_watch_apply_row(growing->watch, &received);
+        wb_table_watch_apply_row(growing->watch, &newer);
+        wb_table_watch_apply_row(growing->watch, &received);
         wb_loop_quit(growing->script.loop);
     }
 }
@@ -360,14 +361,14 @@
     wb_table_watch_events_t events = {.on_row = record_row,
                                       .on_batch = ignore_batch,
                                       .context = &growing,
-                                      .on_large = growing_on_limit};
+                                      .on_row_limit = growing_on_limit};
     g_assert_cmpint(wb_loop_create(&growing.script.loop, "test", 16, &error), ==, APR_SUCCESS);
     growing.script.table = (wb_table_t){growing_read, growing_changes, NULL};
     growing.script.seen = g_string_new(NULL);
-    wb_table_pace_t pace = {10, 20, 0, 20, 0};
+    wb_table_watch_intervals_t pace = {10, 20, 0, 20, 0};
     growing.watch = wb_table_watch_create(growing.script.loop, &growing.script.table,
                                           WB_TABLE_ENGINES, &pace, &events);
-    wb_table_watch_limit(growing.watch, 2);
+    wb_table_watch_set_row_limit(growing.watch, 2);
     wb_loop_run(growing.script.loop);
     g_assert_cmpint(growing.limit_calls, ==, 1);
     g_assert_true(wb_table_watch_is_synced(growing.watch));
