--- a/tests/unit/test_engine_task.c
+++ b/tests/unit/test_engine_task.c
@@ -1,13 +1,13 @@
-/* The order in which an engine's tasks are gone about. */
+/* Guards against tasks of an engine that run in the wrong order. */
 #include "unit.h"
 
 #include "control/engine_task.h"
 
-/* Takes all tasks out and writes them behind each other, models as mN, adapters as N. */
+/* @return all tasks in order, concatenated: models as mN, adapters as N */
 static char *tasks_drain(wb_list_t *tasks) {
     GString *text = g_string_new(NULL);
     while (tasks->len > 0) {
-        wb_engine_task_t *task = wb_engine_task_pop(tasks);
+        wb_task_t *task = wb_engine_task_pop(tasks);
         g_string_append(text, *task->adapter != '\0' ? task->adapter : task->model);
         wb_engine_task_free(task);
     }
--- a/tests/unit/test_regions.c
+++ b/tests/unit/test_regions.c
@@ -1,4 +1,4 @@
-/* Regions in which requests may be served. */
+/* Guards against requests served outside their allowed regions. */
 #include "unit.h"
 
 #include "wickbridge/regions.h"
@@ -14,13 +14,13 @@
 
 static void test_allow(void) {
     static const char *const allowed_regions[] = {"a", "b", NULL};
-    static const char *const nowhere[] = {NULL};
+    static const char *const no_regions[] = {NULL};
     g_assert_true(wb_regions_allow(NULL, "a"));
     g_assert_true(wb_regions_allow(NULL, NULL));
     g_assert_true(wb_regions_allow(allowed_regions, "b"));
     g_assert_false(wb_regions_allow(allowed_regions, "c"));
     g_assert_false(wb_regions_allow(allowed_regions, NULL));
-    g_assert_false(wb_regions_allow(nowhere, "a"));
+    g_assert_false(wb_regions_allow(no_regions, "a"));
 }
 
 static void tests_add(void) {
