--- a/tests/unit/test_engine_task.c
+++ b/tests/unit/test_engine_task.c
@@ -7,7 +7,7 @@
 static char *tasks_drain(wb_list_t *tasks) {
     GString *text = g_string_new(NULL);
     while (tasks->len > 0) {
-        wb_task_t *task = wb_engine_task_pop(tasks);
+        wb_engine_task_t *task = wb_engine_task_pop(tasks);
         g_string_append(text, *task->adapter != '\0' ? task->adapter : task->model);
         wb_engine_task_free(task);
     }
