--- a/include/wickbridge/cell_host.h
+++ b/include/wickbridge/cell_host.h
@@ -23,7 +23,7 @@
     int64_t group_size; /**< number of members of a cell's group */
     int64_t group_heartbeat_ms;
     int64_t election_timeout_ms;
-    int64_t orphan_after_ms;    /**< time without an owner after which a cell is founded again */
+    int64_t orphan_after_ms; /**< time without an owner after which a cell is bootstrapped again */
     int64_t claim_retention_ms; /**< retention of claims */
     int64_t machine_poll_ms;    /**< interval at which an owner reads the machine list */
     int64_t weight_loads_at_once;
--- a/include/wickbridge/group.h
+++ b/include/wickbridge/group.h
@@ -57,8 +57,8 @@
 
 /**
  * Found the group with these members, with this node as its owner. The caller must have ensured
- * that no other node founds it (by a transaction on the cell's row), and that no earlier majority
- * can still commit.
+ * that no other node bootstraps it (by a transaction on the cell's row), and that no earlier
+ * majority can still commit.
  * @param record what is known of an earlier record, or an empty one; taken over
  */
 void wb_group_bootstrap(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
@@ -100,8 +100,8 @@
 const char *wb_group_owner(const wb_group_t *group);
 
 /**
- * Promise an epoch of a new era to a node that founds the group again because its majority is lost.
- * From then on this member rejects messages of lower epochs. @return its record, or NULL
+ * Promise an epoch of a new era to a node that bootstraps the group again because its majority is
+ * lost. From then on this member rejects messages of lower epochs. @return its record, or NULL
  */
 wb_record_t *wb_group_promise_epoch(wb_group_t *group, uint64_t epoch);
 
--- a/include/wickbridge/http_pool.h
+++ b/include/wickbridge/http_pool.h
@@ -61,8 +61,8 @@
 wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms);
 /** Close all connections and free. Calls under way end without on_result. */
-void wb_http_pool_free(wb_http_pool_t *peer);
+void wb_http_pool_free(wb_http_pool_t *pool);
 /** Start a call. on_result reports its outcome. */
-void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request);
+void wb_http_pool_call(wb_http_pool_t *pool, const wb_http_request_t *request);
 
 #endif
--- a/include/wickbridge/http_server.h
+++ b/include/wickbridge/http_server.h
@@ -25,9 +25,9 @@
 
 /**
  * Called exactly once, at the end of a streamed response.
- * @param whole FALSE if the client disconnected before the response was complete
+ * @param complete FALSE if the client disconnected before the response was complete
  */
-typedef void (*wb_http_close_fn)(gboolean whole, void *context);
+typedef void (*wb_http_close_fn)(gboolean complete, void *context);
 
 /** Options of wb_http_server_start. */
 typedef struct wb_http_server_options_t {
@@ -79,8 +79,9 @@
 
 /**
  * End a stream and release the exchange.
- * @param whole FALSE: close the connection, so that the client sees that the response is incomplete
+ * @param complete FALSE: close the connection, so that the client sees that the response is
+ * incomplete
  */
-void wb_http_exchange_stream_end(wb_http_exchange_t *exchange, gboolean whole);
+void wb_http_exchange_stream_end(wb_http_exchange_t *exchange, gboolean complete);
 
 #endif
--- a/include/wickbridge/link.h
+++ b/include/wickbridge/link.h
@@ -53,11 +53,11 @@
 void wb_link_send(wb_link_t *link, const wb_wire_message *message);
 /** Like wb_link_send, with extensions; a peer of format version 1 gets the message without them. */
 void wb_link_send_with_extensions(wb_link_t *link, const wb_wire_message *message,
-                                  const wb_wire_extensions *parts);
+                                  const wb_wire_extensions *extensions);
 /** @return the extensions of the message passed to on_message; valid until that returns */
 const wb_wire_extensions *wb_link_extensions(const wb_link_t *link);
 /** Set the format version that the peer sent in its handshake; 1 until then. */
-void wb_link_set_format_version(wb_link_t *link, unsigned form);
+void wb_link_set_format_version(wb_link_t *link, unsigned version);
 /** @return the peer's format version */
 unsigned wb_link_format_version(const wb_link_t *link);
 
--- a/include/wickbridge/log.h
+++ b/include/wickbridge/log.h
@@ -35,11 +35,11 @@
 GLogLevelFlags wb_log_level_parse(const char *name);
 
 /** Write a message of a component. Any thread. */
-void wb_log(wb_log_component_t part, GLogLevelFlags level, const char *format, ...)
+void wb_log(wb_log_component_t component, GLogLevelFlags level, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
-#define wb_log_warning(part, ...) wb_log((part), G_LOG_LEVEL_WARNING, __VA_ARGS__)
-#define wb_log_message(part, ...) wb_log((part), G_LOG_LEVEL_MESSAGE, __VA_ARGS__)
-#define wb_log_info(part, ...) wb_log((part), G_LOG_LEVEL_INFO, __VA_ARGS__)
+#define wb_log_warning(component, ...) wb_log((component), G_LOG_LEVEL_WARNING, __VA_ARGS__)
+#define wb_log_message(component, ...) wb_log((component), G_LOG_LEVEL_MESSAGE, __VA_ARGS__)
+#define wb_log_info(component, ...) wb_log((component), G_LOG_LEVEL_INFO, __VA_ARGS__)
 
 #endif
--- a/include/wickbridge/message.h
+++ b/include/wickbridge/message.h
@@ -26,31 +26,31 @@
                                wb_error_t *error);
 
 /** Like wb_message_encode, followed by extensions, for readers of format version 2 or later.
- * @param parts may be NULL: none */
+ * @param extensions may be NULL: none */
 apr_status_t wb_message_encode_with_extensions(const wb_wire_message *message,
-                                               const wb_wire_extensions *parts, GByteArray *out,
-                                               wb_error_t *error);
-/** Like wb_message_decode; the bytes after the message are decoded as extensions. @param parts free
- * it with wb_extensions_clear */
+                                               const wb_wire_extensions *extensions,
+                                               GByteArray *out, wb_error_t *error);
+/** Like wb_message_decode; the bytes after the message are decoded as extensions. @param extensions
+ * free it with wb_extensions_clear */
 apr_status_t wb_message_decode_with_extensions(const void *data, size_t length,
-                                               wb_wire_message *message, wb_wire_extensions *parts,
-                                               wb_error_t *error);
+                                               wb_wire_message *message,
+                                               wb_wire_extensions *extensions, wb_error_t *error);
 /** @return TRUE if the bytes begin with a message kind that this build doesn't know. A newer build
  * sent it, and it must be ignored. */
 gboolean wb_message_is_unknown(const void *data, size_t length);
 
 /** Free decoded or added extensions. */
-void wb_extensions_clear(wb_wire_extensions *parts);
-/** @return the extension of a kind, or NULL; owned by `parts` */
-const wb_wire_extension *wb_extensions_find(const wb_wire_extensions *parts,
+void wb_extensions_clear(wb_wire_extensions *extensions);
+/** @return the extension of a kind, or NULL; owned by `extensions` */
+const wb_wire_extension *wb_extensions_find(const wb_wire_extensions *extensions,
                                             wb_wire_extension_kind kind);
 /** Append an extension. @param encode XDR routine of `value` @return FALSE if `value` exceeds its
  * bounds */
-gboolean wb_extensions_add(wb_wire_extensions *parts, wb_wire_extension_kind kind, xdrproc_t encode,
-                           void *value);
+gboolean wb_extensions_add(wb_wire_extensions *extensions, wb_wire_extension_kind kind,
+                           xdrproc_t encode, void *value);
 /** Decode an extension. @param value must be zeroed; free it with xdr_free @return FALSE if there
  * is no such extension or it is malformed */
-gboolean wb_extensions_read(const wb_wire_extensions *parts, wb_wire_extension_kind kind,
+gboolean wb_extensions_read(const wb_wire_extensions *extensions, wb_wire_extension_kind kind,
                             xdrproc_t decode, void *value);
 
 /** Free what wb_message_decode allocated. */
--- a/src/config/config_apply.c
+++ b/src/config/config_apply.c
@@ -43,7 +43,7 @@
     wb_error_set(&change->result.error, APR_EGENERAL,
                  "another change came first: version %" G_GUINT64_FORMAT
                  " is in force, this change was made from version %" G_GUINT64_FORMAT
-                 "; check the difference and apply again",
+                 "; look at the difference and apply again",
                  (guint64)change->store->current->version, (guint64)change->base_version);
     change_finish(change, WB_CONFIG_CONFLICT);
 }
@@ -121,8 +121,8 @@
             /* The row is absent, but the lost request may still arrive. Only a later change of the
              * row config/current rules that out; until then the outcome is unknown. */
             wb_error_set(&change->result.error, APR_EGENERAL,
-                         "the table service's response was lost and the change is not there now; "
-                         "check again before retrying");
+                         "the table service's answer was lost and the change is not there now; "
+                         "look again before trying again");
             change_finish(change, WB_CONFIG_UNKNOWN);
         }
         return;
@@ -132,7 +132,7 @@
         return;
     }
     wb_error_set(&change->result.error, APR_EGENERAL,
-                 "the table service's response was lost; the change may have been accepted");
+                 "the table service's answer was lost; the change may have been accepted");
     change_finish(change, WB_CONFIG_UNKNOWN);
 }
 
@@ -151,7 +151,7 @@
         return;
     }
     wb_error_set(&change->result.error, APR_EGENERAL,
-                 "the table service is unavailable; nothing was accepted");
+                 "the table service is away; nothing was accepted");
     change_finish(change, WB_CONFIG_UNAVAILABLE);
 }
 
