--- a/tests/harness/budget_oracle.c
+++ b/tests/harness/budget_oracle.c
@@ -1,12 +1,12 @@
-/* Checks the bound on requests that are sent again. */
+/* Checks the bound on retries. */
 #include "budget_oracle.h"
 
 struct budget_oracle_t {
     double ratio;
     double slack;
     int64_t window_ms;
-    GArray *requests; /* int64_t, ms */
-    GArray *repeats;  /* the same */
+    GArray *requests; /* of int64_t, ms */
+    GArray *repeats;  /* of int64_t, ms */
     GHashTable *seen; /* ids that have arrived */
 };
 
@@ -44,7 +44,7 @@
     return (left > right) - (left < right);
 }
 
-/* Times before a given one. */
+/* Returns how many of the sorted times are before one. */
 static unsigned count_before(const GArray *times, int64_t before_ms) {
     guint low = 0;
     guint high = times->len;
@@ -64,7 +64,7 @@
     return count_before(times, from_ms + oracle->window_ms) - count_before(times, from_ms);
 }
 
-static budget_worst_t window_look(const budget_oracle_t *oracle, int64_t from_ms) {
+static budget_worst_t window_measure(const budget_oracle_t *oracle, int64_t from_ms) {
     unsigned own = count_in_window(oracle, oracle->requests, from_ms);
     unsigned half = count_in_window(oracle, oracle->requests, from_ms - oracle->window_ms / 2);
     unsigned before = count_in_window(oracle, oracle->requests, from_ms - oracle->window_ms);
@@ -85,7 +85,7 @@
     int64_t first_ms = g_array_index(oracle->repeats, int64_t, 0);
     int64_t last_ms = g_array_index(oracle->repeats, int64_t, oracle->repeats->len - 1);
     for (int64_t from_ms = first_ms - oracle->window_ms; from_ms <= last_ms; from_ms++) {
-        budget_worst_t window = window_look(oracle, from_ms);
+        budget_worst_t window = window_measure(oracle, from_ms);
         if (window.excess > worst.excess) {
             worst = window;
         }
--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -1,4 +1,4 @@
-/* Calls over HTTP, and checks of answers. */
+/* HTTP requests with curl, and checks of their responses. */
 #include "harness_types.h"
 
 #include <curl/curl.h>
@@ -7,22 +7,22 @@
 #include <string.h>
 #include <xxhash.h>
 
-typedef struct collecting_t {
+typedef struct collector_t {
     answer_t *answer;
     GString *body;
     int64_t started_us;
-} collecting_t;
+} collector_t;
 
 static size_t body_collect(char *data, size_t size, size_t count, void *context) {
-    collecting_t *collecting = context;
-    if (collecting->body->len == 0)
-        collecting->answer->first_seconds =
-            (double)(g_get_monotonic_time() - collecting->started_us) / 1e6;
-    g_string_append_len(collecting->body, data, (gssize)(size * count));
+    collector_t *collector = context;
+    if (collector->body->len == 0)
+        collector->answer->first_seconds =
+            (double)(g_get_monotonic_time() - collector->started_us) / 1e6;
+    g_string_append_len(collector->body, data, (gssize)(size * count));
     return size * count;
 }
 
-static void header_take(const char *line, size_t length, const char *name, char **value) {
+static void header_match(const char *line, size_t length, const char *name, char **value) {
     size_t name_length = strlen(name);
     if (length <= name_length || g_ascii_strncasecmp(line, name, name_length) != 0)
         return;
@@ -31,13 +31,13 @@
 }
 
 static size_t header_collect(char *line, size_t size, size_t count, void *context) {
-    collecting_t *collecting = context;
-    answer_t *answer = collecting->answer;
+    collector_t *collector = context;
+    answer_t *answer = collector->answer;
     size_t length = size * count;
-    header_take(line, length, "Wickbridge-Verdict:", &answer->verdict);
-    header_take(line, length, "Wickbridge-Engine:", &answer->engine);
-    header_take(line, length, "Wickbridge-Request-Id:", &answer->request_id);
-    header_take(line, length, "Retry-After:", &answer->retry_after);
+    header_match(line, length, "Wickbridge-Verdict:", &answer->verdict);
+    header_match(line, length, "Wickbridge-Engine:", &answer->engine);
+    header_match(line, length, "Wickbridge-Request-Id:", &answer->request_id);
+    header_match(line, length, "Retry-After:", &answer->retry_after);
     return length;
 }
 
@@ -60,7 +60,7 @@
 answer_t *call(const char *method, int port, const char *path, const char *const *headers,
                const char *body, int timeout_ms) {
     answer_t *answer = g_new0(answer_t, 1);
-    collecting_t collecting = {answer, g_string_new(NULL), g_get_monotonic_time()};
+    collector_t collector = {answer, g_string_new(NULL), g_get_monotonic_time()};
     g_autofree char *url = g_strdup_printf(
         "%s://127.0.0.1:%d%s", harness_tls_folder != NULL ? "https" : "http", port, path);
     struct curl_slist *list = curl_slist_append(NULL, "Expect:");
@@ -74,9 +74,9 @@
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, list);
     curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, body_collect);
-    curl_easy_setopt(curl, CURLOPT_WRITEDATA, &collecting);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, &collector);
     curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, header_collect);
-    curl_easy_setopt(curl, CURLOPT_HEADERDATA, &collecting);
+    curl_easy_setopt(curl, CURLOPT_HEADERDATA, &collector);
     tls_set(curl);
     if (body != NULL)
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
@@ -85,8 +85,8 @@
         curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &answer->status);
     else
         answer->failure = g_strdup(curl_easy_strerror(code));
-    answer->seconds = (double)(g_get_monotonic_time() - collecting.started_us) / 1e6;
-    answer->body = g_string_free(collecting.body, FALSE);
+    answer->seconds = (double)(g_get_monotonic_time() - collector.started_us) / 1e6;
+    answer->body = g_string_free(collector.body, FALSE);
     curl_easy_cleanup(curl);
     curl_slist_free_all(list);
     return answer;
@@ -119,13 +119,13 @@
     return call("POST", port, "/v1/chat/completions", headers, body, 120000);
 }
 
-/* All content of an answer, streamed or not. */
+/* Returns the generated text of a response, streamed or not. */
 static char *content_read(const char *body) {
     GString *content = g_string_new(NULL);
-    const char *place = body;
-    while ((place = strstr(place, "\"content\":\"")) != NULL) {
-        place += strlen("\"content\":\"");
-        g_string_append_len(content, place, (gssize)strcspn(place, "\""));
+    const char *position = body;
+    while ((position = strstr(position, "\"content\":\"")) != NULL) {
+        position += strlen("\"content\":\"");
+        g_string_append_len(content, position, (gssize)strcspn(position, "\""));
     }
     return g_string_free(content, FALSE);
 }
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -1,4 +1,4 @@
-/* Puts a cluster together: ports, flags, registration with the platform, declarations. */
+/* Starts a cluster: ports, flags, registration with the platform, configuration. */
 #include "harness_types.h"
 
 #include <glib/gstdio.h>
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define READY_TIMEOUT_MS 30000
-#define NODE_HOST 10 /* with partitions, node i lives at 127.0.0.(10 + i) */
+#define NODE_HOST 10 /* with partitions, node i has the address 127.0.0.(10 + i) */
 
 static void argument_add(GPtrArray *arguments, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
@@ -64,7 +64,7 @@
                              READY_TIMEOUT_MS));
 }
 
-/* Ports are chosen ahead, so that the proxy can start first. */
+/* Allocates all ports before any process starts, because the proxy needs them. */
 static void ports_choose(cluster_t *cluster) {
     for (int i = 0; i < HARNESS_NODES; i++) {
         cluster->nodes[i].callers_port = port_find();
@@ -94,7 +94,7 @@
         g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.%d:%d,",
                                cluster->nodes[i].link_proxy_port, NODE_HOST + i,
                                cluster->nodes[i].nodes_port);
-    g_string_truncate(relays, relays->len - 1); /* the last comma */
+    g_string_truncate(relays, relays->len - 1); /* remove the trailing comma */
     GPtrArray *arguments = g_ptr_array_new();
     argument_add(arguments, "--control=127.0.0.1:%d", cluster->proxy_control_port);
     argument_add(arguments, "--relays=%s", relays->str);
@@ -240,16 +240,16 @@
     proxy_fault(cluster, cluster->platform_proxy_port, fault, delay_ms, 0, times);
 }
 
-/* Whether a partition with the first nodes on one side lies between the two. */
-static gboolean is_between(int first_count, int one, int two) {
-    return first_count > 0 && (one < first_count) != (two < first_count);
+/* Returns whether the partition separates two nodes. */
+static gboolean is_partitioned(int first_count, int left, int right) {
+    return first_count > 0 && (left < first_count) != (right < first_count);
 }
 
 void partition_set(cluster_t *cluster, int first_count) {
     for (int i = 0; i < cluster->node_count; i++) {
         g_autoptr(GString) hosts = g_string_new(NULL);
         for (int j = 0; j < cluster->node_count; j++)
-            if (is_between(first_count, i, j))
+            if (is_partitioned(first_count, i, j))
                 g_string_append_printf(hosts, "%s127.0.0.%d", hosts->len > 0 ? "," : "",
                                        NODE_HOST + j);
         g_autofree char *body = g_strdup_printf("{\"relay\":\"127.0.0.1:%d\",\"block\":\"%s\"}",
--- a/tests/harness/estate.c
+++ b/tests/harness/estate.c
@@ -1,4 +1,4 @@
-/* Edge nodes before the platform's stand-in. */
+/* Starts edge nodes with the stand-in platform, and controls and queries them. */
 #include "estate.h"
 
 #include "harness_types.h"
@@ -20,7 +20,7 @@
     va_end(values);
 }
 
-static const char usual_routes[] =
+static const char default_routes[] =
     "{\"name\":\"chat\",\"host\":\"a.example\",\"pathPrefix\":\"/chat/"
     "\",\"routeType\":\"streaming\","
     "\"timeoutMs\":8000,\"targetLatencyMs\":800,\"priority\":1,\"service\":\"llm\",\"maxAttempts\":"
@@ -60,7 +60,7 @@
                      "\"coldStartS\":2}],"
                      "\"limits\":{\"maxHeaderBytes\":4096,\"maxBodyBytes\":100000,"
                      "\"headerTimeoutMs\":800,\"idleTimeoutMs\":20000}%s%s}",
-                     (long long)estate->catalog_version, routes != NULL ? routes : usual_routes,
+                     (long long)estate->catalog_version, routes != NULL ? routes : default_routes,
                      models->str, estate->tenants != NULL ? ",\"tenants\":" : "",
                      estate->tenants != NULL ? estate->tenants : ""));
     char *text = json_dumps(call, JSON_COMPACT);
@@ -136,8 +136,8 @@
 double estate_metric(const estate_t *estate, int index, const char *name) {
     answer_t *answer = call("GET", estate->nodes[index].metrics_port, "/metrics", NULL, NULL, 2000);
     g_autofree char *line = g_strdup_printf("\nwickbridge_%s ", name);
-    const char *place = answer->status == 200 ? strstr(answer->body, line) : NULL;
-    double value = place != NULL ? g_ascii_strtod(place + strlen(line), NULL) : -1;
+    const char *position = answer->status == 200 ? strstr(answer->body, line) : NULL;
+    double value = position != NULL ? g_ascii_strtod(position + strlen(line), NULL) : -1;
     answer_free(answer);
     return value;
 }
@@ -181,7 +181,7 @@
     if (!g_file_get_contents(node->process.log_path, &log, NULL, NULL)) {
         return FALSE;
     }
-    for (const char *place = log; (place = strstr(place, line)) != NULL; place++) {
+    for (const char *position = log; (position = strstr(position, line)) != NULL; position++) {
         starts++;
     }
     return starts >= node->launches;
@@ -212,7 +212,7 @@
     cluster_t files = estate->files;
     if (node->older) {
         files.build = (char *)g_getenv("WICKBRIDGE_OLDER_BUILD");
-        g_assert_nonnull(files.build); /* scripts/build-commit.sh makes it */
+        g_assert_nonnull(files.build); /* built by scripts/build-commit.sh */
     }
     node->launches++;
     process_prepare(&files, &node->process, name, "wickbridge-edge", arguments);
@@ -298,8 +298,8 @@
     relay_fault(estate, estate->engine_relays[engine], fault, 0, bytes, times);
 }
 
-/* Starts one node more, on ports of its own. Returns its index. */
-static int node_begin(estate_t *estate, gboolean older, const char *flags) {
+/* Starts another node on new ports. Returns its index. */
+static int node_add(estate_t *estate, gboolean older, const char *flags) {
     g_assert_cmpint(estate->node_count, <, ESTATE_NODES);
     int index = estate->node_count++;
     estate_node_t *node = &estate->nodes[index];
@@ -313,11 +313,11 @@
 }
 
 int estate_node_add(estate_t *estate) {
-    return node_begin(estate, FALSE, NULL);
+    return node_add(estate, FALSE, NULL);
 }
 
-static estate_t *estate_begin(int nodes, int older, const char *node_flags,
-                              const char *const *flags) {
+static estate_t *estate_create(int nodes, int older, const char *node_flags,
+                               const char *const *flags) {
     estate_t *estate = g_new0(estate_t, 1);
     const char *build = g_getenv("WICKBRIDGE_BUILD");
     g_assert_nonnull(build);
@@ -342,22 +342,22 @@
             "\"zone\":\"zone-%d\",\"work_ms\":10,\"port\":%d,\"announce_port\":%d}}",
             i + 1, i + 1, estate->engine_ports[i], estate->engine_relays[i]);
     for (int i = 0; i < nodes; i++)
-        node_begin(estate, i < older, flags != NULL ? flags[i] : NULL);
+        node_add(estate, i < older, flags != NULL ? flags[i] : NULL);
     for (int i = 0; i < nodes; i++)
         estate_wait_ready(estate, i);
     return estate;
 }
 
 estate_t *estate_start(int nodes, const char *node_flags) {
-    return estate_begin(nodes, 0, node_flags, NULL);
+    return estate_create(nodes, 0, node_flags, NULL);
 }
 
 estate_t *estate_start_each(int nodes, const char *node_flags, const char *const *flags) {
-    return estate_begin(nodes, 0, node_flags, flags);
+    return estate_create(nodes, 0, node_flags, flags);
 }
 
 estate_t *estate_start_builds(int nodes, int older, const char *node_flags) {
-    return estate_begin(nodes, older, node_flags, NULL);
+    return estate_create(nodes, older, node_flags, NULL);
 }
 
 void estate_stop(estate_t *estate) {
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -1,9 +1,10 @@
 /**
  * @file harness.h
- * @brief Starts a cluster of real processes, causes failures, and checks what engines saw.
+ * @brief Starts a cluster of real processes, injects faults, and reads what engines logged.
  *
- * One harness for integration tests, the demo and the bench. Only processes that it started are
- * ever signalled, by their ids.
+ * Used by the integration tests, the demo and the bench. Times are in ms unless a name says
+ * otherwise. Functions without a result abort the test through a GLib assertion when they fail.
+ * Only processes that the harness started are signalled, by their ids.
  */
 #ifndef WICKBRIDGE_TEST_HARNESS_H
 #define WICKBRIDGE_TEST_HARNESS_H
@@ -16,7 +17,7 @@
 #define HARNESS_NODES 16
 #define HARNESS_ENGINES 32
 
-/** A process of the cluster. */
+/** A child process, with its output in a log file. */
 typedef struct process_t {
     char name[32];
     char *program;
@@ -29,36 +30,36 @@
     process_t process;
     int callers_port;
     int nodes_port;
-    int link_proxy_port; /**< where other nodes reach it, with partitions */
+    int link_proxy_port; /**< address for other nodes when partitions are enabled */
     int operators_port;
     char zone[16];
 } node_t;
 
 typedef struct engine_t {
     process_t process;
-    int port;       /**< where it listens */
-    int proxy_port; /**< where nodes reach it */
+    int port;       /**< listening port */
+    int proxy_port; /**< port that nodes connect to */
     char service[32];
     char zone[16];
     gint64 killed_us; /**< 0: not killed */
 } engine_t;
 
-/** What a cluster consists of. */
+/** Size and settings of a cluster. */
 typedef struct cluster_options_t {
     int nodes;
     int engines;              /**< of the service "assistant" */
     int lock_engines;         /**< of the service "seat-lock" */
-    gboolean partitions;      /**< nodes are linked through the proxy, each from an IP of its own */
-    gboolean proxied;         /**< engines and the platform are reached through the proxy */
-    const char *engine_flags; /**< more flags, with spaces between */
+    gboolean partitions;      /**< links between nodes go through the proxy, each from its own IP */
+    gboolean proxied;         /**< connections to engines and the platform go through the proxy */
+    const char *engine_flags; /**< additional flags, separated by spaces */
     const char *platform_flags;
     const char *node_flags;
 } cluster_options_t;
 
 typedef struct cluster_t {
     cluster_options_t options;
-    char *folder; /**< logs */
-    char *build;  /**< programs */
+    char *folder; /**< temporary folder of the logs */
+    char *build;  /**< folder of the programs, from WICKBRIDGE_BUILD or "build" */
     process_t platform;
     process_t proxy;
     int platform_port;
@@ -68,99 +69,108 @@
     int node_count;
     engine_t engines[HARNESS_ENGINES];
     int engine_count;
-    int starts; /**< makes machine ids unique */
+    int starts; /**< processes started so far; makes machine ids unique */
 } cluster_t;
 
+/** Start a cluster. @return free it with cluster_stop */
 cluster_t *cluster_start(const cluster_options_t *options);
-/** Stop all; logs stay when the test has failed. */
+/** Kill all processes and free the cluster; its logs are kept if WICKBRIDGE_KEEP_LOGS is set. */
 void cluster_stop(cluster_t *cluster);
 
-/** Start one more node; it gets a new machine id. @return its index */
+/** Start another node with a new machine id. @return its index */
 int cluster_add_node(cluster_t *cluster);
-/** Start a node process again at the place of a stopped one. */
+/** Start or restart a node with a new machine id, register it, and wait until it answers. */
 void node_start(cluster_t *cluster, int index);
-/** Start a node process without telling the platform or waiting for it. */
+/** Start a node process without registering it with the platform or waiting for it. */
 void node_launch(cluster_t *cluster, int index);
+/** Start another engine and register it with the platform. @return its index */
 int cluster_add_engine(cluster_t *cluster, const char *service);
 
 void process_signal(process_t *process, int signal);
-/** Kill at once and collect. */
+/** Send SIGKILL and reap the process. */
 void process_kill(process_t *process);
-/** Ask to stop and wait. @return the exit status, or -1 after `timeout_ms` */
+/** Send SIGTERM and wait. @return the exit status, 128 + signal, or -1 after `timeout_ms` */
 int process_stop(process_t *process, int timeout_ms);
 
-/** Set a fault between nodes and an engine, or the platform. */
+/** Inject a proxy fault between the nodes and an engine. @param bytes passed before the fault
+ * @param times number of connections, 0: all */
 void engine_fault(cluster_t *cluster, int engine, const char *fault, int delay_ms, int bytes,
                   int times);
+/** Inject a proxy fault between the nodes and the platform. */
 void platform_proxy_fault(cluster_t *cluster, const char *fault, int delay_ms, int times);
-/** Cut nodes 0..first_count-1 off from the others; 0 heals. Needs partitions in the options. */
+/** Partition nodes 0..first_count-1 from the others; 0 heals. Needs options.partitions. */
 void partition_set(cluster_t *cluster, int first_count);
-/** Set the platform's own mode: {"table":"refuse"} and so on. */
+/** Set the fault mode of the platform stand-in, such as {"table":"refuse"}. */
 void platform_faults(cluster_t *cluster, const char *json);
+/** Deregister a machine from the platform. */
 void machine_leave(cluster_t *cluster, const char *id);
 
-/** With a folder here, all calls are made over TLS with its ca.pem, caller.pem and caller.key. */
+/** If set, calls use TLS with ca.pem, caller.pem and caller.key of this folder. */
 extern const char *harness_tls_folder;
 
-/** A call's answer. */
+/** The response to a call; free it with answer_free. */
 typedef struct answer_t {
-    long status; /**< 0: no whole answer */
+    long status; /**< 0: no complete response */
     char *body;
     char *verdict;
     char *engine;
     char *request_id;
     char *retry_after;
-    double seconds;       /**< until the end */
+    double seconds;       /**< until the response is complete */
     double first_seconds; /**< until the first byte of the body */
-    char *failure;        /**< what broke, or NULL */
+    char *failure;        /**< curl's error message, or NULL */
 } answer_t;
 
+/** Make an HTTP request. @param headers NULL-terminated, or NULL @return never NULL */
 answer_t *call(const char *method, int port, const char *path, const char *const *headers,
                const char *body, int timeout_ms);
 void answer_free(answer_t *answer);
 
-/** A chat request. @param extra more JSON members, such as ",\"stream\":true" */
+/** Send a chat request. @param extra more JSON members, such as ",\"stream\":true" */
 answer_t *chat(int port, const char *model, int tokens, const char *extra,
                const char *const *headers);
 
-/** @return TRUE when the text has all tokens of one run: its seed, then every word in order */
+/** @return TRUE if the text holds all tokens of one run: its seed, then every word in order */
 gboolean answer_is_whole(const answer_t *answer, int tokens);
 
-/** Write an answer into the test's log. */
+/** Write a response to the test's log. */
 void answer_print(const answer_t *answer);
 
-/** Put declarations in force through a node. @return the HTTP status */
+/** Change the cluster's configuration through a node. @return the HTTP status */
 long declare(cluster_t *cluster, int node, const char *set_json);
-/** The usual declarations: assistant with m1..mN, and seat-lock. */
+/** Declare the default configuration: assistant with m1..mN, and seat-lock. Waits until ready. */
 void declare_usual(cluster_t *cluster, int models, int max_replicas);
 
+/** @return a node's status; release it with json_decref */
 json_t *node_status(cluster_t *cluster, int node);
 /** @return the index of the node that owns a cell, or -1 */
 int cell_owner(cluster_t *cluster, const char *cell);
-/** @return how many members a node holds for alive */
+/** @return how many members a node considers alive */
 int members_alive(cluster_t *cluster, int node);
 int64_t node_config_version(cluster_t *cluster, int node);
 
 /** Wait until a condition holds. @return FALSE after `timeout_ms` */
 gboolean eventually(gboolean (*condition)(cluster_t *cluster, void *context), cluster_t *cluster,
                     void *context, int timeout_ms);
+/** Wait until all running nodes are ready and every cell has an owner. */
 void wait_ready(cluster_t *cluster);
 
-/** Most replicas of a model that were loaded or loading at once, by the engines' own history. */
+/** Maximum number of replicas of a model loaded or loading at the same time, from engine logs. */
 int most_replicas(cluster_t *cluster, const char *model);
-/** Loads of a model (without adapters) that engines began. */
+/** Number of loads of a model (without adapters) that engines started. */
 int loads_begun(cluster_t *cluster, const char *model);
-/** Orders that would have exceeded accelerator memory. */
+/** Number of orders that would have exceeded accelerator memory. */
 int memory_attempts(cluster_t *cluster);
-/** How often a call with this body ran, over all engines. */
+/** Number of runs of requests with this body, over all engines. */
 int runs_of(cluster_t *cluster, const char *body);
 
-/** Kill an engine; what it held is gone from then on. */
+/** Kill an engine; its replicas count as unloaded from then on. */
 void engine_kill(cluster_t *cluster, int engine);
 
+/** Monotonic time in ms, the same clock as the stand-ins use. */
 int64_t harness_now_ms(void);
 
-/** The main function of a program of tests with real processes. @param tests_add adds them all */
+/** Defines main for a test program with real processes. @param tests_add registers its tests */
 #define PROCESS_TEST_MAIN(tests_add)                                                               \
     int main(int argc, char **argv) {                                                              \
         g_test_init(&argc, &argv, NULL);                                                           \
--- a/tests/harness/limit_oracle.c
+++ b/tests/harness/limit_oracle.c
@@ -1,10 +1,10 @@
-/* Checks how much an engine gets that has named a limit. */
+/* Checks that nodes respect an engine's reported limit. */
 #include "limit_oracle.h"
 
 #define WINDOW_MS 4000
 #define OVERAGE 1.5
 #define SLACK 5
-#define TOLD_BEFORE_MS 500
+#define NODE_DELAY_MS 500
 #define NODES_MOST 64
 
 typedef struct arrival_t {
@@ -15,18 +15,18 @@
 struct limit_oracle_t {
     double per_s;
     int64_t contact_ms;
-    int64_t named_ms;            /* G_MAXINT64: it hasn't named one */
-    int64_t told_ms[NODES_MOST]; /* when each node passed it on; G_MAXINT64: it hasn't */
-    GArray *arrivals;            /* of arrival_t */
+    int64_t reported_ms;              /* G_MAXINT64: not reported yet */
+    int64_t forwarded_ms[NODES_MOST]; /* first forwarded response per node; G_MAXINT64: none */
+    GArray *arrivals;                 /* of arrival_t */
 };
 
 limit_oracle_t *limit_oracle_create(double per_s, int64_t contact_ms) {
     limit_oracle_t *oracle = g_new0(limit_oracle_t, 1);
     oracle->per_s = per_s;
     oracle->contact_ms = contact_ms;
-    oracle->named_ms = G_MAXINT64;
+    oracle->reported_ms = G_MAXINT64;
     for (int i = 0; i < NODES_MOST; i++) {
-        oracle->told_ms[i] = G_MAXINT64;
+        oracle->forwarded_ms[i] = G_MAXINT64;
     }
     oracle->arrivals = g_array_new(FALSE, FALSE, sizeof(arrival_t));
     return oracle;
@@ -38,12 +38,12 @@
 }
 
 void limit_oracle_named(limit_oracle_t *oracle, int64_t at_ms) {
-    oracle->named_ms = MIN(oracle->named_ms, at_ms);
+    oracle->reported_ms = MIN(oracle->reported_ms, at_ms);
 }
 
 void limit_oracle_passed_on(limit_oracle_t *oracle, int node, int64_t at_ms) {
     g_assert_cmpint(node, <, NODES_MOST);
-    oracle->told_ms[node] = MIN(oracle->told_ms[node], at_ms);
+    oracle->forwarded_ms[node] = MIN(oracle->forwarded_ms[node], at_ms);
 }
 
 void limit_oracle_arrival(limit_oracle_t *oracle, int node, int64_t at_ms) {
@@ -57,12 +57,12 @@
     return (left > right) - (left < right);
 }
 
-/* Whether an arrival counts against the limit. */
+/* Returns whether the limit binds the arrival's node at the time of the arrival. */
 static gboolean is_counted(const limit_oracle_t *oracle, const arrival_t *arrival) {
-    int64_t told_ms = oracle->told_ms[arrival->node];
-    return oracle->named_ms != G_MAXINT64 && told_ms != G_MAXINT64 &&
-           arrival->at_ms >= oracle->named_ms + oracle->contact_ms &&
-           arrival->at_ms >= told_ms + TOLD_BEFORE_MS;
+    int64_t forwarded_ms = oracle->forwarded_ms[arrival->node];
+    return oracle->reported_ms != G_MAXINT64 && forwarded_ms != G_MAXINT64 &&
+           arrival->at_ms >= oracle->reported_ms + oracle->contact_ms &&
+           arrival->at_ms >= forwarded_ms + NODE_DELAY_MS;
 }
 
 limit_worst_t limit_oracle_worst(limit_oracle_t *oracle) {
--- a/tests/harness/limit_oracle.h
+++ b/tests/harness/limit_oracle.h
@@ -1,11 +1,12 @@
 /**
  * @file limit_oracle.h
- * @brief Checks how much an engine gets that has named a limit, by what it saw and callers were
- * answered.
+ * @brief Checks that nodes respect an engine's reported limit, from arrivals at the engine and
+ * responses to clients.
  *
- * The bound: from `contact_ms` after the engine first named its limit, in every 4 s, at most one
- * and a half times what the limit allows and 5 requests, over all nodes that had passed on an
- * answer naming it half a second before or earlier. Windows slide by the millisecond.
+ * The bound: from `contact_ms` after the engine first reported its limit, in every 4 s, at most 1.5
+ * times the limit plus 5 requests arrive, over all nodes that forwarded a response reporting the
+ * limit at least 500 ms earlier. Windows start at every millisecond. Times are in ms, limits in
+ * requests per second.
  */
 #ifndef WICKBRIDGE_TEST_LIMIT_ORACLE_H
 #define WICKBRIDGE_TEST_LIMIT_ORACLE_H
@@ -15,7 +16,7 @@
 
 typedef struct limit_oracle_t limit_oracle_t;
 
-/** The fullest window. */
+/** The window with the most arrivals. */
 typedef struct limit_worst_t {
     int64_t from_ms;
     unsigned arrivals;
@@ -24,11 +25,11 @@
 
 limit_oracle_t *limit_oracle_create(double per_s, int64_t contact_ms);
 void limit_oracle_free(limit_oracle_t *oracle);
-/** The engine named its limit; the first time counts. */
+/** Record that the engine reported its limit; the earliest time is used. */
 void limit_oracle_named(limit_oracle_t *oracle, int64_t at_ms);
-/** A node passed on an answer that names it; its first time counts. */
+/** Record that a node forwarded a response that reports the limit; its earliest time is used. */
 void limit_oracle_passed_on(limit_oracle_t *oracle, int node, int64_t at_ms);
-/** A request has come from a node, which the engine may turn away. */
+/** Record the arrival of a request from a node, even if the engine rejects it. */
 void limit_oracle_arrival(limit_oracle_t *oracle, int node, int64_t at_ms);
 limit_worst_t limit_oracle_worst(limit_oracle_t *oracle);
 
--- a/tests/harness/observe.c
+++ b/tests/harness/observe.c
@@ -1,4 +1,4 @@
-/* Looks at nodes from outside, and at what engines saw. */
+/* Queries nodes over HTTP, and reads the engines' logs. */
 #include "harness_types.h"
 
 #include <stdio.h>
@@ -13,7 +13,7 @@
     return status;
 }
 
-/* The node that says itself that it owns the cell, with the highest epoch. */
+/* Several nodes may claim a cell; the highest epoch wins. */
 int cell_owner(cluster_t *cluster, const char *cell) {
     int owner = -1;
     json_int_t best = 0;
@@ -60,11 +60,10 @@
 
 void engine_kill(cluster_t *cluster, int engine) {
     process_kill(&cluster->engines[engine].process);
-    /* with the process all that it held is gone */
     cluster->engines[engine].killed_us = g_get_monotonic_time();
 }
 
-/* What an engine printed of its own history; dead engines' logs stay. */
+/* Returns the lines of an engine's log; logs of dead engines are kept. */
 static char **log_lines(const cluster_t *cluster, int engine) {
     g_autofree char *text = NULL;
     if (!g_file_get_contents(cluster->engines[engine].process.log_path, &text, NULL, NULL))
@@ -72,7 +71,7 @@
     return g_strsplit(text, "\n", -1);
 }
 
-/* A replica's coming (+1) or going (-1). */
+/* A change in the number of replicas: +1 loading, -1 unloaded or killed. */
 typedef struct replica_event_t {
     gint64 at_us;
     int change;
@@ -86,7 +85,7 @@
     return a->change - b->change;
 }
 
-/* Reads "EVENT time what model adapter" for the model itself. Returns 0 for other lines. */
+/* Parses "EVENT time what model adapter". Returns +1, -1, or 0 for other lines and adapters. */
 static int event_read(const char *line, const char *model, gint64 *at_us) {
     char what[32], name[128], adapter[128];
     if (sscanf(line, "EVENT %" G_GINT64_FORMAT " %31s %127s %127s", at_us, what, name, adapter) !=
--- a/tests/harness/processes.c
+++ b/tests/harness/processes.c
@@ -1,4 +1,4 @@
-/* Starts, signals and collects the processes of a cluster. */
+/* Starts, signals and reaps the child processes of a test. */
 #include "harness_types.h"
 
 #include <errno.h>
@@ -17,7 +17,7 @@
 
 #define MOST_PROCESSES 256
 
-/* A test that aborts leaves nothing running. */
+/* Child processes to kill if the test aborts. */
 static volatile pid_t started[MOST_PROCESSES];
 static volatile sig_atomic_t started_count;
 
@@ -28,7 +28,7 @@
     raise(number);
 }
 
-static void abort_prepare(pid_t pid) {
+static void abort_register(pid_t pid) {
     if (started_count == 0) {
         signal(SIGABRT, abort_handle);
         signal(SIGTERM, abort_handle);
@@ -41,7 +41,7 @@
 }
 
 /* A collected process's id may be given to another one. */
-static void abort_forget(pid_t pid) {
+static void abort_unregister(pid_t pid) {
     for (int i = 0; i < started_count; i++)
         if (started[i] == pid) {
             started[i] = started[started_count - 1];
@@ -55,7 +55,7 @@
 }
 
 #define FIRST_PORT 20000
-#define LAST_PORT 32000 /* below the ports that outgoing connections get */
+#define LAST_PORT 32000 /* below the ephemeral port range */
 #define PORT_STRIDE 149
 
 static gboolean port_is_free(int port) {
@@ -70,7 +70,7 @@
     return free_port;
 }
 
-/* A port that nothing listens on at present; test programs that run at once start far apart. */
+/* Test programs that run in parallel search from different start ports. */
 int port_find(void) {
     static int next;
     if (next == 0)
@@ -104,7 +104,7 @@
     posix_spawn_file_actions_destroy(&actions);
     if (failure != 0)
         g_error("can't start %s: %s", process->program, strerror(failure));
-    abort_prepare(process->pid);
+    abort_register(process->pid);
 }
 
 void process_signal(process_t *process, int signal) {
@@ -117,7 +117,7 @@
         return;
     kill(process->pid, SIGKILL);
     waitpid(process->pid, NULL, 0);
-    abort_forget(process->pid);
+    abort_unregister(process->pid);
     process->pid = 0;
 }
 
@@ -129,7 +129,7 @@
     while (harness_now_ms() < until_ms) {
         int status;
         if (waitpid(process->pid, &status, WNOHANG) == process->pid) {
-            abort_forget(process->pid);
+            abort_unregister(process->pid);
             process->pid = 0;
             return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
         }
--- a/tests/harness/wire.c
+++ b/tests/harness/wire.c
@@ -1,4 +1,4 @@
-/* A caller that speaks HTTP byte by byte. */
+/* A minimal HTTP/1.1 client over a raw socket. */
 #include "estate.h"
 
 #include <arpa/inet.h>
@@ -46,16 +46,16 @@
     while (sent < length) {
         ssize_t count = send(wire->descriptor, text + sent, length - sent, MSG_NOSIGNAL);
         if (count <= 0)
-            return; /* the peer closed; reading shows it */
+            return; /* the server closed the connection; the next read reports it */
         sent += (size_t)count;
     }
 }
 
-/* Reads some more bytes. Returns FALSE at the end or when time is over. */
-static gboolean more_read(wire_t *wire, int64_t until_ms, gboolean *closed) {
+/* Reads available bytes. Returns FALSE if the connection is closed or the time has passed. */
+static gboolean bytes_receive(wire_t *wire, int64_t until_ms, gboolean *closed) {
     struct pollfd watched = {wire->descriptor, POLLIN, 0};
-    int64_t left_ms = until_ms - harness_now_ms();
-    if (left_ms <= 0 || poll(&watched, 1, (int)left_ms) <= 0)
+    int64_t remaining_ms = until_ms - harness_now_ms();
+    if (remaining_ms <= 0 || poll(&watched, 1, (int)remaining_ms) <= 0)
         return FALSE;
     char chunk[4096];
     ssize_t count = recv(wire->descriptor, chunk, sizeof(chunk), 0);
@@ -71,7 +71,7 @@
     return strstr(answer->head->str, text) != NULL;
 }
 
-/* Takes one chunk off the front. Returns -1 when it isn't all there, else its length. */
+/* Removes a chunk from the unread bytes. Returns its length, or -1 if it isn't complete. */
 static long chunk_take(wire_t *wire, GString *body) {
     char *line_end = strstr(wire->unread->str, "\r\n");
     if (line_end == NULL)
@@ -92,13 +92,13 @@
             answer->whole = TRUE;
             return;
         }
-        if (length < 0 && !more_read(wire, until_ms, &answer->closed))
+        if (length < 0 && !bytes_receive(wire, until_ms, &answer->closed))
             return;
     }
 }
 
 static void length_read(wire_t *wire, wire_answer_t *answer, size_t length, int64_t until_ms) {
-    while (wire->unread->len < length && more_read(wire, until_ms, &answer->closed))
+    while (wire->unread->len < length && bytes_receive(wire, until_ms, &answer->closed))
         continue;
     size_t taken = MIN(length, wire->unread->len);
     g_string_append_len(answer->body, wire->unread->str, (gssize)taken);
@@ -113,7 +113,7 @@
     answer->body = g_string_new(NULL);
     char *end;
     while ((end = strstr(wire->unread->str, "\r\n\r\n")) == NULL)
-        if (!more_read(wire, until_ms, &answer->closed))
+        if (!bytes_receive(wire, until_ms, &answer->closed))
             return answer;
     size_t length = (size_t)(end - wire->unread->str) + 4;
     g_string_append_len(answer->head, wire->unread->str, (gssize)length);
@@ -122,8 +122,9 @@
     if (head_has(answer, "Transfer-Encoding: chunked")) {
         chunks_read(wire, answer, until_ms);
     } else {
-        const char *told = strstr(answer->head->str, "Content-Length: ");
-        length_read(wire, answer, told != NULL ? (size_t)atol(told + 16) : 0, until_ms);
+        const char *length_header = strstr(answer->head->str, "Content-Length: ");
+        length_read(wire, answer, length_header != NULL ? (size_t)atol(length_header + 16) : 0,
+                    until_ms);
     }
     return answer;
 }
@@ -137,7 +138,7 @@
 gboolean wire_is_closed(wire_t *wire, int timeout_ms) {
     gboolean closed = FALSE;
     int64_t until_ms = harness_now_ms() + timeout_ms;
-    while (more_read(wire, until_ms, &closed))
+    while (bytes_receive(wire, until_ms, &closed))
         continue;
     return closed && wire->unread->len == 0;
 }
