--- a/tests/edge/edge.h
+++ b/tests/edge/edge.h
@@ -1,4 +1,5 @@
-/* What the tests of edge nodes share. */
+/* Request headers that the tests of edge nodes share: a deadline of 7 s, and a model with a prompt.
+ */
 #ifndef WICKBRIDGE_TEST_EDGE_H
 #define WICKBRIDGE_TEST_EDGE_H
 
--- a/tests/edge/test_control.c
+++ b/tests/edge/test_control.c
@@ -1,27 +1,27 @@
-/* One controller at a time gives orders, and an order without an answer does no harm. */
+/* Only one controller at a time sends orders, and orders without a response do no harm. */
 #include "edge.h"
 
 #include <signal.h>
 #include <string.h>
 
-/* Two orders that an engine got one after the other: tokens never fall, and two holders are
- * `quiet_ms` apart. */
-static void assert_in_turn(const json_t *before, const json_t *after, int64_t quiet_ms) {
+/* Asserts for two consecutive orders to an engine that fencing tokens never decrease, and that
+ * orders of different lease holders are at least `handover_ms` apart. */
+static void assert_order_sequence(const json_t *before, const json_t *after, int64_t handover_ms) {
     int64_t gap_ms = json_integer_value(json_object_get(after, "at_ms")) -
                      json_integer_value(json_object_get(before, "at_ms"));
-    int64_t rise = json_integer_value(json_object_get(after, "token")) -
-                   json_integer_value(json_object_get(before, "token"));
-    gboolean same = strcmp(json_string_value(json_object_get(before, "holder")),
-                           json_string_value(json_object_get(after, "holder"))) == 0;
-    g_assert_cmpint(rise, >=, 0);
-    if (!same) {
-        g_assert_cmpint(rise, >, 0);
-        g_assert_cmpint(gap_ms, >=, quiet_ms);
+    int64_t token_increase = json_integer_value(json_object_get(after, "token")) -
+                             json_integer_value(json_object_get(before, "token"));
+    gboolean same_holder = strcmp(json_string_value(json_object_get(before, "holder")),
+                                  json_string_value(json_object_get(after, "holder"))) == 0;
+    g_assert_cmpint(token_increase, >=, 0);
+    if (!same_holder) {
+        g_assert_cmpint(token_increase, >, 0);
+        g_assert_cmpint(gap_ms, >=, handover_ms);
     }
 }
 
-/* No engine is ordered by two controllers within the quiet time. */
-static void assert_one_controller(const estate_t *estate, int64_t quiet_ms) {
+/* Asserts that no engine got orders from two controllers within the handover interval. */
+static void assert_one_controller(const estate_t *estate, int64_t handover_ms) {
     json_t *seen = estate_seen(estate);
     const json_t *orders = json_object_get(seen, "orders");
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
@@ -31,14 +31,14 @@
         g_assert_nonnull(engine);
         const json_t *before = g_hash_table_lookup(last, engine);
         if (before != NULL) {
-            assert_in_turn(before, order, quiet_ms);
+            assert_order_sequence(before, order, handover_ms);
         }
         g_hash_table_insert(last, (gpointer)engine, order);
     }
     json_decref(seen);
 }
 
-static void model_asked(const estate_t *estate, int node, const char *model, const char *id) {
+static void model_request(const estate_t *estate, int node, const char *model, const char *id) {
     g_autofree char *headers = g_strdup_printf(
         "Model: %s\r\nPrompt-Prefix: ab:50\r\nRequest-Deadline-Ms: 20000\r\n", model);
     wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, "/chat/x", id, headers);
@@ -46,50 +46,52 @@
     wire_answer_free(answer);
 }
 
-/* Of the nodes that are left, the one with the most processor takes over. */
+/* Of the remaining nodes the one with the largest processor share takes over. */
 static void test_strongest_takes_over(void) {
     estate_t *estate =
         estate_start(4, "--lease-quiet-ms=1000 --lease-duration-ms=800 --node-life-s=3");
-    int first = estate_wait_controller(estate, 3000);
-    int strongest = (first + 2) % 4;
+    int controller = estate_wait_controller(estate, 3000);
+    int strongest = (controller + 2) % 4;
     process_kill(&estate->nodes[strongest].process);
     estate->nodes[strongest].flags = "--processor-share=0.5";
     estate_node_launch(estate, strongest);
     estate_wait_ready(estate, strongest);
-    g_usleep(2500000); /* its row is written anew each second */
-    process_kill(&estate->nodes[first].process);
+    g_usleep(2500000); /* the node updates its row each second */
+    process_kill(&estate->nodes[controller].process);
     g_usleep(500000);
     g_assert_cmpint(estate_wait_controller(estate, 8000), ==, strongest);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* The controller is killed; another takes over after the quiet time, with a higher token. */
+/* After the controller is killed another takes over after the handover interval, with a higher
+ * token. */
 static void test_takeover(void) {
     estate_t *estate = estate_start(3, "--lease-quiet-ms=1000 --lease-duration-ms=800");
-    int first = estate_wait_controller(estate, 3000);
-    model_asked(estate, first, "m5", "t1");
-    process_kill(&estate->nodes[first].process);
+    int controller = estate_wait_controller(estate, 3000);
+    model_request(estate, controller, "m5", "t1");
+    process_kill(&estate->nodes[controller].process);
     int64_t killed_ms = harness_now_ms();
-    int next = estate_wait_controller(estate, 8000);
+    int successor = estate_wait_controller(estate, 8000);
     g_test_message("another controller after %d ms", (int)(harness_now_ms() - killed_ms));
     g_assert_cmpint(harness_now_ms() - killed_ms, <, 4000);
-    model_asked(estate, next, "m6", "t2");
+    model_request(estate, successor, "m6", "t2");
     g_assert_cmpint(estate_runs(estate, "t2"), ==, 1);
     assert_one_controller(estate, 1000);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* A successor waits out the quiet time only at engines that its predecessor may have ordered. */
+/* A successor waits for the handover interval only at engines that its predecessor may have sent
+ * orders to. */
 static void test_successor_orders_others_at_once(void) {
     estate_t *estate = estate_start(3, "--lease-quiet-ms=4000 --lease-duration-ms=800");
-    int first = estate_wait_controller(estate, 3000);
-    model_asked(estate, first, "m5", "s1");
-    process_kill(&estate->nodes[first].process);
+    int controller = estate_wait_controller(estate, 3000);
+    model_request(estate, controller, "m5", "s1");
+    process_kill(&estate->nodes[controller].process);
     int64_t killed_ms = harness_now_ms();
-    int next = estate_wait_controller(estate, 8000);
-    model_asked(estate, next, "m6", "s2");
+    int successor = estate_wait_controller(estate, 8000);
+    model_request(estate, successor, "m6", "s2");
     g_test_message("served %d ms after the kill", (int)(harness_now_ms() - killed_ms));
     g_assert_cmpint(harness_now_ms() - killed_ms, <, 3000);
     g_assert_cmpint(estate_runs(estate, "s2"), ==, 1);
@@ -98,14 +100,14 @@
     estate_stop(estate);
 }
 
-/* While nobody can decide on loads, a request that can't be served in time is refused at once with
- * when to come back, and its model is there by then. */
+/* While no controller is reachable, a request that can't be served in time is refused at once with
+ * a Retry-After, and its model is loaded by then. */
 static void test_refused_while_nobody_decides(void) {
     estate_t *estate = estate_start(2, "--lease-quiet-ms=2500 --lease-duration-ms=4000");
-    int first = estate_wait_controller(estate, 3000);
-    int other = 1 - first;
+    int controller = estate_wait_controller(estate, 3000);
+    int other = 1 - controller;
     g_usleep(1000000);
-    process_kill(&estate->nodes[first].process);
+    process_kill(&estate->nodes[controller].process);
     int64_t killed_ms = harness_now_ms();
     g_usleep(700000);
     int64_t asked_ms = harness_now_ms();
@@ -113,14 +115,14 @@
         wire_ask(estate->nodes[other].callers_port, "/chat/x", "b1", EDGE_MODEL("m5"));
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - asked_ms, <, 250);
-    const char *told = strstr(answer->head->str, "Retry-After: ");
-    g_assert_nonnull(told);
-    double come_back_s = g_ascii_strtod(told + strlen("Retry-After: "), NULL);
+    const char *header = strstr(answer->head->str, "Retry-After: ");
+    g_assert_nonnull(header);
+    double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
     wire_answer_free(answer);
-    g_test_message("come back in %.2f s", come_back_s);
-    g_assert_cmpfloat(come_back_s, >, 2.5);
-    g_assert_cmpfloat(come_back_s, <, 6.0);
-    g_usleep((gulong)(come_back_s * 1e6));
+    g_test_message("come back in %.2f s", retry_after_s);
+    g_assert_cmpfloat(retry_after_s, >, 2.5);
+    g_assert_cmpfloat(retry_after_s, <, 6.0);
+    g_usleep((gulong)(retry_after_s * 1e6));
     asked_ms = harness_now_ms();
     answer = wire_ask(estate->nodes[other].callers_port, "/chat/x", "b2", EDGE_MODEL("m5"));
     g_test_message("%d after %d ms, %d ms after the kill", answer->status,
@@ -133,7 +135,7 @@
     estate_stop(estate);
 }
 
-/* A controller that stands still and goes on gives no order once another holds the lease. */
+/* A controller that was paused sends no orders after another node took the lease. */
 static void test_frozen_controller(void) {
     estate_t *estate = estate_start(3, "--lease-quiet-ms=1000 --lease-duration-ms=800");
     for (int round = 0; round < 2; round++) {
@@ -141,9 +143,9 @@
         g_autofree char *id = g_strdup_printf("z%d", round);
         process_signal(&estate->nodes[frozen].process, SIGSTOP);
         g_usleep(3500000);
-        model_asked(estate, (frozen + 1) % 3, round == 0 ? "m5" : "m4", id);
+        model_request(estate, (frozen + 1) % 3, round == 0 ? "m5" : "m4", id);
         process_signal(&estate->nodes[frozen].process, SIGCONT);
-        model_asked(estate, frozen, round == 0 ? "m6" : "m3", "z9");
+        model_request(estate, frozen, round == 0 ? "m6" : "m3", "z9");
         g_usleep(500000);
     }
     assert_one_controller(estate, 1000);
@@ -151,19 +153,19 @@
     estate_stop(estate);
 }
 
-/* In a planned stop the controller acts on while it finishes its requests, and hands the lease over
- * as it ends: sooner than its death would. */
+/* A controller that is stopped keeps sending orders while it finishes its requests, and releases
+ * the lease when it exits: its successor takes over sooner than after a crash. */
 static void test_released_lease(void) {
     estate_t *estate =
         estate_start(2, "--lease-quiet-ms=500 --lease-duration-ms=3000 --stop-grace-s=6");
-    int first = estate_wait_controller(estate, 3000);
-    int other = 1 - first;
-    process_signal(&estate->nodes[first].process, SIGTERM);
+    int controller = estate_wait_controller(estate, 3000);
+    int other = 1 - controller;
+    process_signal(&estate->nodes[controller].process, SIGTERM);
     g_usleep(1000000);
-    g_assert_cmpfloat(estate_metric(estate, first, "lease_held"), ==, 1);
-    model_asked(estate, other, "m5", "r1");
+    g_assert_cmpfloat(estate_metric(estate, controller, "lease_held"), ==, 1);
+    model_request(estate, other, "m5", "r1");
     g_assert_cmpint(estate_runs(estate, "r1"), ==, 1);
-    g_assert_cmpint(process_stop(&estate->nodes[first].process, 6000), ==, 0);
+    g_assert_cmpint(process_stop(&estate->nodes[controller].process, 6000), ==, 0);
     int64_t ended_ms = harness_now_ms();
     while (estate_metric(estate, other, "lease_held") <= 0) {
         g_assert_cmpint(harness_now_ms() - ended_ms, <, 1500);
@@ -172,54 +174,53 @@
     estate_stop(estate);
 }
 
-static void order_fault(const char *fault) {
+static void order_fault_test(const char *fault) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_controller(estate, 3000);
     for (int i = 1; i <= 2; i++)
         estate_do(estate,
                   "{\"do\":\"engine-fault\",\"engine\":\"llm-%d\",\"fault\":\"%s\",\"count\":1}", i,
                   fault);
-    model_asked(estate, 0, "m5", "f1");
+    model_request(estate, 0, "m5", "f1");
     g_assert_cmpint(estate_runs(estate, "f1"), ==, 1);
-    model_asked(estate, 0, "m6", "f2");
-    g_usleep(2000000); /* late orders come due */
-    model_asked(estate, 0, "m7", "f3");
+    model_request(estate, 0, "m6", "f2");
+    g_usleep(2000000); /* delayed orders are executed */
+    model_request(estate, 0, "m7", "f3");
     g_assert_cmpint(estate_runs(estate, "f3"), ==, 1);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
 static void test_orders_without_answer(void) {
-    order_fault("order-lost");
-    order_fault("order-late");
+    order_fault_test("order-lost");
+    order_fault_test("order-late");
 }
 
-/* A model that was waited for is loaded once, also when gateways tell late that nobody waits any
- * more. */
+/* A model is loaded once, even if nodes report late that no request waits for it any more. */
 static void test_model_is_loaded_once(void) {
     estate_t *estate = estate_start(2, "--demand-interval-ms=3000");
     int controller = estate_wait_controller(estate, 3000);
-    model_asked(estate, 1 - controller, "m5", "o1");
+    model_request(estate, 1 - controller, "m5", "o1");
     g_usleep(2000000);
     g_assert_cmpint(estate_runs(estate, "o1"), ==, 1);
     g_assert_cmpint(estate_orders(estate, "model_load", "m5"), ==, 1);
     estate_stop(estate);
 }
 
-/* An engine that dies is replaced by a load elsewhere. */
+/* A model whose only engine dies is loaded on another engine. */
 static void test_engine_dies(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_controller(estate, 3000);
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\",\"announce\":true}");
     g_usleep(500000);
-    model_asked(estate, 0, "m2", "d1");
+    model_request(estate, 0, "m2", "d1");
     g_assert_cmpint(estate_runs(estate, "d1"), ==, 1);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* The load of a model crashes each engine that begins it: it is given up for a while, long before
- * all engines have gone round, and the others' models are served. */
+/* Loads of a model that crashes every engine back off after a few crashes, and other models are
+ * served. */
 static void test_model_that_crashes_engines(void) {
     enum { LOADS_MOST = 4, ASKED_FOR_MS = 12000 };
     estate_t *estate = estate_start(2, NULL);
--- a/tests/edge/test_directory.c
+++ b/tests/edge/test_directory.c
@@ -1,15 +1,15 @@
-/* A fleet whose table of engines only the strongest machines read: the others ask them for the
- * engines that their callers need, and go on when such a machine is lost. */
+/* Only the strongest nodes (relays) read a large table of engines; weak nodes subscribe to the
+ * engines that their clients need. Guards against stale rows when engines change or relays fail. */
 #include "edge.h"
 
 #include <string.h>
 
 #define NODES 4
-/* The estate has four engines. */
+/* Smaller than the number of engines, which is four. */
 #define FLAGS "--engine-rows-most=2"
-#define DECIDED_MS 4000
+#define DECISION_TIMEOUT_MS 4000
 
-static const char *const two_strong[] = {"--processor-share=1", "--processor-share=1",
+static const char *const node_flags[] = {"--processor-share=1", "--processor-share=1",
                                          "--processor-share=0.12", "--processor-share=0.12"};
 
 static int asked(const estate_t *estate, int node, const char *path, const char *id,
@@ -20,20 +20,21 @@
     return status;
 }
 
-/* Nodes decide 2.5 s after they see that the table is large, each by its own clock. */
-static void assert_reads(const estate_t *estate, int node, const char *how) {
-    g_autofree char *line = g_strdup_printf("\"read\":\"%s\"", how);
-    int64_t until_ms = harness_now_ms() + DECIDED_MS;
+/* Waits until a node has logged how it reads the table. Each node decides by its own clock, 2.5 s
+ * after it sees that the table is large. */
+static void assert_reads(const estate_t *estate, int node, const char *mode) {
+    g_autofree char *line = g_strdup_printf("\"read\":\"%s\"", mode);
+    int64_t until_ms = harness_now_ms() + DECISION_TIMEOUT_MS;
     while (!estate_log_has(estate, node, line)) {
         g_assert_cmpint(harness_now_ms(), <, until_ms);
         g_usleep(20000);
     }
 }
 
-/* Weak nodes are told of what they ask for, and nothing else; what isn't loaded is loaded for them,
- * once, and the lease is a strong node's. */
+/* Weak nodes get only the engines that they subscribe to; missing models are loaded once for them,
+ * and a strong node holds the lease. */
 static void test_weak_nodes_ask(void) {
-    estate_t *estate = estate_start_each(NODES, FLAGS, two_strong);
+    estate_t *estate = estate_start_each(NODES, FLAGS, node_flags);
     int holder = estate_wait_controller(estate, 8000);
     g_assert_cmpint(holder, <, 2);
     for (int node = 0; node < NODES; node++) {
@@ -51,15 +52,15 @@
     estate_stop(estate);
 }
 
-/* Engines that leave, end or start again are known to weak nodes as soon as to others. */
+/* Weak nodes learn promptly of engines that drain, crash or restart. */
 static void test_changes_are_told(void) {
-    estate_t *estate = estate_start_each(NODES, FLAGS " --drain-ms=1000", two_strong);
+    estate_t *estate = estate_start_each(NODES, FLAGS " --drain-ms=1000", node_flags);
     estate_wait_controller(estate, 8000);
     for (int node = 2; node < NODES; node++) {
         g_autofree char *id = g_strdup_printf("c%d", node);
         g_assert_cmpint(asked(estate, node, "/lock/x", id, EDGE_DEADLINE), ==, 200);
-        g_autofree char *chat = g_strdup_printf("cc%d", node);
-        g_assert_cmpint(asked(estate, node, "/chat/x", chat, EDGE_MODEL("m2")), ==, 200);
+        g_autofree char *chat_id = g_strdup_printf("cc%d", node);
+        g_assert_cmpint(asked(estate, node, "/chat/x", chat_id, EDGE_MODEL("m2")), ==, 200);
     }
     estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"same_id\","
@@ -76,8 +77,9 @@
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
-        gboolean later = g_str_has_prefix(json_string_value(json_object_get(run, "id")), "left-");
-        g_assert_false(later &&
+        gboolean after_change =
+            g_str_has_prefix(json_string_value(json_object_get(run, "id")), "left-");
+        g_assert_false(after_change &&
                        strcmp(json_string_value(json_object_get(run, "engine")), "lock-1") == 0);
     }
     json_decref(seen);
@@ -87,11 +89,11 @@
     estate_stop(estate);
 }
 
-/* One relay is killed, then the other: a weak node goes on by what it knows, finds the other, and
- * in the end reads the table itself. */
+/* Both relays are killed, one after the other: weak nodes serve from the rows they have, switch to
+ * the other relay, and then read the table themselves. */
 static void test_relays_are_lost(void) {
     estate_t *estate = estate_start_each(
-        NODES, FLAGS " --lease-quiet-ms=1000 --lease-duration-ms=800", two_strong);
+        NODES, FLAGS " --lease-quiet-ms=1000 --lease-duration-ms=800", node_flags);
     estate_wait_controller(estate, 8000);
     g_assert_cmpint(asked(estate, 2, "/chat/x", "l1", EDGE_MODEL("m0")), ==, 200);
     process_kill(&estate->nodes[0].process);
@@ -113,10 +115,10 @@
     estate_stop(estate);
 }
 
-/* Relays start anew while an engine goes: who was told of it before hears that it is gone, though
- * no relay has ever known it. */
+/* An engine ends while both relays restart: subscribers must learn that it is removed, though the
+ * new relays never knew it. */
 static void test_relays_start_anew(void) {
-    estate_t *estate = estate_start_each(NODES, FLAGS, two_strong);
+    estate_t *estate = estate_start_each(NODES, FLAGS, node_flags);
     estate_wait_controller(estate, 8000);
     g_assert_cmpint(asked(estate, 2, "/lock/x", "s1", EDGE_DEADLINE), ==, 200);
     g_assert_cmpfloat(estate_metric(estate, 2, "engines"), ==, 2);
@@ -134,21 +136,22 @@
     estate_stop(estate);
 }
 
-/* All are killed at once: rows tell who is strong, and all serve again soon. */
+/* All nodes are killed at once: restarted nodes find the strong nodes by their rows and soon serve
+ * requests. */
 static void test_all_killed(void) {
-    estate_t *estate = estate_start_each(NODES, FLAGS, two_strong);
+    estate_t *estate = estate_start_each(NODES, FLAGS, node_flags);
     estate_wait_controller(estate, 8000);
     for (int node = 0; node < NODES; node++) {
         process_kill(&estate->nodes[node].process);
     }
-    int64_t began_ms = harness_now_ms();
+    int64_t started_ms = harness_now_ms();
     for (int node = 0; node < NODES; node++) {
         estate_node_launch(estate, node);
     }
     for (int node = 0; node < NODES; node++) {
         estate_wait_ready(estate, node);
     }
-    g_assert_cmpint(harness_now_ms() - began_ms, <, 2000);
+    g_assert_cmpint(harness_now_ms() - started_ms, <, 2000);
     for (int node = 0; node < NODES; node++) {
         g_autofree char *id = g_strdup_printf("k%d", node);
         g_assert_cmpint(asked(estate, node, "/chat/x", id, EDGE_MODEL("m0")), ==, 200);
--- a/tests/edge/test_engines.c
+++ b/tests/edge/test_engines.c
@@ -1,10 +1,10 @@
-/* Engines that start again under their id, and rows that another writer puts among theirs. */
+/* Engines that restart with the same id, invalid rows in the table of engines, and cold engines. */
 #include "edge.h"
 
 #include <string.h>
 
-/* From the row that shows another start to the last request for what only the earlier one held. */
-#define DROPPED_MS 1500
+/* Time after a restart by which nodes must have dropped the models of the earlier process. */
+#define RESTART_DETECTION_MS 1500
 
 static int asked(const estate_t *estate, int node, const char *path, const char *id,
                  const char *headers) {
@@ -14,7 +14,7 @@
     return status;
 }
 
-static void engine_row(const estate_t *estate, const char *key, const char *value) {
+static void engine_row_write(const estate_t *estate, const char *key, const char *value) {
     json_t *call = json_pack("{s:s, s:s, s:s, s:s}", "do", "put", "table", "servers", "key", key,
                              "value", value);
     char *text = json_dumps(call, JSON_COMPACT);
@@ -23,23 +23,23 @@
     json_decref(call);
 }
 
-static void engine_keeps_id(const estate_t *estate, const char *engine, int back_ms) {
+static void engine_restart_configure(const estate_t *estate, const char *engine, int restart_ms) {
     estate_do(estate,
               "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"same_id\",\"value\":1}",
               engine);
     estate_do(estate,
               "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
-              engine, back_ms);
+              engine, restart_ms);
 }
 
-/* Only llm-2 holds m2. It crashes and is back under its id before its row could lapse, empty. A
- * node must know so from its row, send nothing there for m2, and have m2 loaded. */
+/* Only llm-2 has m2. It crashes and restarts with the same id before its row expires, without
+ * models. Nodes must see the restart in its row, send it no requests for m2, and have m2 loaded. */
 static void test_start_under_a_known_id(void) {
     estate_t *estate = estate_start(2, NULL);
     g_assert_cmpint(asked(estate, 0, "/chat/x", "r1", EDGE_MODEL("m2")), ==, 200);
-    engine_keeps_id(estate, "llm-2", 100);
+    engine_restart_configure(estate, "llm-2", 100);
     estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
-    g_usleep(DROPPED_MS * 1000);
+    g_usleep(RESTART_DETECTION_MS * 1000);
     for (int node = 0; node < 2; node++) {
         g_assert_true(estate_log_has(estate, node, "\"event\":\"engine-restarted\""));
     }
@@ -51,10 +51,10 @@
     estate_stop(estate);
 }
 
-/* Twice within two seconds: the room of the first start is no room taken at the last. */
+/* Two restarts within two seconds: memory used before a restart must count as free after it. */
 static void test_starts_twice(void) {
     estate_t *estate = estate_start(1, NULL);
-    engine_keeps_id(estate, "llm-2", 50);
+    engine_restart_configure(estate, "llm-2", 50);
     for (int i = 0; i < 2; i++) {
         estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
         g_usleep(900000);
@@ -70,31 +70,31 @@
     estate_stop(estate);
 }
 
-/* A request that its engine answers nothing for any more ends when the engine's next start is
- * known, not when its time is over: a request that may run again goes on elsewhere. */
+/* A request that runs on an engine that restarts must end when the restart is detected, not at its
+ * timeout. */
 static void test_what_ran_there_ends(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
     g_usleep(600000);
-    engine_keeps_id(estate, "llm-2", 100);
+    engine_restart_configure(estate, "llm-2", 100);
     estate_do(estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-2\",\"fault\":\"mute\"}");
     wire_t *wire = wire_open(estate->nodes[0].callers_port);
-    int64_t began_ms = harness_now_ms();
+    int64_t started_ms = harness_now_ms();
     wire_post(wire, "/note/x", "mute", EDGE_MODEL("m2"), "hello");
     g_usleep(300000);
     estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
     wire_answer_t *answer = wire_read(wire, 10000);
     g_assert_cmpint(answer->status, ==, 502);
-    g_assert_cmpint(harness_now_ms() - began_ms, <, 3000);
+    g_assert_cmpint(harness_now_ms() - started_ms, <, 3000);
     wire_answer_free(answer);
     wire_close(wire);
     estate_stop(estate);
 }
 
-/* Rows of another writer name no engine to use; the others hold. A good row that turns bad takes
- * its engine out, and one that turns good again brings it back. */
+/* Invalid rows from another writer are ignored, and valid rows stay in use. An engine whose row
+ * becomes invalid is removed until the row is valid again. */
 static void test_rows_of_another_writer(void) {
-    static const char *const bad[] = {
+    static const char *const invalid_rows[] = {
         "{}",
         "{\"service\":\"lock\",\"address\":7}",
         "not JSON",
@@ -103,13 +103,13 @@
         "{\"service\":\"lock\",\"address\":\"127.0.0.1:1\",\"zone\":\"zone-1\",\"slots\":8,"
         "\"state\":\"ready\",\"sequence\":1}"};
     estate_t *estate = estate_start(2, "--drain-ms=1000");
-    for (gsize i = 0; i < G_N_ELEMENTS(bad); i++) {
+    for (gsize i = 0; i < G_N_ELEMENTS(invalid_rows); i++) {
         g_autofree char *key = g_strdup_printf("foreign-%zu", i);
-        engine_row(estate, key, bad[i]);
+        engine_row_write(estate, key, invalid_rows[i]);
     }
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
                       "\"value\":1}");
-    engine_row(estate, "lock-1", "{\"service\":\"lock\"}");
+    engine_row_write(estate, "lock-1", "{\"service\":\"lock\"}");
     g_usleep(1500000);
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("o%d", i);
@@ -131,7 +131,7 @@
     estate_stop(estate);
 }
 
-/* Most runs at an engine within a second. */
+/* Returns the maximum number of runs at an engine within any second. */
 static unsigned most_in_a_second(const estate_t *estate, const char *engine) {
     json_t *seen = estate_seen(estate);
     g_autoptr(GArray) times = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -144,19 +144,18 @@
         }
     }
     json_decref(seen);
-    unsigned most = 0;
+    unsigned max_runs = 0;
     for (guint first = 0, last = 0; last < times->len; last++) {
         while (g_array_index(times, int64_t, last) - g_array_index(times, int64_t, first) >= 1000) {
             first++;
         }
-        most = MAX(most, last - first + 1);
+        max_runs = MAX(max_runs, last - first + 1);
     }
-    return most;
+    return max_runs;
 }
 
-/* Both engines of a service turn cold while three nodes have 40 requests at one moment: no second
- * sees more of them at an engine than it bears, 2 x 1.5 + 1; and once they are warm all are served.
- */
+/* Both engines of a service are cold when three nodes get 40 requests at once: in any second, no
+ * engine gets more than it sustains while cold (2 x 1.5 + 1). Once warm they serve all requests. */
 static void test_cold_engines(void) {
     estate_t *estate = estate_start(3, "--cold-overage=1.5 --cold-slack=1");
     static const char *const engines[] = {"lock-1", "lock-2"};
--- a/tests/edge/test_once.c
+++ b/tests/edge/test_once.c
@@ -1,10 +1,11 @@
-/* What may run once runs at most once; "not run" is said only when it is known. */
+/* Requests that aren't repeatable run at most once, and a response says "not run" only if that is
+ * certain. */
 #include "edge.h"
 
 #include <string.h>
 
-/* Asks with a fault at both engines of the service, and checks status and runs. */
-static void asked_with_fault(const char *path, const char *fault, int count, int status, int runs) {
+/* Sends a request with a fault at both engines of the service, and checks its status and runs. */
+static void fault_test(const char *path, const char *fault, int count, int status, int runs) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_share(estate, 0, 1);
     estate_do(estate,
@@ -23,20 +24,20 @@
 }
 
 static void test_broken_runs(void) {
-    asked_with_fault("/lock/x", "reset", 1, 502, 1);    /* it may have run: no promise */
-    asked_with_fault("/lock/x", "unsealed", 1, 502, 1); /* no proper answer */
-    asked_with_fault("/lock/x", "error", 1, 500, 1);    /* the engine's own failure, as it is */
-    asked_with_fault("/lock/x", "mute", 1, 504, 1);     /* until the route's time is over */
+    fault_test("/lock/x", "reset", 1, 502, 1);    /* it may have run */
+    fault_test("/lock/x", "unsealed", 1, 502, 1); /* invalid response */
+    fault_test("/lock/x", "error", 1, 500, 1);    /* the engine's error is forwarded */
+    fault_test("/lock/x", "mute", 1, 504, 1);     /* until the route's timeout */
 }
 
 static void test_rejected_runs(void) {
-    asked_with_fault("/lock/x", "reject", 9, 503, 0); /* both turn it away, again and again */
-    asked_with_fault("/lock/x", "reject", 1, 200,
-                     1); /* both do once: asked again within its target */
+    fault_test("/lock/x", "reject", 9, 503, 0); /* both always reject it */
+    fault_test("/lock/x", "reject", 1, 200,
+               1); /* both reject it once: retried within the target latency */
 }
 
-/* The only engine that holds a model turns a request away for the moment: it is asked again soon,
- * and the model isn't loaded elsewhere. */
+/* If the only engine with the model rejects a request once, the request is retried there soon and
+ * the model isn't loaded on another engine. */
 static void test_only_holder_rejects(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_share(estate, 0, 1);
@@ -45,13 +46,13 @@
         estate_do(
             estate,
             "{\"do\":\"engine-fault\",\"engine\":\"llm-1\",\"fault\":\"reject\",\"count\":1}");
-        int64_t began_ms = harness_now_ms();
+        int64_t started_ms = harness_now_ms();
         wire_answer_t *answer =
             wire_ask(estate->nodes[0].callers_port, "/chat/x", id, EDGE_MODEL("m1"));
-        int64_t took_ms = harness_now_ms() - began_ms;
-        g_test_message("%d after %d ms", answer->status, (int)took_ms);
+        int64_t elapsed_ms = harness_now_ms() - started_ms;
+        g_test_message("%d after %d ms", answer->status, (int)elapsed_ms);
         g_assert_cmpint(answer->status, ==, 200);
-        g_assert_cmpint(took_ms, <, 550);
+        g_assert_cmpint(elapsed_ms, <, 550);
         g_assert_cmpint(estate_runs(estate, id), ==, 1);
         wire_answer_free(answer);
     }
@@ -60,17 +61,17 @@
 }
 
 static void test_repeatable_runs(void) {
-    asked_with_fault("/look/x", "reset", 1, 502, 2); /* as many engines as the route allows */
-    asked_with_fault("/look/x", "mute", 1, 504, 2);
+    fault_test("/look/x", "reset", 1, 502, 2); /* as many engines as the route allows */
+    fault_test("/look/x", "mute", 1, 504, 2);
 }
 
-/* A resumable stream that breaks off goes on elsewhere after its last whole event. */
+/* A resumable stream that is aborted continues on another engine after its last complete event. */
 static void test_stream_is_resumed(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_share(estate, 0, 1);
     int resumed = 0;
     for (int i = 0; i < 8; i++) {
-        /* One engine breaks its next answer off; the other goes on with it. */
+        /* One engine aborts its next response; the other one resumes it. */
         estate_do(estate,
                   "{\"do\":\"engine-fault\",\"engine\":\"llm-1\",\"fault\":\"cut\",\"count\":1}");
         g_autofree char *id = g_strdup_printf("t%d", i);
@@ -79,19 +80,19 @@
         g_assert_true(answer->whole);
         for (int event = 1; event <= 5; event++) {
             g_autofree char *text = g_strdup_printf("id: %d\ndata: %s-%d\n\n", event, id, event);
-            const char *place = strstr(answer->body->str, text);
-            g_assert_nonnull(place);
-            g_assert_null(strstr(place + 1, text));
+            const char *position = strstr(answer->body->str, text);
+            g_assert_nonnull(position);
+            g_assert_null(strstr(position + 1, text));
         }
         resumed += estate_runs(estate, id) == 2;
         wire_answer_free(answer);
-        g_usleep(500000); /* the engine is no longer avoided */
+        g_usleep(500000); /* until the engine is no longer avoided */
     }
     g_assert_cmpint(resumed, >, 0);
     estate_stop(estate);
 }
 
-/* A stream that may not be resumed is broken off, never ended as if it were whole. */
+/* An aborted stream that can't be resumed must not end as if it were complete. */
 static void test_cut_stream_is_not_whole(void) {
     estate_t *estate = estate_start(1, NULL);
     for (int i = 1; i <= 2; i++)
@@ -108,46 +109,45 @@
     estate_stop(estate);
 }
 
-/* An engine that says nothing to what was sent gets no more, long before those requests are given
- * up. */
+/* An unresponsive engine gets no more requests long before the pending ones time out. */
 static void test_quiet_engine_is_left_alone(void) {
-    enum { ASKED = 24 };
+    enum { REQUESTS = 24 };
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate,
               "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"mute\",\"count\":99}");
-    wire_t *wires[ASKED];
+    wire_t *wires[REQUESTS];
     int served = 0;
-    for (int i = 0; i < ASKED; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
         g_autofree char *id = g_strdup_printf("q%d", i);
         wires[i] = wire_open(estate->nodes[0].callers_port);
         wire_post(wires[i], "/lock/x", id, EDGE_DEADLINE, "hello");
         g_usleep(70000);
     }
-    for (int i = 0; i < ASKED; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
         wire_answer_t *answer = wire_read(wires[i], 4000);
         served += answer->status == 200;
         wire_answer_free(answer);
         wire_close(wires[i]);
     }
-    g_test_message("%d of %d served", served, ASKED);
-    g_assert_cmpint(served, >=, ASKED - 6);
+    g_test_message("%d of %d served", served, REQUESTS);
+    g_assert_cmpint(served, >=, REQUESTS - 6);
     estate_stop(estate);
 }
 
-#define RELAY_SETTLES_US 20000 /* the proxy takes a fault up a moment after it has said so */
+#define PROXY_SETTLE_US 20000 /* the proxy applies a fault shortly after it responds */
 
-/* Cuts the way to both engines behind each byte, and checks what each answer promises. */
-static void once_cut_at_every_byte(estate_t *estate, const char *fault, int bytes) {
-    int unsure = 0;
-    for (int at = 0; at <= bytes; at += 3) {
-        g_autofree char *id = g_strdup_printf("once-%d", at);
-        estate_engine_fault(estate, 0, fault, at, 1);
-        estate_engine_fault(estate, 1, fault, at, 1);
-        g_usleep(RELAY_SETTLES_US);
+/* Cuts the connections to both engines at every third byte: the status must agree with the runs. */
+static void single_run_cut_test(estate_t *estate, const char *fault, int bytes) {
+    int unknown_outcomes = 0;
+    for (int offset = 0; offset <= bytes; offset += 3) {
+        g_autofree char *id = g_strdup_printf("once-%d", offset);
+        estate_engine_fault(estate, 0, fault, offset, 1);
+        estate_engine_fault(estate, 1, fault, offset, 1);
+        g_usleep(PROXY_SETTLE_US);
         wire_answer_t *answer =
             wire_ask(estate->nodes[0].callers_port, "/lock/x", id, EDGE_DEADLINE);
         int runs = estate_runs(estate, id);
-        g_test_message("%s behind %d: %d, %d runs", fault, at, answer->status, runs);
+        g_test_message("%s behind %d: %d, %d runs", fault, offset, answer->status, runs);
         g_assert_cmpint(runs, <=, 1);
         g_assert_true(answer->status == 200 || answer->status == 502 || answer->status == 503);
         if (answer->status == 503)
@@ -157,19 +157,19 @@
             g_assert_true(g_str_has_prefix(answer->body->str, body));
             g_assert_true(answer->whole);
         }
-        unsure += answer->status == 502;
+        unknown_outcomes += answer->status == 502;
         wire_answer_free(answer);
     }
-    g_assert_cmpint(unsure, >, 20);
+    g_assert_cmpint(unknown_outcomes, >, 20);
 }
 
-/* Cuts the way to one engine: a request that may be repeated is served by the other. */
-static void again_cut_at_every_byte(estate_t *estate, const char *fault, int bytes) {
+/* Cuts the connection to one engine at every third byte: the other engine serves the request. */
+static void repeatable_cut_test(estate_t *estate, const char *fault, int bytes) {
     estate_engine_fault(estate, 1, "pass", 0, 0);
-    for (int at = 0; at <= bytes; at += 3) {
-        g_autofree char *id = g_strdup_printf("again-%d", at);
-        estate_engine_fault(estate, 0, fault, at, 1);
-        g_usleep(RELAY_SETTLES_US);
+    for (int offset = 0; offset <= bytes; offset += 3) {
+        g_autofree char *id = g_strdup_printf("again-%d", offset);
+        estate_engine_fault(estate, 0, fault, offset, 1);
+        g_usleep(PROXY_SETTLE_US);
         wire_answer_t *answer =
             wire_ask(estate->nodes[0].callers_port, "/look/x", id, EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
@@ -178,26 +178,26 @@
     }
 }
 
-static void cut_at_every_byte(const char *fault, int bytes) {
+static void cut_test(const char *fault, int bytes) {
     estate_t *estate = estate_start(1, NULL);
-    once_cut_at_every_byte(estate, fault, bytes);
+    single_run_cut_test(estate, fault, bytes);
     estate_stop(estate);
-    /* Anew: connections that were kept would still be cut behind their byte. */
+    /* A new cluster, because kept connections would still be cut at their offset. */
     estate = estate_start(1, NULL);
     estate_wait_share(estate, 0, 1);
-    again_cut_at_every_byte(estate, fault, bytes);
+    repeatable_cut_test(estate, fault, bytes);
     estate_stop(estate);
 }
 
 static void test_cut_at_every_byte_of_the_request(void) {
-    cut_at_every_byte("cut_request", 200);
+    cut_test("cut_request", 200);
 }
 
 static void test_cut_at_every_byte_of_the_answer(void) {
-    cut_at_every_byte("cut_answer", 170);
+    cut_test("cut_answer", 170);
 }
 
-/* An engine that can't be reached costs nobody a request. */
+/* No repeatable request fails because of an unreachable engine. */
 static void test_unreached_engine(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_share(estate, 0, 1);
--- a/tests/edge/test_poison.c
+++ b/tests/edge/test_poison.c
@@ -1,38 +1,22 @@
-/* Requests that crash each engine that begins to run them.
- *
- * Seen: on a day of rare models one engine after the other ended, 28 in 90 s, each while it ran
- * requests of one model; requests of other callers broke off with them, and each engine came back
- * empty, so that its models were loaded anew.
- *
- * How it came about: a caller asked for the same again and again, at any node and each time under
- * another id. Each time the request was new to the node that it reached, and went to whichever
- * engine held its model; while the model was loaded anew, the repeats waited at all nodes and were
- * sent together once it was there.
- *
- * Cause: a broken run counted against its engine alone. Nothing was kept of what the engine had
- * been asked, so nothing told a repeat from any other request: neither at the same node, nor at
- * another, nor after a start.
- *
- * Proof: the digest of what was asked for, written where an engine breaks a request off, was the
- * same at engine after engine; and these tests, which fail without the memory of it. */
+/* Requests that crash every engine that runs them (poison requests) must be refused after three
+ * crashes, at every node and under any request id, also after restarts of nodes. */
 #include "edge.h"
 
 #include <string.h>
 
 #define NODES 3
-/* A model that several engines hold and any may load; a stream that runs once for each try. */
+/* Its model is on several engines and can be loaded on any; the route doesn't allow retries. */
 #define PATH "/note/x"
 #define POISON "crash: what no engine survives"
-/* Engines are crashed by it at most so often: three times until it is known, and what was under way
- * elsewhere by then. */
+/* Three crashes until the request is refused, and attempts that were running elsewhere by then. */
 #define CRASHES_MOST 5
-/* From the third crash to when no node sends it any more. */
+/* Time after the third crash from which no node may send the request. */
 #define KNOWN_MS 500
-/* Until an engine that crashed is back and its model loaded. */
-#define BACK_US 2500000
-/* Time between two tries of a caller that doesn't wait as it is told. */
-#define AGAIN_MS 60
-/* A repeat is refused for minutes, not for the moment. */
+/* Time until a crashed engine has restarted and loaded its model. */
+#define RESTART_US 2500000
+/* Retry interval of a client that ignores Retry-After. */
+#define RETRY_INTERVAL_MS 60
+/* The refusal lasts, so Retry-After must be long, too. */
 #define COME_BACK_LEAST_S 60.0
 
 typedef struct repeats_t {
@@ -51,16 +35,16 @@
     g_ptr_array_add(repeats->wires, wire);
 }
 
-/* Sends the request again and again, to one node after the other, for so long. */
+/* Sends the request repeatedly to all nodes in turn. */
 static void repeats_send_for(repeats_t *repeats, int64_t duration_ms) {
     int64_t until_ms = harness_now_ms() + duration_ms;
     while (harness_now_ms() < until_ms) {
         repeats_send(repeats, repeats->sent % repeats->estate->node_count);
-        g_usleep(AGAIN_MS * 1000);
+        g_usleep(RETRY_INTERVAL_MS * 1000);
     }
 }
 
-static repeats_t repeats_begin(const estate_t *estate) {
+static repeats_t repeats_create(const estate_t *estate) {
     return (repeats_t){estate, g_ptr_array_new_with_free_func((GDestroyNotify)wire_close), 0};
 }
 
@@ -71,8 +55,8 @@
     return count;
 }
 
-/* Sends it until three engines have ended, and a little longer. */
-static void repeats_until_known(repeats_t *repeats) {
+/* Sends the request until three engines have crashed and all nodes must know it. */
+static void repeats_send_until_known(repeats_t *repeats) {
     int64_t until_ms = harness_now_ms() + 15000;
     while (crashes_count(repeats->estate) < 3) {
         g_assert_cmpint(harness_now_ms(), <, until_ms);
@@ -81,7 +65,8 @@
     repeats_send_for(repeats, KNOWN_MS);
 }
 
-/* Checks how many engines it crashed, and that it reached none later than it had to be known. */
+/* Asserts the number of crashes, and that the request reached no engine after all nodes must know
+ * it. */
 static void assert_stopped(const estate_t *estate) {
     json_t *seen = estate_seen(estate);
     const json_t *crashes = json_object_get(seen, "crashes");
@@ -104,7 +89,7 @@
     json_decref(seen);
 }
 
-/* Other requests of the same path are served at each node. */
+/* Asserts that every node serves other requests with the same path. */
 static void assert_others_served(const estate_t *estate, const char *prefix) {
     for (int node = 0; node < estate->node_count; node++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, node);
@@ -116,7 +101,7 @@
     }
 }
 
-/* The caller is told at once that it has not run, and that coming back soon has no use. */
+/* Asserts that the node refuses the request at once, without a run and with a long Retry-After. */
 static void assert_refused(const estate_t *estate, int node) {
     int64_t asked_ms = harness_now_ms();
     wire_t *wire = wire_open(estate->nodes[node].callers_port);
@@ -124,20 +109,21 @@
     wire_answer_t *answer = wire_read(wire, 9000);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - asked_ms, <, 300);
-    const char *told = strstr(answer->head->str, "Retry-After: ");
-    g_assert_nonnull(told);
-    g_assert_cmpfloat(g_ascii_strtod(told + strlen("Retry-After: "), NULL), >=, COME_BACK_LEAST_S);
+    const char *header = strstr(answer->head->str, "Retry-After: ");
+    g_assert_nonnull(header);
+    g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), >=,
+                      COME_BACK_LEAST_S);
     g_assert_cmpint(estate_runs(estate, "told"), ==, 0);
     wire_answer_free(answer);
     wire_close(wire);
 }
 
-/* The same request comes to all nodes, also while its model is loaded anew and it waits. */
+/* The request is sent to all nodes, also while it waits for its model to be reloaded. */
 static void test_repeats_at_all_nodes(void) {
     estate_t *estate = estate_start(NODES, NULL);
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     estate_wait_controller(estate, 8000);
-    repeats_until_known(&repeats);
+    repeats_send_until_known(&repeats);
     repeats_send_for(&repeats, 5000);
     assert_stopped(estate);
     for (int node = 0; node < NODES; node++) {
@@ -148,12 +134,12 @@
     estate_stop(estate);
 }
 
-/* All nodes are killed at once after it was known: none of those that start knows it by itself. */
+/* All nodes are killed at once: restarted nodes have to get the crash history elsewhere. */
 static void test_all_nodes_killed(void) {
     estate_t *estate = estate_start(NODES, NULL);
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     estate_wait_controller(estate, 8000);
-    repeats_until_known(&repeats);
+    repeats_send_until_known(&repeats);
     repeats_send_for(&repeats, 1500);
     for (int node = 0; node < NODES; node++) {
         process_kill(&estate->nodes[node].process);
@@ -171,12 +157,12 @@
     estate_stop(estate);
 }
 
-/* The node that the others report to dies right after the third crash, and comes back. */
+/* The controller, which gets the other nodes' reports, is killed after the third crash. */
 static void test_controller_killed(void) {
     estate_t *estate = estate_start(NODES, "--lease-quiet-ms=1000 --lease-duration-ms=800");
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_until_known(&repeats);
+    repeats_send_until_known(&repeats);
     process_kill(&estate->nodes[controller].process);
     repeats_send_for(&repeats, 4000);
     estate_node_launch(estate, controller);
@@ -188,7 +174,7 @@
     estate_stop(estate);
 }
 
-/* Answers that break off at engines that live say nothing against the request. */
+/* Aborted responses of engines that keep running don't count as crashes. */
 static void test_broken_answers_are_no_crash(void) {
     estate_t *estate = estate_start(1, NULL);
     for (int i = 0; i < 8; i++) {
@@ -211,7 +197,7 @@
     estate_stop(estate);
 }
 
-/* Sends the request to a node. Returns its status. */
+/* Sends the poison request to a node. Returns its status, 0 if the response isn't complete. */
 static int status_at(const estate_t *estate, int node, const char *id) {
     wire_t *wire = wire_open(estate->nodes[node].callers_port);
     wire_post(wire, PATH, id, EDGE_MODEL("m0"), POISON);
@@ -222,10 +208,10 @@
     return status;
 }
 
-/* What many callers ask for alike is under way at each engine that crashes, and is served on. */
+/* A bystander request that runs at every engine that crashes must not be refused. */
 static void test_bystanders_are_served(void) {
     estate_t *estate = estate_start(NODES, NULL);
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     estate_wait_controller(estate, 8000);
     assert_others_served(estate, "before");
     while (crashes_count(estate) < 3) {
@@ -241,20 +227,20 @@
     }
     repeats_send_for(&repeats, KNOWN_MS);
     assert_stopped(estate);
-    g_usleep(BACK_US);
+    g_usleep(RESTART_US);
     assert_others_served(estate, "after");
     g_ptr_array_unref(repeats.wires);
     estate_stop(estate);
 }
 
-/* One node tries it now and then: no more engines crash for that than tries are made, and once
- * engines bear it, all nodes serve it again. */
+/* One node runs trials of the request: each crashes one engine at most, and when engines survive it
+ * all nodes serve it again. */
 static void test_tried_again(void) {
     estate_t *estate = estate_start(NODES, "--poison-trial-s=1");
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_until_known(&repeats);
-    repeats_send_for(&repeats, 3500); /* the first try falls into this, the second doesn't */
+    repeats_send_until_known(&repeats);
+    repeats_send_for(&repeats, 3500); /* includes the first trial but not the second */
     g_assert_true(estate_log_has(estate, controller, "\"event\":\"request-tried\""));
     g_test_message("%d crashes", crashes_count(estate));
     g_assert_cmpint(crashes_count(estate), ==, 4);
@@ -262,10 +248,10 @@
         estate_do(estate, "{\"do\":\"engine-harden\",\"engine\":\"llm-%d\"}", engine);
     }
     int64_t until_ms = harness_now_ms() + 8000;
-    int served = 0;
-    while (served != 200) {
+    int status = 0;
+    while (status != 200) {
         g_assert_cmpint(harness_now_ms(), <, until_ms);
-        served = status_at(estate, controller, "tried");
+        status = status_at(estate, controller, "tried");
         g_usleep(100000);
     }
     g_usleep(300000);
@@ -288,12 +274,12 @@
     return output;
 }
 
-/* An operator sees what is refused, and lets it be served again, at any node for all. */
+/* An operator can list refused requests and clear one at any node, for all nodes. */
 static void test_operator_forgives(void) {
     estate_t *estate = estate_start(2, NULL);
-    repeats_t repeats = repeats_begin(estate);
+    repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_until_known(&repeats);
+    repeats_send_until_known(&repeats);
     g_autofree char *refused = wickctl(estate, 1 - controller, "");
     g_assert_nonnull(strstr(refused, " refused   3 engines"));
     g_autofree char *digest = g_strndup(refused, strcspn(refused, " "));
--- a/tests/edge/test_told.c
+++ b/tests/edge/test_told.c
@@ -1,4 +1,4 @@
-/* What engines tell of themselves in answers binds the nodes: limits, leaving, rest. */
+/* Nodes must respect what engines report in response headers: limits, draining and backoff. */
 #include "edge.h"
 
 #include "harness/limit_oracle.h"
@@ -6,116 +6,115 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* As the users' deployments have it: the time after which a node that nothing disturbs must go by
- * what it was told. */
-#define CONTACT_MS 3000
+/* Time after the first report of a limit until nodes must respect it. */
+#define LIMIT_GRACE_MS 3000
 #define DRAIN_MS 2000
-#define REST_MS 3000
-/* From when on a request counts that comes in spite of a wish for rest. */
-#define REST_FROM_MS 500
-#define CALLERS_A_NODE 3
-#define CALLER_PACE_US 20000
-/* By then a node that has started takes its part of what all nodes share. */
-#define SHARES_MS 6000
-
-/* An answer as a caller got it. */
-typedef struct seen_answer_t {
+#define BACKOFF_MS 3000
+/* Time after the engine's first Retry-After from which arrivals count as violations. */
+#define BACKOFF_GRACE_MS 500
+#define CLIENTS_PER_NODE 3
+#define CLIENT_INTERVAL_US 20000
+/* A node that has started uses its share of what all nodes divide after this time. */
+#define SHARES_SETTLE_MS 6000
+
+/* A response as received by a client. */
+typedef struct response_t {
     char id[32];
-    char engine[32]; /* "": no engine's answer */
+    char engine[32]; /* "": the response isn't from an engine */
     int node;
     gboolean limited;
-    gboolean leaving;
+    gboolean draining;
     int64_t sent_ms;
     int64_t answered_ms;
-} seen_answer_t;
+} response_t;
 
-/* Callers of the lock service, some at each node, one request after the other. */
-typedef struct callers_t {
+/* Clients of the lock service at each node; each sends one request after the other. */
+typedef struct clients_t {
     const estate_t *estate;
     GMutex lock;
-    GArray *answers; /* of seen_answer_t */
+    GArray *responses; /* of response_t */
     GPtrArray *threads;
-    gint numbers;
+    gint next_number;
     gint stop;
-} callers_t;
+} clients_t;
 
-typedef struct caller_t {
-    callers_t *callers;
+typedef struct client_t {
+    clients_t *clients;
     int node;
-} caller_t;
+} client_t;
 
-/* Which engine ran a request: the stand-in's body ends with "at ENGINE". */
+/* Reads which engine ran a request: the stand-in's body ends with "at ENGINE". */
 static void engine_read(const wire_answer_t *answer, char *engine, gsize size) {
     const char *at = answer->body != NULL ? strstr(answer->body->str, " at ") : NULL;
     g_strlcpy(engine, at != NULL ? at + strlen(" at ") : "", size);
 }
 
-static gpointer caller_run(gpointer data) {
-    g_autofree caller_t *caller = data;
-    callers_t *callers = caller->callers;
-    while (!g_atomic_int_get(&callers->stop)) {
-        seen_answer_t seen = {.node = caller->node, .sent_ms = harness_now_ms()};
-        g_snprintf(seen.id, sizeof(seen.id), "n%d-%d", caller->node,
-                   g_atomic_int_add(&callers->numbers, 1));
-        wire_answer_t *answer = wire_ask(callers->estate->nodes[caller->node].callers_port,
-                                         "/lock/x", seen.id, EDGE_DEADLINE);
-        seen.answered_ms = harness_now_ms();
-        seen.limited = strstr(answer->head->str, "Server-Limit") != NULL;
-        seen.leaving = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
-        engine_read(answer, seen.engine, sizeof(seen.engine));
+static gpointer client_run(gpointer data) {
+    g_autofree client_t *client = data;
+    clients_t *clients = client->clients;
+    while (!g_atomic_int_get(&clients->stop)) {
+        response_t response = {.node = client->node, .sent_ms = harness_now_ms()};
+        g_snprintf(response.id, sizeof(response.id), "n%d-%d", client->node,
+                   g_atomic_int_add(&clients->next_number, 1));
+        wire_answer_t *answer = wire_ask(clients->estate->nodes[client->node].callers_port,
+                                         "/lock/x", response.id, EDGE_DEADLINE);
+        response.answered_ms = harness_now_ms();
+        response.limited = strstr(answer->head->str, "Server-Limit") != NULL;
+        response.draining = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
+        engine_read(answer, response.engine, sizeof(response.engine));
         wire_answer_free(answer);
-        g_mutex_lock(&callers->lock);
-        g_array_append_val(callers->answers, seen);
-        g_mutex_unlock(&callers->lock);
-        g_usleep(CALLER_PACE_US);
+        g_mutex_lock(&clients->lock);
+        g_array_append_val(clients->responses, response);
+        g_mutex_unlock(&clients->lock);
+        g_usleep(CLIENT_INTERVAL_US);
     }
     return NULL;
 }
 
-static callers_t *callers_start(const estate_t *estate) {
-    callers_t *callers = g_new0(callers_t, 1);
-    callers->estate = estate;
-    g_mutex_init(&callers->lock);
-    callers->answers = g_array_new(FALSE, FALSE, sizeof(seen_answer_t));
-    callers->threads = g_ptr_array_new();
-    for (int i = 0; i < estate->node_count * CALLERS_A_NODE; i++) {
-        caller_t *caller = g_new0(caller_t, 1);
-        *caller = (caller_t){callers, i / CALLERS_A_NODE};
-        g_ptr_array_add(callers->threads, g_thread_new("caller", caller_run, caller));
+static clients_t *clients_start(const estate_t *estate) {
+    clients_t *clients = g_new0(clients_t, 1);
+    clients->estate = estate;
+    g_mutex_init(&clients->lock);
+    clients->responses = g_array_new(FALSE, FALSE, sizeof(response_t));
+    clients->threads = g_ptr_array_new();
+    for (int i = 0; i < estate->node_count * CLIENTS_PER_NODE; i++) {
+        client_t *client = g_new0(client_t, 1);
+        *client = (client_t){clients, i / CLIENTS_PER_NODE};
+        g_ptr_array_add(clients->threads, g_thread_new("caller", client_run, client));
     }
-    return callers;
+    return clients;
 }
 
-static void callers_join(callers_t *callers) {
-    g_atomic_int_set(&callers->stop, 1);
-    for (guint i = 0; i < callers->threads->len; i++) {
-        g_thread_join(g_ptr_array_index(callers->threads, i));
+static void clients_join(clients_t *clients) {
+    g_atomic_int_set(&clients->stop, 1);
+    for (guint i = 0; i < clients->threads->len; i++) {
+        g_thread_join(g_ptr_array_index(clients->threads, i));
     }
-    g_ptr_array_set_size(callers->threads, 0);
+    g_ptr_array_set_size(clients->threads, 0);
 }
 
-static void callers_free(callers_t *callers) {
-    g_ptr_array_unref(callers->threads);
-    g_array_unref(callers->answers);
-    g_mutex_clear(&callers->lock);
-    g_free(callers);
+static void clients_free(clients_t *clients) {
+    g_ptr_array_unref(clients->threads);
+    g_array_unref(clients->responses);
+    g_mutex_clear(&clients->lock);
+    g_free(clients);
 }
 
-static void state_lines(const estate_t *estate, const char *engine, const char *lines) {
+static void state_headers_set(const estate_t *estate, const char *engine, const char *lines) {
     estate_do(estate, "{\"do\":\"engine-state\",\"engine\":\"%s\",\"lines\":\"%s\"}", engine,
               lines);
 }
 
-static void rest_ask(const estate_t *estate, const char *engine, const char *retry_after) {
+static void retry_after_set(const estate_t *estate, const char *engine, const char *retry_after) {
     estate_do(estate, "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}", engine,
               retry_after);
 }
 
-/* Calls a function for each request that came to an engine. Its id tells the node: "nNODE-NUMBER".
- */
-static void arrivals_each(const estate_t *estate, const char *engine,
-                          void (*visit)(const char *id, int node, int64_t at_ms, void *context),
-                          void *context) {
+/* Calls a function for each client request that arrived at an engine. The id names the node:
+ * "nNODE-NUMBER". */
+static void arrivals_visit(const estate_t *estate, const char *engine,
+                           void (*visit)(const char *id, int node, int64_t at_ms, void *context),
+                           void *context) {
     json_t *seen = estate_seen(estate);
     size_t i;
     json_t *arrival;
@@ -129,7 +128,7 @@
     json_decref(seen);
 }
 
-static void arrival_take(const char *id, int node, int64_t at_ms, void *context) {
+static void arrival_record(const char *id, int node, int64_t at_ms, void *context) {
     (void)id;
     limit_oracle_arrival(context, node, at_ms);
 }
@@ -143,22 +142,22 @@
 
 static unsigned arrivals_count(const estate_t *estate, const char *engine) {
     unsigned count = 0;
-    arrivals_each(estate, engine, arrival_count, &count);
+    arrivals_visit(estate, engine, arrival_count, &count);
     return count;
 }
 
-/* Checks an engine that has named a limit; @return how much it got in its fullest window */
-static unsigned limit_check(const callers_t *callers, const char *engine, double per_s,
-                            int64_t named_ms) {
-    limit_oracle_t *oracle = limit_oracle_create(per_s, CONTACT_MS);
-    limit_oracle_named(oracle, named_ms);
-    for (guint i = 0; i < callers->answers->len; i++) {
-        const seen_answer_t *seen = &g_array_index(callers->answers, seen_answer_t, i);
-        if (seen->limited && strcmp(seen->engine, engine) == 0) {
-            limit_oracle_passed_on(oracle, seen->node, seen->answered_ms);
+/* Checks the bound on arrivals at a limited engine. Returns the arrivals of its fullest window. */
+static unsigned limit_check(const clients_t *clients, const char *engine, double per_s,
+                            int64_t reported_ms) {
+    limit_oracle_t *oracle = limit_oracle_create(per_s, LIMIT_GRACE_MS);
+    limit_oracle_named(oracle, reported_ms);
+    for (guint i = 0; i < clients->responses->len; i++) {
+        const response_t *response = &g_array_index(clients->responses, response_t, i);
+        if (response->limited && strcmp(response->engine, engine) == 0) {
+            limit_oracle_passed_on(oracle, response->node, response->answered_ms);
         }
     }
-    arrivals_each(callers->estate, engine, arrival_take, oracle);
+    arrivals_visit(clients->estate, engine, arrival_record, oracle);
     limit_worst_t worst = limit_oracle_worst(oracle);
     g_test_message("%s: %u in 4 s, %.1f allowed", engine, worst.arrivals, worst.allowed);
     g_assert_cmpfloat(worst.arrivals, <=, worst.allowed);
@@ -166,56 +165,55 @@
     return worst.arrivals;
 }
 
-static void limits_play(const char *lines, double per_s) {
+static void limits_test(const char *lines, double per_s) {
     estate_t *estate = estate_start(3, NULL);
-    g_usleep(SHARES_MS * 1000);
-    callers_t *callers = callers_start(estate);
+    g_usleep(SHARES_SETTLE_MS * 1000);
+    clients_t *clients = clients_start(estate);
     g_usleep(500000);
-    int64_t named_ms = harness_now_ms();
-    state_lines(estate, "lock-1", lines);
-    state_lines(estate, "lock-2", lines);
+    int64_t reported_ms = harness_now_ms();
+    state_headers_set(estate, "lock-1", lines);
+    state_headers_set(estate, "lock-2", lines);
     g_usleep(13000000);
-    callers_join(callers);
-    unsigned arrivals = limit_check(callers, "lock-1", per_s, named_ms) +
-                        limit_check(callers, "lock-2", per_s, named_ms);
-    /* What an engine takes is there to be used. */
+    clients_join(clients);
+    unsigned arrivals = limit_check(clients, "lock-1", per_s, reported_ms) +
+                        limit_check(clients, "lock-2", per_s, reported_ms);
+    /* Nodes must also use what the limit allows. */
     g_assert_cmpfloat(arrivals, >=, per_s * 4);
-    callers_free(callers);
+    clients_free(clients);
     estate_stop(estate);
 }
 
-/* Guards against engines in need that get more than they named: 12 requests in 4 s for one a second
- * from the machines that they had told. */
+/* Guards against more arrivals at engines than their reported limit allows. */
 static void test_limit_is_kept(void) {
-    limits_play("Server-Limit: 1\\r\\n", 1);
+    limits_test("Server-Limit: 1\\r\\n", 1);
 }
 
 static void test_limit_of_a_fraction(void) {
-    limits_play("Server-Limit: 0.4\\r\\n", 0.4);
+    limits_test("Server-Limit: 0.4\\r\\n", 0.4);
 }
 
 static void test_limit_of_many(void) {
-    limits_play("Server-Limit: 12\\r\\n", 12);
+    limits_test("Server-Limit: 12\\r\\n", 12);
 }
 
-/* An engine that takes nothing gets next to nothing, and is found to take requests again. */
+/* An engine with limit 0 gets almost no requests; nodes detect when it accepts requests again. */
 static void test_limit_of_none_ends(void) {
-    limits_play("Server-Limit: 0\\r\\n", 0);
+    limits_test("Server-Limit: 0\\r\\n", 0);
 }
 
-/* All nodes use an engine again whose limit has ended, also those that had no part of it and so
- * heard nothing from it. */
+/* After a limit has ended all nodes use the engine again, also those that had no share of the limit
+ * and so received no response from it. */
 static void test_limit_ends(void) {
     estate_t *estate = estate_start(3, NULL);
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
-    g_usleep(SHARES_MS * 1000);
-    callers_t *callers = callers_start(estate);
-    state_lines(estate, "lock-1", "Server-Limit: 0.4\\r\\n");
+    g_usleep(SHARES_SETTLE_MS * 1000);
+    clients_t *clients = clients_start(estate);
+    state_headers_set(estate, "lock-1", "Server-Limit: 0.4\\r\\n");
     g_usleep(5000000);
-    state_lines(estate, "lock-1", "");
+    state_headers_set(estate, "lock-1", "");
     g_usleep(15000000);
-    callers_join(callers);
-    callers_free(callers);
+    clients_join(clients);
+    clients_free(clients);
     for (int i = 0; i < 30; i++) {
         g_autofree char *id = g_strdup_printf("after-%d", i);
         wire_answer_t *answer =
@@ -226,20 +224,20 @@
     estate_stop(estate);
 }
 
-/* Bytes that the engine didn't make end no limit: here an answer without a seal, or a name. */
+/* A response without the engine's seal or name must not end a limit: it may not be the engine's. */
 static void test_unsealed_answer_ends_no_limit(void) {
     estate_t *estate = estate_start(1, NULL);
     int port = estate->nodes[0].callers_port;
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(5000000);
-    state_lines(estate, "lock-1", "Server-Limit: 1\\r\\n");
+    state_headers_set(estate, "lock-1", "Server-Limit: 1\\r\\n");
     wire_answer_free(wire_ask(port, "/lock/x", "u1", EDGE_DEADLINE));
-    state_lines(estate, "lock-1", "");
+    state_headers_set(estate, "lock-1", "");
     g_usleep(50000);
     estate_do(estate, "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"unsealed\","
                       "\"count\":1}");
     wire_answer_free(wire_ask(port, "/lock/x", "u2", EDGE_DEADLINE));
-    g_usleep(300000); /* logs are written ten times a second */
+    g_usleep(300000); /* logs are flushed ten times a second */
     g_assert_true(estate_log_has(estate, 0, "\"event\":\"engine-limited\""));
     g_assert_false(estate_log_has(estate, 0, "\"event\":\"engine-limit-ended\""));
     wire_answer_free(wire_ask(port, "/lock/x", "u3", EDGE_DEADLINE));
@@ -248,85 +246,85 @@
     estate_stop(estate);
 }
 
-/* What is known of requests to an engine that leaves. */
-typedef struct leaving_look_t {
-    const callers_t *callers;
-    int64_t told_ms[ESTATE_NODES]; /* when each node first passed its word on; 0: it hasn't */
+/* Counts requests that reached a draining engine too late. */
+typedef struct draining_check_t {
+    const clients_t *clients;
+    int64_t told_ms[ESTATE_NODES]; /* first response per node that reports draining; 0: none */
     unsigned late;
-} leaving_look_t;
+} draining_check_t;
 
-static void late_count(const char *id, int node, int64_t at_ms, void *context) {
+static void late_arrival_count(const char *id, int node, int64_t at_ms, void *context) {
     (void)at_ms;
-    leaving_look_t *look = context;
-    for (guint i = 0; i < look->callers->answers->len; i++) {
-        const seen_answer_t *seen = &g_array_index(look->callers->answers, seen_answer_t, i);
-        if (strcmp(seen->id, id) == 0 && look->told_ms[node] != 0 &&
-            seen->sent_ms > look->told_ms[node] + DRAIN_MS) {
-            look->late++;
+    draining_check_t *check = context;
+    for (guint i = 0; i < check->clients->responses->len; i++) {
+        const response_t *response = &g_array_index(check->clients->responses, response_t, i);
+        if (strcmp(response->id, id) == 0 && check->told_ms[node] != 0 &&
+            response->sent_ms > check->told_ms[node] + DRAIN_MS) {
+            check->late++;
         }
     }
 }
 
-static void leaving_check(const callers_t *callers, const char *engine) {
-    leaving_look_t look = {.callers = callers};
-    for (guint i = 0; i < callers->answers->len; i++) {
-        const seen_answer_t *seen = &g_array_index(callers->answers, seen_answer_t, i);
-        int64_t *told_ms = &look.told_ms[seen->node];
-        if (seen->leaving && (*told_ms == 0 || seen->answered_ms < *told_ms)) {
-            *told_ms = seen->answered_ms;
+static void draining_assert(const clients_t *clients, const char *engine) {
+    draining_check_t check = {.clients = clients};
+    for (guint i = 0; i < clients->responses->len; i++) {
+        const response_t *response = &g_array_index(clients->responses, response_t, i);
+        int64_t *told_ms = &check.told_ms[response->node];
+        if (response->draining && (*told_ms == 0 || response->answered_ms < *told_ms)) {
+            *told_ms = response->answered_ms;
         }
     }
-    g_assert_true(look.told_ms[0] != 0 || look.told_ms[1] != 0);
-    arrivals_each(callers->estate, engine, late_count, &look);
-    g_test_message("%u requests later than %d ms after the node had passed the word on", look.late,
+    g_assert_true(check.told_ms[0] != 0 || check.told_ms[1] != 0);
+    arrivals_visit(clients->estate, engine, late_arrival_count, &check);
+    g_test_message("%u requests later than %d ms after the node had passed the word on", check.late,
                    DRAIN_MS);
-    g_assert_cmpuint(look.late, ==, 0);
+    g_assert_cmpuint(check.late, ==, 0);
 }
 
-/* Guards against requests that reach an engine 2.4 and 3.8 s after its answer had told the node
- * that it leaves, while its row, which the store takes no news of, says that it is ready. */
+/* Guards against requests sent to an engine more than the drain time after it reported draining in
+ * a response, while its row in the store still says that it is ready. */
 static void test_leaving_is_kept(void) {
     estate_t *estate = estate_start(2, "--drain-ms=2000");
-    callers_t *callers = callers_start(estate);
+    clients_t *clients = clients_start(estate);
     g_usleep(500000);
-    state_lines(estate, "lock-1", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "lock-1", "Server-Leaving: 1\\r\\n");
     g_usleep(5000000);
-    callers_join(callers);
-    leaving_check(callers, "lock-1");
-    callers_free(callers);
+    clients_join(clients);
+    draining_assert(clients, "lock-1");
+    clients_free(clients);
     estate_stop(estate);
 }
 
-/* The same when the engine's row lapses, is forgotten, and comes back: ready, and not started anew.
- */
+/* The same if the engine's row expires, is removed, and is written again as ready, without a
+ * restart of the engine. */
 static void test_leaving_outlives_the_row(void) {
     estate_t *estate = estate_start(2, "--drain-ms=2000");
-    callers_t *callers = callers_start(estate);
+    clients_t *clients = clients_start(estate);
     g_usleep(500000);
-    state_lines(estate, "lock-1", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "lock-1", "Server-Leaving: 1\\r\\n");
     g_usleep(1000000);
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
                       "\"value\":1}");
     estate_do(estate, "{\"do\":\"put\",\"table\":\"servers\",\"key\":\"lock-1\"}");
     g_usleep(8000000);
-    state_lines(estate, "lock-1", "");
+    state_headers_set(estate, "lock-1", "");
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
                       "\"value\":0}");
     g_usleep(2000000);
-    callers_join(callers);
-    leaving_check(callers, "lock-1");
-    callers_free(callers);
+    clients_join(clients);
+    draining_assert(clients, "lock-1");
+    clients_free(clients);
     estate_stop(estate);
 }
 
-/* An engine that starts again under its id is another one: its earlier word is over. */
+/* A restart of the engine under its id ends its draining state. */
 static void test_leaving_ends_with_a_start(void) {
     estate_t *estate = estate_start(1, "--drain-ms=2000");
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"same_id\","
                       "\"value\":1}");
     g_usleep(1000000);
-    state_lines(estate, "lock-1", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "lock-1", "Server-Leaving: 1\\r\\n");
     wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, "/lock/x", "l1", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
     wire_answer_free(answer);
@@ -338,11 +336,11 @@
     estate_stop(estate);
 }
 
-/* A model whose only engine says that it leaves is loaded elsewhere at that word, not when its row
- * tells: it does so never here. */
+/* A model whose only engine reports draining in a response is loaded on another engine, though the
+ * engine's row never says so. */
 static void test_leaving_moves_models(void) {
     estate_t *estate = estate_start(2, "--drain-ms=2000");
-    state_lines(estate, "llm-2", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "llm-2", "Server-Leaving: 1\\r\\n");
     wire_answer_t *answer =
         wire_ask(estate->nodes[0].callers_port, "/chat/x", "m1", EDGE_MODEL("m2"));
     g_assert_cmpint(answer->status, ==, 200);
@@ -358,11 +356,11 @@
     estate_stop(estate);
 }
 
-/* A limited engine still takes adapters of what it holds, which need no other replica. */
+/* A limited engine still loads adapters of its models; these need no other replica. */
 static void test_adapter_at_a_limited_engine(void) {
     estate_t *estate = estate_start(1, NULL);
     int port = estate->nodes[0].callers_port;
-    state_lines(estate, "llm-2", "Server-Limit: 2\\r\\n");
+    state_headers_set(estate, "llm-2", "Server-Limit: 2\\r\\n");
     wire_answer_free(wire_ask(port, "/chat/x", "l1", EDGE_MODEL("m2")));
     g_usleep(5000000);
     wire_answer_t *answer = wire_ask(port, "/chat/x", "l2", EDGE_MODEL("m2/a1"));
@@ -372,21 +370,20 @@
     estate_stop(estate);
 }
 
-/* What another engine tells that has taken over an address binds nobody to the one that was there.
- */
+/* What an engine reports must not be attributed to another engine that had its address before. */
 static void test_answer_of_another_engine(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
                       "\"value\":1}");
     g_usleep(500000);
-    /* Its row now names the address of lock-2, which turns away what is meant for lock-1. */
+    /* The row of lock-1 now has the address of lock-2, which rejects requests for lock-1. */
     estate_do(estate,
               "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"announce_port\","
               "\"value\":%d}",
               estate->engine_ports[1]);
     estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
                       "\"value\":0}");
-    state_lines(estate, "lock-2", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "lock-2", "Server-Leaving: 1\\r\\n");
     g_usleep(1000000);
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("w%d", i);
@@ -405,101 +402,102 @@
     }
 }
 
-/* What one node has heard is known to all, also to one that starts later, and to those that report
- * to another controller than before. */
+/* Engine state that one node received is sent to all nodes, also after the controller has changed
+ * and to a node that starts later. */
 static void test_others_learn(void) {
     static const char limited[] =
         "\"event\":\"engine-state-news\",\"engine\":\"lock-1\",\"limited\":true";
-    static const char leaving[] =
+    static const char draining[] =
         "\"event\":\"engine-state-news\",\"engine\":\"lock-2\",\"limited\":false,\"per_s\":0,"
         "\"leaving\":true";
     estate_t *estate = estate_start(3, NULL);
     int controller = estate_wait_controller(estate, 5000);
-    int asked = (controller + 1) % 3;
+    int receiver = (controller + 1) % 3;
     int other = (controller + 2) % 3;
-    state_lines(estate, "lock-1", "Server-Limit: 1\\r\\n");
-    state_lines(estate, "lock-2", "Server-Leaving: 1\\r\\n");
+    state_headers_set(estate, "lock-1", "Server-Limit: 1\\r\\n");
+    state_headers_set(estate, "lock-2", "Server-Leaving: 1\\r\\n");
     for (int i = 0; i < 10; i++) {
         g_autofree char *id = g_strdup_printf("o%d", i);
-        wire_answer_free(wire_ask(estate->nodes[asked].callers_port, "/lock/x", id, EDGE_DEADLINE));
+        wire_answer_free(
+            wire_ask(estate->nodes[receiver].callers_port, "/lock/x", id, EDGE_DEADLINE));
     }
     log_wait(estate, controller, limited);
     log_wait(estate, other, limited);
-    log_wait(estate, other, leaving);
-    /* No node tells what it was told, so nothing goes round. */
-    g_assert_false(estate_log_has(estate, asked, "engine-state-news"));
+    log_wait(estate, other, draining);
+    /* Nodes don't report back state that they got from other nodes. */
+    g_assert_false(estate_log_has(estate, receiver, "engine-state-news"));
     process_kill(&estate->nodes[controller].process);
     estate_node_launch(estate, controller);
     log_wait(estate, controller, limited);
-    log_wait(estate, controller, leaving);
+    log_wait(estate, controller, draining);
     estate_stop(estate);
 }
 
-/* Arrivals of one node within a wish for rest. */
-typedef struct rest_look_t {
-    int64_t asked_ms; /* when the engine first turned a request of the node away; 0: it hasn't */
+/* Arrivals from one node during the backoff that the engine asked of it. */
+typedef struct backoff_check_t {
+    int64_t asked_ms; /* when the engine first rejected a request of the node; 0: not yet */
     unsigned arrivals;
-} rest_look_t;
+} backoff_check_t;
 
-static void rest_count(const char *id, int node, int64_t at_ms, void *context) {
+static void backoff_arrival_count(const char *id, int node, int64_t at_ms, void *context) {
     (void)id;
-    rest_look_t *look = &((rest_look_t *)context)[node];
-    if (look->asked_ms == 0) {
-        look->asked_ms = at_ms;
+    backoff_check_t *check = &((backoff_check_t *)context)[node];
+    if (check->asked_ms == 0) {
+        check->asked_ms = at_ms;
     }
-    look->arrivals +=
-        at_ms > look->asked_ms + REST_FROM_MS && at_ms < look->asked_ms + REST_MS - 50;
+    check->arrivals +=
+        at_ms > check->asked_ms + BACKOFF_GRACE_MS && at_ms < check->asked_ms + BACKOFF_MS - 50;
 }
 
-/* Guards against an engine that turned a node's request away, asked for 3 s of rest, and got 3 and
- * 6 more from that node in this time: other requests, and the same one again. */
+/* Guards against requests (other ones, and retries of the rejected one) to an engine from which the
+ * node got a Retry-After that hasn't passed. */
 static void test_rest_is_kept(void) {
     estate_t *estate = estate_start(2, NULL);
-    rest_ask(estate, "lock-1", "3");
-    callers_t *callers = callers_start(estate);
+    retry_after_set(estate, "lock-1", "3");
+    clients_t *clients = clients_start(estate);
     g_usleep(2800000);
-    callers_join(callers);
-    rest_look_t looks[ESTATE_NODES] = {0};
-    arrivals_each(estate, "lock-1", rest_count, looks);
+    clients_join(clients);
+    backoff_check_t checks[ESTATE_NODES] = {0};
+    arrivals_visit(estate, "lock-1", backoff_arrival_count, checks);
     for (int i = 0; i < 2; i++) {
-        g_test_message("node %d: %u requests in the time of rest", i, looks[i].arrivals);
-        g_assert_cmpuint(looks[i].arrivals, <=, 2);
+        g_test_message("node %d: %u requests in the time of rest", i, checks[i].arrivals);
+        g_assert_cmpuint(checks[i].arrivals, <=, 2);
     }
-    /* The other engine serves meanwhile. */
+    /* The other engine serves requests meanwhile. */
     g_assert_cmpuint(arrivals_count(estate, "lock-2"), >, 50);
-    callers_free(callers);
+    clients_free(clients);
     estate_stop(estate);
 }
 
-/* Where there is no other engine: who can't be served in time is refused at once, with the time at
- * which the rest is over; and then requests are served. */
+/* Without another engine, a request that can't be served in time is refused at once, with a
+ * Retry-After at the end of the backoff; after it requests are served. */
 static void test_rest_of_the_only_engine(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(1000000);
-    rest_ask(estate, "lock-1", "3");
+    retry_after_set(estate, "lock-1", "3");
     int port = estate->nodes[0].callers_port;
     wire_answer_free(wire_ask(port, "/lock/x", "n0-1", EDGE_DEADLINE));
-    rest_ask(estate, "lock-1", "");
+    retry_after_set(estate, "lock-1", "");
     g_usleep(600000);
     int64_t asked_ms = harness_now_ms();
     wire_answer_t *answer = wire_ask(port, "/lock/x", "n0-2", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - asked_ms, <, 300);
-    const char *line = strstr(answer->head->str, "Retry-After: ");
-    g_assert_nonnull(line);
-    double after_s = g_ascii_strtod(line + strlen("Retry-After: "), NULL);
-    g_assert_cmpfloat(after_s, >, 2.0);
-    g_assert_cmpfloat(after_s, <, 2.7);
+    const char *header = strstr(answer->head->str, "Retry-After: ");
+    g_assert_nonnull(header);
+    double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
+    g_assert_cmpfloat(retry_after_s, >, 2.0);
+    g_assert_cmpfloat(retry_after_s, <, 2.7);
     wire_answer_free(answer);
-    g_usleep((gulong)(after_s * 1000000));
+    g_usleep((gulong)(retry_after_s * 1000000));
     answer = wire_ask(port, "/lock/x", "n0-3", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
     wire_answer_free(answer);
     estate_stop(estate);
 }
 
-/* Values that can't be are counted and change nothing. */
+/* Malformed and out-of-range header values are counted and otherwise ignored. */
 static void test_absurd_values(void) {
     static const char *const lines[] = {"Server-Limit: -1\\r\\n",
                                         "Server-Limit:\\r\\n",
@@ -510,8 +508,8 @@
                                         "Server-Leaving: 1\\r\\nServer-Leaving: 1\\r\\n"};
     estate_t *estate = estate_start(1, NULL);
     for (gsize i = 0; i < G_N_ELEMENTS(lines); i++) {
-        state_lines(estate, "lock-1", lines[i]);
-        state_lines(estate, "lock-2", lines[i]);
+        state_headers_set(estate, "lock-1", lines[i]);
+        state_headers_set(estate, "lock-2", lines[i]);
         for (int j = 0; j < 6; j++) {
             g_autofree char *id = g_strdup_printf("a%zu-%d", i, j);
             wire_answer_t *answer =
