--- a/tests/edge/test_callers.c
+++ b/tests/edge/test_callers.c
@@ -1,11 +1,11 @@
-/* Bad input from callers: a clear answer or the connection's end, nothing run, the node unharmed.
- */
+/* Invalid input from clients gets an error or a closed connection, runs nothing and doesn't affect
+ * other requests. */
 #include "edge.h"
 
 #include <string.h>
 
-/* Sends raw bytes and expects a status; nothing may have run, and the node goes on. */
-static void refused(estate_t *estate, const char *bytes, int status) {
+/* Sends raw bytes and expects a status. Nothing may run, and the node must serve other requests. */
+static void assert_refused(estate_t *estate, const char *bytes, int status) {
     int port = estate->nodes[0].callers_port;
     wire_t *wire = wire_open(port);
     wire_send(wire, "%s", bytes);
@@ -25,20 +25,21 @@
 
 static void test_bad_messages(void) {
     estate_t *estate = estate_start(1, NULL);
-    refused(estate, BAD_POST "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400);
-    refused(estate,
-            BAD_POST "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /lock/y "
-                     "HTTP/1.1\r\nHost: a.example\r\nRequest-Attempt-Id: bad\r\n\r\n",
-            400);
-    refused(estate, BAD_POST "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", 400);
-    refused(estate, "NONSENSE\r\n\r\n", 400);
-    refused(estate, "GET /nowhere HTTP/1.1\r\nHost: a.example\r\n\r\n", 404);
-    refused(estate, "GET /lock/x HTTP/1.1\r\nHost: b.example\r\n\r\n", 404);
-    refused(estate, BAD_POST "Content-Length: 900000\r\n\r\nabc", 413);
+    assert_refused(estate, BAD_POST "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400);
+    assert_refused(estate,
+                   BAD_POST
+                   "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /lock/y "
+                   "HTTP/1.1\r\nHost: a.example\r\nRequest-Attempt-Id: bad\r\n\r\n",
+                   400);
+    assert_refused(estate, BAD_POST "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", 400);
+    assert_refused(estate, "NONSENSE\r\n\r\n", 400);
+    assert_refused(estate, "GET /nowhere HTTP/1.1\r\nHost: a.example\r\n\r\n", 404);
+    assert_refused(estate, "GET /lock/x HTTP/1.1\r\nHost: b.example\r\n\r\n", 404);
+    assert_refused(estate, BAD_POST "Content-Length: 900000\r\n\r\nabc", 413);
     g_autofree char *filler = g_strnfill(6000, 'x');
-    g_autofree char *long_head = g_strconcat(BAD_POST "X-Filler: ", filler, "\r\n\r\n", NULL);
-    refused(estate, long_head, 431);
-    refused(estate, BAD_POST "X-Slow: 1", 408); /* the rest of the head never comes */
+    g_autofree char *long_headers = g_strconcat(BAD_POST "X-Filler: ", filler, "\r\n\r\n", NULL);
+    assert_refused(estate, long_headers, 431);
+    assert_refused(estate, BAD_POST "X-Slow: 1", 408); /* the headers are never completed */
     estate_stop(estate);
 }
 
@@ -55,7 +56,7 @@
     estate_stop(estate);
 }
 
-/* Requests in chunks, and several at once on a connection, reach the engine whole and in order. */
+/* Chunked and pipelined requests reach the engine complete, and responses come in order. */
 static void test_chunks_and_pipelines(void) {
     estate_t *estate = estate_start(1, NULL);
     wire_t *wire = wire_open(estate->nodes[0].callers_port);
@@ -77,7 +78,7 @@
     estate_stop(estate);
 }
 
-/* A caller that leaves ends its engine's run. */
+/* A request ends when its client disconnects. */
 static void test_caller_leaves(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate,
@@ -94,7 +95,7 @@
     estate_stop(estate);
 }
 
-/* An HTTP/1.0 caller gets a stream without chunks; it ends with the connection. */
+/* An HTTP/1.0 client gets a stream without chunked encoding that ends with the connection. */
 static void test_old_caller(void) {
     estate_t *estate = estate_start(1, NULL);
     wire_t *wire = wire_open(estate->nodes[0].callers_port);
--- a/tests/edge/test_cut_off.c
+++ b/tests/edge/test_cut_off.c
@@ -1,21 +1,20 @@
-/* A node that is cut off says at once that it can't serve what isn't loaded, so that its callers go
- * to another node; what is loaded it serves on. */
+/* A node that is cut off from peers or the store refuses requests for models that aren't loaded at
+ * once, so that clients try another node, and keeps serving loaded models. */
 #include "edge.h"
 
 #include <string.h>
 
-/* Longer than the time in which a node would hear the controller or the store again. */
-#define CUT_OFF_US 3500000
-/* A lease of the times below is taken over after so long; the cut node knows it and waits no more.
- */
+/* Longer than the time after which a node considers the controller or the store unreachable. */
+#define CUT_OFF_DETECTION_US 3500000
+/* Longer than a takeover with LEASE_FLAGS, after which the cut-off node stops waiting for one. */
 #define TAKEOVER_US 3000000
 #define LEASE_FLAGS "--lease-quiet-ms=1000 --lease-duration-ms=800"
-/* What "at once" may take on a busy machine. */
+/* Time of an immediate refusal on a busy machine. */
 #define AT_ONCE_MS 250
-/* A caller that comes back later than this has waited for nothing: other nodes are well. */
+/* Retry-After must be short, because other nodes can serve the request. */
 #define COME_BACK_MOST_S 1.0
 
-/* Asks for a model that no engine holds, and is refused at once with a time to come back. */
+/* Asserts that a request for a model that isn't loaded is refused at once with a Retry-After. */
 static void assert_refused_at_once(const estate_t *estate, int node, const char *id) {
     int64_t asked_ms = harness_now_ms();
     wire_answer_t *answer =
@@ -24,26 +23,26 @@
     g_test_message("%s: %d after %d ms", id, answer->status, (int)took_ms);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(took_ms, <, AT_ONCE_MS);
-    const char *told = strstr(answer->head->str, "Retry-After: ");
-    g_assert_nonnull(told);
-    g_assert_cmpfloat(g_ascii_strtod(told + strlen("Retry-After: "), NULL), <, COME_BACK_MOST_S);
+    const char *header = strstr(answer->head->str, "Retry-After: ");
+    g_assert_nonnull(header);
+    g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), <, COME_BACK_MOST_S);
     wire_answer_free(answer);
     g_assert_cmpint(estate_runs(estate, id), ==, 0);
 }
 
-/* An estate whose nodes have known each other and the controller for a second. */
-typedef struct cut_off_t {
+/* A cluster whose nodes have been connected to each other and the controller for a second. */
+typedef struct cut_off_test_t {
     estate_t *estate;
     int controller;
-    int cut; /* the node next to it */
-} cut_off_t;
+    int cut; /* the node to cut off */
+} cut_off_test_t;
 
-static cut_off_t cut_off_begin(int nodes) {
-    cut_off_t scene = {estate_start(nodes, LEASE_FLAGS), 0, 0};
-    scene.controller = estate_wait_controller(scene.estate, 8000);
-    scene.cut = (scene.controller + 1) % nodes;
+static cut_off_test_t cut_off_create(int nodes) {
+    cut_off_test_t test = {estate_start(nodes, LEASE_FLAGS), 0, 0};
+    test.controller = estate_wait_controller(test.estate, 8000);
+    test.cut = (test.controller + 1) % nodes;
     g_usleep(1000000);
-    return scene;
+    return test;
 }
 
 static void assert_served(const estate_t *estate, int node, const char *id, const char *headers) {
@@ -53,17 +52,17 @@
     g_assert_cmpint(estate_runs(estate, id), ==, 1);
 }
 
-/* Cut off from its peers only: it sees that the lease is renewed by one that it can't reach. */
+/* Cut off from its peers only: the node sees that an unreachable controller renews the lease. */
 static void test_from_peers(void) {
-    cut_off_t scene = cut_off_begin(2);
-    estate_t *estate = scene.estate;
-    int controller = scene.controller;
-    int cut = scene.cut;
+    cut_off_test_t test = cut_off_create(2);
+    estate_t *estate = test.estate;
+    int controller = test.controller;
+    int cut = test.cut;
     estate_link_fault(estate, controller, "cut", 0);
-    g_usleep(CUT_OFF_US);
+    g_usleep(CUT_OFF_DETECTION_US);
     assert_refused_at_once(estate, cut, "p1");
     assert_served(estate, cut, "p2", EDGE_MODEL("m0"));
-    /* The caller's next try reaches another node. */
+    /* The client's retry reaches another node. */
     assert_served(estate, controller, "p3", EDGE_MODEL("m5"));
     estate_link_fault(estate, controller, "pass", 0);
     g_usleep(2000000);
@@ -72,15 +71,15 @@
     estate_stop(estate);
 }
 
-/* Cut off from its peers and from the store, at first while a take-over could be under way. */
+/* Cut off from its peers and the store, first while a takeover may be pending, then after it. */
 static void test_from_peers_and_store(void) {
-    cut_off_t scene = cut_off_begin(2);
-    estate_t *estate = scene.estate;
-    int controller = scene.controller;
-    int cut = scene.cut;
+    cut_off_test_t test = cut_off_create(2);
+    estate_t *estate = test.estate;
+    int controller = test.controller;
+    int cut = test.cut;
     estate_link_fault(estate, controller, "cut", 0);
     estate_store_fault(estate, cut, "freeze", 0);
-    g_usleep(CUT_OFF_US);
+    g_usleep(CUT_OFF_DETECTION_US);
     assert_refused_at_once(estate, cut, "b1");
     g_usleep(TAKEOVER_US);
     assert_refused_at_once(estate, cut, "b2");
@@ -94,13 +93,12 @@
     estate_stop(estate);
 }
 
-/* A request that waits as the node is cut off is refused once that is known, not at its deadline.
- */
+/* A request that is waiting when its node is cut off is refused before its deadline. */
 static void test_while_it_waits(void) {
-    cut_off_t scene = cut_off_begin(2);
-    estate_t *estate = scene.estate;
-    int controller = scene.controller;
-    int cut = scene.cut;
+    cut_off_test_t test = cut_off_create(2);
+    estate_t *estate = test.estate;
+    int controller = test.controller;
+    int cut = test.cut;
     estate_link_fault(estate, controller, "cut", 0);
     estate_store_fault(estate, cut, "freeze", 0);
     int64_t asked_ms = harness_now_ms();
@@ -113,16 +111,16 @@
     estate_stop(estate);
 }
 
-/* Cut off from the store only, while the controller dies: the new one makes itself known, and what
- * isn't loaded is served as at any node. */
+/* Cut off from the store only, while the controller changes: the new controller announces itself,
+ * and the node serves models that weren't loaded. */
 static void test_from_store_while_the_controller_changes(void) {
-    cut_off_t scene = cut_off_begin(3);
-    estate_t *estate = scene.estate;
-    int controller = scene.controller;
-    int cut = scene.cut;
+    cut_off_test_t test = cut_off_create(3);
+    estate_t *estate = test.estate;
+    int controller = test.controller;
+    int cut = test.cut;
     estate_store_fault(estate, cut, "cut", 0);
     process_kill(&estate->nodes[controller].process);
-    g_usleep(CUT_OFF_US);
+    g_usleep(CUT_OFF_DETECTION_US);
     int successor = estate_wait_controller(estate, 8000);
     g_assert_cmpint(successor, !=, cut);
     g_usleep(2500000);
@@ -132,16 +130,16 @@
     estate_stop(estate);
 }
 
-/* The controller itself is cut off from the store, with another node: that one finds the new
- * controller though both could see each other all the time. */
+/* The controller and another node are cut off from the store but not from each other: both must
+ * find the new controller. */
 static void test_controller_and_another_from_store(void) {
-    cut_off_t scene = cut_off_begin(3);
-    estate_t *estate = scene.estate;
-    int controller = scene.controller;
-    int cut = scene.cut;
+    cut_off_test_t test = cut_off_create(3);
+    estate_t *estate = test.estate;
+    int controller = test.controller;
+    int cut = test.cut;
     estate_store_fault(estate, cut, "cut", 0);
     estate_store_fault(estate, controller, "cut", 0);
-    g_usleep(CUT_OFF_US);
+    g_usleep(CUT_OFF_DETECTION_US);
     g_usleep(2500000);
     assert_served(estate, cut, "d1", EDGE_MODEL("m5"));
     assert_served(estate, controller, "d2", EDGE_MODEL("m6"));
--- a/tests/edge/test_once.c
+++ b/tests/edge/test_once.c
@@ -32,8 +32,7 @@
 
 static void test_rejected_runs(void) {
     fault_test("/lock/x", "reject", 9, 503, 0); /* both always reject it */
-    fault_test("/lock/x", "reject", 1, 200,
-               1); /* both reject it once: retried within the target latency */
+    fault_test("/lock/x", "reject", 1, 200, 1); /* both reject it once: retried in time */
 }
 
 /* If the only engine with the model rejects a request once, the request is retried there soon and
--- a/tests/edge/test_pace.c
+++ b/tests/edge/test_pace.c
@@ -1,22 +1,22 @@
-/* What nodes know of engines' paces and loads, over all nodes and through failures. */
+/* Engines' reported pace and load reach all nodes, also through failures. */
 #include "edge.h"
 
 #include <string.h>
 
 #define NODES 3
-/* A report each 250 ms, news each 500 ms, and the loops' ticks. */
-#define TOLD_US 1200000
+/* Time to reach all nodes: reports each 250 ms, updates each 500 ms, and the event loops' ticks. */
+#define PROPAGATION_US 1200000
 #define ASKED 8
-/* A prompt whose reading takes 80 ms longer at the slow engine: more than a zone or chance weigh.
- */
+/* Prefill takes 80 ms longer on the slow engine, which outweighs zones and random choice. */
 #define HEADERS "Model: m0\r\nPrompt-Prefix: ab:500,cd:500\r\n" EDGE_DEADLINE
 
-static void pace_set(const estate_t *estate, const char *engine, const char *told, int percent) {
+static void pace_set(const estate_t *estate, const char *engine, const char *reported,
+                     int percent) {
     estate_do(estate, "{\"do\":\"engine-pace\",\"engine\":\"%s\",\"told\":\"%s\",\"percent\":%d}",
-              engine, told, percent);
+              engine, reported, percent);
 }
 
-/* Asks for m0, which both engines hold. Returns how often llm-1 ran it. */
+/* Sends requests for m0, which both engines have. Returns how many of them ran on llm-1. */
 static int asked_at_first(const estate_t *estate, int node, const char *prefix, int count) {
     for (int i = 0; i < count; i++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, i);
@@ -37,42 +37,41 @@
     return first;
 }
 
-/* A node that never heard of either engine sends to the fast one, as the others have heard. */
+/* A node that got no response from either engine uses the one that other nodes found faster. */
 static void test_others_learn(void) {
     estate_t *estate = estate_start(NODES, NULL);
     pace_set(estate, "llm-1", "300", 300);
     pace_set(estate, "llm-2", "50", 50);
     int holder = estate_wait_controller(estate, 3000);
     asked_at_first(estate, (holder + 1) % NODES, "learn", 2 * ASKED);
-    g_usleep(TOLD_US);
+    g_usleep(PROPAGATION_US);
     g_assert_cmpint(asked_at_first(estate, (holder + 2) % NODES, "other", ASKED), ==, 0);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* The node that put all together is killed, and so is the one that had heard: a node that starts
- * anew learns from who is left. */
+/* After the aggregator is killed, its restarted node gets the paces from the remaining nodes. */
 static void test_outlives_its_keeper(void) {
     estate_t *estate = estate_start(NODES, "--lease-quiet-ms=1000 --lease-duration-ms=800");
     pace_set(estate, "llm-1", "300", 300);
     pace_set(estate, "llm-2", "50", 50);
     int holder = estate_wait_controller(estate, 3000);
-    int heard = (holder + 1) % NODES;
-    asked_at_first(estate, heard, "learn", 2 * ASKED);
-    g_usleep(TOLD_US);
+    int receiver = (holder + 1) % NODES;
+    asked_at_first(estate, receiver, "learn", 2 * ASKED);
+    g_usleep(PROPAGATION_US);
     process_kill(&estate->nodes[holder].process);
     g_usleep(500000);
     estate_wait_controller(estate, 8000);
-    asked_at_first(estate, heard, "again", 2); /* what it heard is told to the new one */
+    asked_at_first(estate, receiver, "again", 2); /* reported to the new aggregator */
     estate_node_launch(estate, holder);
     estate_wait_ready(estate, holder);
-    g_usleep(2 * TOLD_US);
+    g_usleep(2 * PROPAGATION_US);
     g_assert_cmpint(asked_at_first(estate, holder, "new", ASKED), ==, 0);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* A node that is cut off from all others goes on with what it knows. */
+/* A node that is cut off from all others keeps using the paces it knows. */
 static void test_cut_off(void) {
     estate_t *estate = estate_start(NODES, NULL);
     pace_set(estate, "llm-1", "300", 300);
@@ -80,7 +79,7 @@
     int holder = estate_wait_controller(estate, 3000);
     int cut = (holder + 1) % NODES;
     asked_at_first(estate, cut, "learn", 2 * ASKED);
-    g_usleep(TOLD_US);
+    g_usleep(PROPAGATION_US);
     estate_link_fault(estate, holder, "freeze", 0);
     g_usleep(3000000);
     g_assert_cmpint(asked_at_first(estate, cut, "cut", ASKED), ==, 0);
@@ -89,13 +88,13 @@
     estate_stop(estate);
 }
 
-/* Figures that can't be do no harm: both engines serve, and it shows in the metrics. */
+/* Malformed and out-of-range values are counted and otherwise ignored: both engines serve. */
 static void test_figures_that_lie(void) {
-    static const char *const lies[] = {"0", "-50", "1000000000", "fast"};
+    static const char *const invalid_values[] = {"0", "-50", "1000000000", "fast"};
     estate_t *estate = estate_start(1, NULL);
-    for (guint i = 0; i < G_N_ELEMENTS(lies); i++) {
-        pace_set(estate, "llm-1", lies[i], 100);
-        pace_set(estate, "llm-2", lies[i], 100);
+    for (guint i = 0; i < G_N_ELEMENTS(invalid_values); i++) {
+        pace_set(estate, "llm-1", invalid_values[i], 100);
+        pace_set(estate, "llm-2", invalid_values[i], 100);
         g_autofree char *prefix = g_strdup_printf("lie%u", i);
         asked_at_first(estate, 0, prefix, 3);
     }
@@ -106,7 +105,7 @@
     estate_stop(estate);
 }
 
-/* Switched off, a told pace changes nothing: the prompt's home gets all. */
+/* With --engine-pace=0 a reported pace has no effect: the prompt's preferred engine gets all. */
 static void test_switched_off(void) {
     estate_t *estate = estate_start(1, "--engine-pace=0");
     int before = asked_at_first(estate, 0, "before", ASKED);
--- a/tests/edge/test_path.c
+++ b/tests/edge/test_path.c
@@ -1,5 +1,5 @@
-/* The whole path: a request goes to an engine as it came, and its answer comes back as it was made.
- */
+/* Requests reach an engine unchanged, its response reaches the client unchanged, and models are
+ * loaded on demand. */
 #include "edge.h"
 
 #include <string.h>
@@ -24,7 +24,7 @@
     estate_stop(estate);
 }
 
-/* A model that no engine holds is loaded once, and all that wait for it are served. */
+/* A model that no engine has is loaded once, and all requests that wait for it are served. */
 static void test_cold_model_is_loaded(void) {
     estate_t *estate = estate_start(2, NULL);
     wire_t *wires[6];
@@ -59,7 +59,7 @@
     estate_stop(estate);
 }
 
-/* An engine without room for an adapter drops a model that is asked for less. */
+/* To load an adapter, an engine without free memory unloads a model with less demand. */
 static void test_adapter_makes_room(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate,
@@ -74,8 +74,8 @@
     estate_stop(estate);
 }
 
-/* A request that can wait for its model's load does; one that can't is told at once when the load
- * is done. */
+/* A request that can't wait for its model's load is refused at once with a Retry-After for the end
+ * of the load; one that can wait is served. */
 static void test_wait_is_foreseen(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_configure(estate,
@@ -90,11 +90,11 @@
     g_test_message("refused after %d ms", (int)(harness_now_ms() - asked_ms));
     g_assert_cmpint(harness_now_ms() - asked_ms, <, 80);
     g_assert_cmpint(answer->status, ==, 503);
-    const char *told = strstr(answer->head->str, "Retry-After: ");
-    g_assert_nonnull(told);
-    double come_back_s = g_ascii_strtod(told + strlen("Retry-After: "), NULL);
-    g_assert_cmpfloat(come_back_s, >=, 0.15);
-    g_assert_cmpfloat(come_back_s, <=, 0.6);
+    const char *header = strstr(answer->head->str, "Retry-After: ");
+    g_assert_nonnull(header);
+    double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
+    g_assert_cmpfloat(retry_after_s, >=, 0.15);
+    g_assert_cmpfloat(retry_after_s, <=, 0.6);
     wire_answer_free(answer);
     answer = wire_ask(port, "/long/x", "f2", EDGE_MODEL("m6"));
     g_assert_cmpint(answer->status, ==, 200);
@@ -113,8 +113,7 @@
     return status;
 }
 
-/* wickctl tells of an edge node what it tells of any node, and follows a request through log files.
- */
+/* wickctl commands work at an edge node, and `trace` finds a request in log files. */
 static void test_wickctl(void) {
     static const struct {
         const char *words;
--- a/tests/edge/test_stops.c
+++ b/tests/edge/test_stops.c
@@ -1,4 +1,4 @@
-/* A planned stop loses nothing that was read. */
+/* A node that is stopped (SIGTERM) answers every request that it has read. */
 #include "edge.h"
 
 #include <signal.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Kept connections are given up while there is still time to finish what comes on them. */
+/* Idle client connections are closed early enough to answer requests that still arrive on them. */
 static void test_resting_connections_end_early(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=6");
     estate_do(estate,
@@ -14,9 +14,9 @@
               "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
     g_usleep(600000);
     int port = estate->nodes[0].callers_port;
-    wire_t *resting = wire_open(port);
-    wire_post(resting, "/lock/x", "k1", EDGE_DEADLINE, "hello");
-    wire_answer_t *answer = wire_read(resting, 3000);
+    wire_t *idle = wire_open(port);
+    wire_post(idle, "/lock/x", "k1", EDGE_DEADLINE, "hello");
+    wire_answer_t *answer = wire_read(idle, 3000);
     g_assert_cmpint(answer->status, ==, 200);
     wire_answer_free(answer);
     wire_t *streaming = wire_open(port);
@@ -24,16 +24,16 @@
     g_usleep(200000);
     process_signal(&estate->nodes[0].process, SIGTERM);
     int64_t asked_ms = harness_now_ms();
-    g_assert_true(wire_is_closed(resting, 4000));
-    int64_t passed_ms = harness_now_ms() - asked_ms;
-    g_assert_cmpint(passed_ms, >=, 2000); /* the entry needs time to see it */
-    g_assert_cmpint(passed_ms, <=, 3300);
-    wire_close(resting);
+    g_assert_true(wire_is_closed(idle, 4000));
+    int64_t elapsed_ms = harness_now_ms() - asked_ms;
+    g_assert_cmpint(elapsed_ms, >=, 2000); /* the load balancer must see it first */
+    g_assert_cmpint(elapsed_ms, <=, 3300);
+    wire_close(idle);
     wire_close(streaming);
     estate_stop(estate);
 }
 
-/* A request that comes late in a stop is told at once that it has not run. */
+/* A request that arrives late in a stop is refused at once, without a run. */
 static void test_late_request_is_refused(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=6");
     int port = estate->nodes[0].callers_port;
@@ -55,7 +55,7 @@
     estate_stop(estate);
 }
 
-/* What runs at SIGTERM is finished, and the process ends by itself. */
+/* Requests that run at SIGTERM are finished, and then the process exits. */
 static void test_running_requests_finish(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate,
@@ -76,13 +76,13 @@
     estate_stop(estate);
 }
 
-/* A request that arrives while the process is held up at a stop's end is read and answered. */
+/* A request that arrives while the process is paused at the end of a stop is answered. */
 static void test_request_beside_the_end(void) {
     estate_t *estate = estate_start(2, "--stop-grace-s=6");
     while (estate_controller(estate) < 0) {
         g_usleep(50000);
     }
-    /* The controller takes longer to end: it gives its lease up. */
+    /* The controller would take longer to stop, because it releases its lease. */
     int other = 1 - estate_controller(estate);
     process_t *process = &estate->nodes[other].process;
     process_signal(process, SIGTERM);
@@ -100,13 +100,12 @@
     estate_stop(estate);
 }
 
-/* A request that still waits for its model near a stop's end is told in time that it has not run.
- */
+/* A request that waits for its model is refused in time before a stop ends. */
 static void test_waiting_requests_are_answered(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=4");
     int port = estate->nodes[0].callers_port;
     estate_do(estate, "{\"do\":\"store-fault\",\"fault\":\"busy\"}");
-    g_usleep(2500000); /* the lease lapses: nobody loads anything */
+    g_usleep(2500000); /* the lease expires, so no models are loaded */
     process_signal(&estate->nodes[0].process, SIGTERM);
     int64_t asked_ms = harness_now_ms();
     g_usleep(2500000);
@@ -122,7 +121,7 @@
     estate_stop(estate);
 }
 
-/* Settings are taken up on SIGHUP, or when their file has changed; wrong ones change nothing. */
+/* Settings are applied on SIGHUP or when their file changes; a file with errors changes nothing. */
 static void test_settings_reload(void) {
     g_autofree char *path =
         g_strdup_printf("%s/wickbridge-reload-%d.conf", g_get_tmp_dir(), (int)getpid());
--- a/tests/edge/test_store.c
+++ b/tests/edge/test_store.c
@@ -1,10 +1,10 @@
-/* The store is down, slow, forgetful or silent: what is loaded goes on being served. */
+/* Loaded models stay served while the store is unavailable, slow, silent or without its history. */
 #include "edge.h"
 
 #include <string.h>
 
-static void asked(const estate_t *estate, const char *path, const char *id, const char *headers,
-                  int status) {
+static void assert_status(const estate_t *estate, const char *path, const char *id,
+                          const char *headers, int status) {
     wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, path, id, headers);
     g_assert_cmpint(answer->status, ==, status);
     wire_answer_free(answer);
@@ -20,19 +20,19 @@
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
         store_fault(estate, faults[i], 0);
         g_usleep(1500000);
-        asked(estate, "/chat/x", faults[i], EDGE_MODEL("m0"), 200);
-        asked(estate, "/lock/x", faults[i], EDGE_DEADLINE, 200);
+        assert_status(estate, "/chat/x", faults[i], EDGE_MODEL("m0"), 200);
+        assert_status(estate, "/lock/x", faults[i], EDGE_DEADLINE, 200);
         g_assert_true(estate_node_is_ready(estate, 0));
         store_fault(estate, "", 0);
         g_usleep(3000000);
         g_assert_cmpint(estate_controller(estate), ==, 0);
     }
-    asked(estate, "/chat/x", "cold", EDGE_MODEL("m5"), 200);
+    assert_status(estate, "/chat/x", "cold", EDGE_MODEL("m5"), 200);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* A configuration changed while the history was dropped is found by reading anew. */
+/* A configuration that changed while the change history expired is found by a full read. */
 static void test_forgotten_history(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_do(estate, "{\"do\":\"compact\"}");
@@ -41,12 +41,12 @@
                      "\"routeType\":\"idempotent\",\"timeoutMs\":2000,\"service\":\"lock\"}");
     estate_do(estate, "{\"do\":\"compact\"}");
     g_usleep(1000000);
-    asked(estate, "/new/x", "h1", EDGE_DEADLINE, 200);
-    asked(estate, "/lock/x", "h2", EDGE_DEADLINE, 404);
+    assert_status(estate, "/new/x", "h1", EDGE_DEADLINE, 200);
+    assert_status(estate, "/lock/x", "h2", EDGE_DEADLINE, 404);
     estate_stop(estate);
 }
 
-/* Without a configuration a node says 503, never 404. */
+/* Without a configuration a node responds with 503, never 404. */
 static void test_no_catalog(void) {
     estate_t *estate = estate_start(1, NULL);
     store_fault(estate, "busy", 0);
@@ -54,20 +54,20 @@
     estate_node_launch(estate, 0);
     g_usleep(500000);
     g_assert_false(estate_node_is_ready(estate, 0));
-    asked(estate, "/lock/x", "n1", EDGE_DEADLINE, 503);
+    assert_status(estate, "/lock/x", "n1", EDGE_DEADLINE, 503);
     store_fault(estate, "", 0);
     estate_wait_ready(estate, 0);
-    asked(estate, "/lock/x", "n2", EDGE_DEADLINE, 200);
+    assert_status(estate, "/lock/x", "n2", EDGE_DEADLINE, 200);
     estate_stop(estate);
 }
 
-/* Engines that leave get nothing new after the drain time; those that go unannounced neither. */
+/* A draining engine gets no requests after the drain time. */
 static void test_leaving_engines(void) {
     estate_t *estate = estate_start(1, "--drain-ms=1000");
     estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
     g_usleep(1100000);
     for (int i = 0; i < 20; i++)
-        asked(estate, "/lock/x", "v1", EDGE_DEADLINE, 200);
+        assert_status(estate, "/lock/x", "v1", EDGE_DEADLINE, 200);
     json_t *seen = estate_seen(estate);
     size_t i;
     json_t *run;
@@ -77,8 +77,8 @@
     estate_stop(estate);
 }
 
-/* The controller is cut from the store without a word: another takes over, the cut one serves what
- * is loaded. */
+/* The controller's store connection freezes: another node takes over, and the old controller keeps
+ * serving loaded models. */
 static void test_one_node_is_cut(void) {
     estate_t *estate = estate_start(2, "--lease-quiet-ms=1000 --lease-duration-ms=800");
     g_usleep(500000);
@@ -98,7 +98,7 @@
     answer = wire_ask(estate->nodes[1 - cut].callers_port, "/chat/x", "c2", EDGE_MODEL("m5"));
     g_assert_cmpint(answer->status, ==, 200);
     wire_answer_free(answer);
-    /* Another may take over before a call of the cut node has timed out. */
+    /* The other node may take over before a store call of the cut-off node times out. */
     while (!estate_log_has(estate, cut, "\"event\":\"store-lost\"")) {
         g_assert_cmpint(harness_now_ms() - cut_ms, <, 5000);
         g_usleep(20000);
@@ -114,31 +114,26 @@
     estate_stop(estate);
 }
 
-/* A store that takes 60 times as long: the lease is kept, models are loaded, configurations come
- * into force. */
+/* With a store that is 60 times slower the lease is kept, models are loaded and configurations are
+ * applied. */
 static void test_slow_store(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_store_fault(estate, 0, "delay", 120);
     store_fault(estate, "", 200);
     g_usleep(4000000);
     g_assert_cmpint(estate_controller(estate), ==, 0);
-    asked(estate, "/chat/x", "s1", EDGE_MODEL("m5"), 200);
+    assert_status(estate, "/chat/x", "s1", EDGE_MODEL("m5"), 200);
     estate_configure(estate,
                      "{\"name\":\"new\",\"host\":\"a.example\",\"pathPrefix\":\"/new/\","
                      "\"routeType\":\"idempotent\",\"timeoutMs\":2000,\"service\":\"lock\"}");
     g_usleep(1500000);
-    asked(estate, "/new/x", "s2", EDGE_DEADLINE, 200);
+    assert_status(estate, "/new/x", "s2", EDGE_DEADLINE, 200);
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* Seen: beside a slow store one request of six for a model that isn't loaded got 503 some ms before
- * its load was ordered, though it might have waited for seconds.
- *
- * Cause: an order waits for the lease's row that names its engine, one write of the store or, where
- * another is under way, two. Who waits for the model was told of the load once the order was
- * answered, and had given up by then: the time it takes to decide at a store that answers in some
- * ms. */
+/* Guards against refusing a request whose model's load order still waits for the lease row (one
+ * write of the store, or two if another is in progress): it may be able to wait for the load. */
 static void test_slow_lease_row(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_store_fault(estate, 0, "delay", 120);
@@ -149,13 +144,14 @@
         g_autofree char *id = g_strdup_printf("row-%d", model);
         g_autofree char *headers =
             g_strdup_printf("Model: m%d\r\nPrompt-Prefix: ab:50\r\n" EDGE_DEADLINE, model);
-        asked(estate, "/chat/x", id, headers, 200);
+        assert_status(estate, "/chat/x", id, headers, 200);
     }
     estate_assert_no_violation(estate);
     estate_stop(estate);
 }
 
-/* Nodes that are gone for long no longer share the retry budget; their rows go from the store. */
+/* Nodes that haven't renewed their rows no longer share the retry budget, and their rows are
+ * removed. */
 static void test_gone_nodes_are_forgotten(void) {
     estate_t *estate = estate_start(2, "--node-life-s=2");
     estate_do(estate,
@@ -165,13 +161,13 @@
     g_usleep(2500000);
     g_assert_cmpfloat(estate_metric(estate, 0, "nodes"), ==, 2);
     process_kill(&estate->nodes[1].process);
-    estate_node_launch(estate, 1); /* reads the table anew */
+    estate_node_launch(estate, 1); /* a full read of the table */
     estate_wait_ready(estate, 1);
     g_assert_cmpfloat(estate_metric(estate, 1, "nodes"), ==, 2);
     estate_stop(estate);
 }
 
-static int follower_find(const estate_t *estate) {
+static int follower_wait(const estate_t *estate) {
     int holder = -1;
     for (int i = 0; holder < 0 && i < 100; i++) {
         holder = estate_controller(estate);
@@ -181,10 +177,10 @@
     return (holder + 1) % estate->node_count;
 }
 
-/* Nodes that the lease's holder tells what it reads hardly ask the store, and know as much. */
+/* Nodes that get store updates from the lease holder make few store calls and stay up to date. */
 static void test_holder_reads_for_others(void) {
     estate_t *estate = estate_start(3, NULL);
-    int follower = follower_find(estate);
+    int follower = follower_wait(estate);
     g_usleep(3000000);
     double calls = estate_metric(estate, follower, "store_calls_total");
     g_usleep(4000000);
@@ -221,10 +217,10 @@
     json_decref(seen);
 }
 
-/* A node whose way to the store is silent learns from the holder that an engine leaves. */
+/* A node whose store connection is frozen learns from the lease holder that an engine drains. */
 static void test_news_reach_a_cut_node(void) {
     estate_t *estate = estate_start(2, "--drain-ms=1000");
-    int follower = follower_find(estate);
+    int follower = follower_wait(estate);
     g_usleep(1500000);
     estate_store_fault(estate, follower, "freeze", 0);
     g_usleep(500000);
@@ -234,10 +230,10 @@
     estate_stop(estate);
 }
 
-/* A holder that knows nothing new vouches for nothing: the others ask the store themselves. */
+/* A lease holder without a working store connection doesn't stop others from polling the store. */
 static void test_holder_without_a_store(void) {
     estate_t *estate = estate_start(2, "--drain-ms=1000");
-    int follower = follower_find(estate);
+    int follower = follower_wait(estate);
     g_usleep(1500000);
     estate_store_fault(estate, 1 - follower, "freeze", 0);
     g_usleep(200000);
--- a/tests/edge/test_tenants.c
+++ b/tests/edge/test_tenants.c
@@ -1,4 +1,5 @@
-/* Callers' keys: whose they are is told to engines, and the keys themselves to nobody. */
+/* API keys and tenants' limits: engines get the tenant's name but never the key, and limits hold
+ * over all nodes. */
 #include "edge.h"
 
 #include <string.h>
@@ -17,7 +18,7 @@
     return estate;
 }
 
-/* Returns a header that the engine got with a request, to be freed; NULL when there was none. */
+/* Returns a header that the engine got with a request, or NULL. Free it with g_free. */
 static char *header_at_engine(const estate_t *estate, const char *id, const char *name) {
     json_t *seen = estate_seen(estate);
     char *value = NULL;
@@ -47,7 +48,7 @@
     return status;
 }
 
-/* The key stays here, the tenant's name goes on, and a tenant's rank goes before the route's. */
+/* The tenant's name is forwarded but its key isn't; its priority overrides the route's. */
 static void test_tenant_is_told_and_key_is_not(void) {
     estate_t *estate = tenants_start(1, two_tenants);
     g_assert_cmpint(status_of(estate, 0, "/chat/x", "t1",
@@ -61,9 +62,10 @@
     assert_header(estate, "t2", "Tenant", "south");
     assert_header(estate, "t1", "Request-Urgency", "3");
     assert_header(estate, "t2", "Request-Urgency", "2");
-    const char *const dropped[] = {"Authorization", "Hold", "Pin-Ms", "Kv-Backup", "Kv-From"};
-    for (size_t i = 0; i < G_N_ELEMENTS(dropped); i++) {
-        assert_header(estate, "t1", dropped[i], NULL);
+    const char *const removed_headers[] = {"Authorization", "Hold", "Pin-Ms", "Kv-Backup",
+                                           "Kv-From"};
+    for (size_t i = 0; i < G_N_ELEMENTS(removed_headers); i++) {
+        assert_header(estate, "t1", removed_headers[i], NULL);
     }
     g_assert_false(estate_log_has(estate, 0, "k-north"));
     estate_stop(estate);
@@ -71,21 +73,21 @@
 
 static void test_bad_keys_are_refused(void) {
     estate_t *estate = tenants_start(1, two_tenants);
-    const char *const bad[] = {EDGE_DEADLINE, EDGE_DEADLINE KEY("k-nobody"),
-                               EDGE_DEADLINE "Authorization: Bearer k-south\r\n",
-                               EDGE_DEADLINE "Authorization:\r\n",
-                               EDGE_DEADLINE KEY("k-south") KEY("k-south")};
+    const char *const invalid_headers[] = {EDGE_DEADLINE, EDGE_DEADLINE KEY("k-nobody"),
+                                           EDGE_DEADLINE "Authorization: Bearer k-south\r\n",
+                                           EDGE_DEADLINE "Authorization:\r\n",
+                                           EDGE_DEADLINE KEY("k-south") KEY("k-south")};
     wire_t *wire = wire_open(estate->nodes[0].callers_port);
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_headers); i++) {
         g_autofree char *id = g_strdup_printf("b%zu", i);
-        wire_post(wire, "/lock/x", id, bad[i], "hello");
+        wire_post(wire, "/lock/x", id, invalid_headers[i], "hello");
         wire_answer_t *answer = wire_read(wire, 5000);
         g_assert_cmpint(answer->status, ==, 401);
         g_assert_nonnull(strstr(answer->head->str, "WWW-Authenticate: Token"));
         g_assert_cmpint(estate_runs(estate, id), ==, 0);
         wire_answer_free(answer);
     }
-    /* The connection is as good as before. */
+    /* The connection can still be used. */
     wire_post(wire, "/lock/x", "b-good", EDGE_DEADLINE KEY("k-south"), "hello");
     wire_answer_t *answer = wire_read(wire, 5000);
     g_assert_cmpint(answer->status, ==, 200);
@@ -95,7 +97,7 @@
     estate_stop(estate);
 }
 
-/* Nobody's key is needed on a public route; a key that is given there goes to no engine either. */
+/* A public route needs no key, and a key sent to it isn't forwarded either. */
 static void test_public_route(void) {
     estate_t *estate = estate_start(1, NULL);
     estate->tenants = two_tenants;
@@ -112,7 +114,7 @@
     estate_stop(estate);
 }
 
-/* Without tenants in the configuration callers' own headers are none of our business. */
+/* Without tenants in the configuration the clients' headers are forwarded unchanged. */
 static void test_without_tenants(void) {
     estate_t *estate = estate_start(1, NULL);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "w1", EDGE_DEADLINE KEY("k-any")), ==, 200);
@@ -120,10 +122,10 @@
     estate_stop(estate);
 }
 
-/* A key that was taken away isn't served any more, and who waits under it is refused at once. */
+/* After a key is removed its requests are refused, also those that were waiting. */
 static void test_key_is_taken_away(void) {
     estate_t *estate = tenants_start(1, two_tenants);
-    /* No engine is left to load a model, so its request waits. */
+    /* The request waits, because no engine is left to load its model. */
     wire_t *wire = wire_open(estate->nodes[0].callers_port);
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\"}");
@@ -144,7 +146,7 @@
     estate_stop(estate);
 }
 
-/* A key that moves to another tenant goes by its new one from then on. */
+/* A key that moves to another tenant counts for the new one. */
 static void test_key_moves(void) {
     estate_t *estate = tenants_start(1, two_tenants);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "m1", EDGE_DEADLINE KEY("k-south")), ==, 200);
@@ -158,7 +160,7 @@
     estate_stop(estate);
 }
 
-/* A node that may not know the newest configuration doesn't call a key wrong that may be new. */
+/* A node whose configuration may be stale must not reject an unknown key as invalid. */
 static void test_unknown_key_at_a_node_that_lags(void) {
     estate_t *estate = tenants_start(1, two_tenants);
     estate_store_fault(estate, 0, "cut", 0);
@@ -181,8 +183,8 @@
 
 static const int all_nodes[] = {0, 1, 2};
 
-/* Asks for a while under a tenant's key, one node after the other, as fast as they answer. Returns
- * how many were served; all others were refused with 429 and a time. */
+/* Sends requests with a tenant's key to the nodes in turn, as fast as they respond. Returns how
+ * many were served; all others must be refused with 429 and a Retry-After. */
 static int ask_for(const estate_t *estate, const int *nodes, int node_count, int seconds) {
     wire_t *wires[ESTATE_NODES];
     int served = 0;
@@ -209,7 +211,7 @@
     return served;
 }
 
-/* A tenant's limit holds over all nodes together, and other tenants are none the worse. */
+/* A tenant's limit holds over all nodes together and doesn't affect other tenants. */
 static void test_limit_over_all_nodes(void) {
     estate_t *estate = tenants_start(2, limited_tenants);
     estate_wait_controller(estate, 5000);
@@ -222,15 +224,15 @@
     estate_stop(estate);
 }
 
-/* The node that keeps the book is killed while the tenant is at its limit: neither is the limit
- * forgotten nor the tenant shut out. */
+/* The node with the quota ledger is killed while the tenant is at its limit: the limit still holds
+ * and the tenant is still served. */
 static void test_limit_while_the_book_is_lost(void) {
     estate_t *estate = tenants_start(3, limited_tenants);
-    int keeper = estate_wait_controller(estate, 5000);
-    g_assert_cmpint(keeper, >=, 0);
+    int aggregator = estate_wait_controller(estate, 5000);
+    g_assert_cmpint(aggregator, >=, 0);
     ask_for(estate, all_nodes, 3, 2);
-    process_kill(&estate->nodes[keeper].process);
-    const int others[] = {(keeper + 1) % 3, (keeper + 2) % 3};
+    process_kill(&estate->nodes[aggregator].process);
+    const int others[] = {(aggregator + 1) % 3, (aggregator + 2) % 3};
     int served = ask_for(estate, others, 2, 6);
     g_test_message("served %d in 6 s", served);
     g_assert_cmpint(served, <=, (int)(1.1 * (6 * LIMIT_PER_S + LIMIT_BURST)));
@@ -238,9 +240,8 @@
     estate_stop(estate);
 }
 
-/* All nodes are killed while a tenant asks for many times its limit, and its callers go on at once
- * when they are back: nobody has told the new nodes of it, and each would admit all that it is
- * asked until somebody has. Seen as 1.05 of the limit's rule on a day of that kind. */
+/* All nodes are killed and restarted while a tenant exceeds its limit: the new nodes must not admit
+ * everything until they get their shares. */
 static void test_limit_when_all_are_killed(void) {
     estate_t *estate = tenants_start(3, limited_tenants);
     estate_wait_controller(estate, 5000);
@@ -261,7 +262,7 @@
     estate_stop(estate);
 }
 
-/* A limit that is lowered holds for what comes after, and one that is lifted ends. */
+/* A lowered limit applies to later requests, and a removed limit ends. */
 static void test_limit_changes(void) {
     estate_t *estate = tenants_start(2, limited_tenants);
     estate_wait_controller(estate, 5000);
@@ -280,7 +281,7 @@
     estate_stop(estate);
 }
 
-/* Operators see limits everywhere, and what is used of them at the node that keeps the book. */
+/* wickctl shows tenants' limits at every node, and their usage at the quota ledger's node. */
 static void test_wickctl_tenants(void) {
     estate_t *estate = tenants_start(1, limited_tenants);
     estate_wait_controller(estate, 5000);
--- a/tests/edge/test_upgrade.c
+++ b/tests/edge/test_upgrade.c
@@ -1,32 +1,28 @@
-/* Nodes of two builds side by side, while machines are replaced one after the other, forth and
- * back.
- *
- * The older build is the last whose messages have no form of their own: it can't be taught
- * anything, so the newer one must speak to it as it always was spoken to. What is checked is what
- * callers and engines see. */
+/* Nodes of two builds run side by side while nodes are upgraded and downgraded one at a time. The
+ * older build is the last one whose messages have no format version, so the newer one must send it
+ * the old format. */
 #include "edge.h"
 
 #include <string.h>
 
 #define NODES 3
-/* Orders of two holders to one engine lie at least so far apart. */
+/* Minimum time between orders of two lease holders to the same engine. */
 #define QUIET_MS 3000
-/* While a node is down or a lease changes hands, a request may be refused, or meet a closed port.
- */
+/* Requests may be refused, or the connection, while a node restarts or the lease changes hands. */
 #define SERVED_SHARE 0.9
 
 typedef struct load_t {
     const estate_t *estate;
     int asked;
     int served;
-    int wrong; /* neither an answer nor a true refusal */
+    int wrong; /* unexpected status, a refused request that ran, or more than one run */
 } load_t;
 
-static void load_ask(load_t *load, int node, const char *path, const char *headers) {
+static void load_send(load_t *load, int node, const char *path, const char *headers) {
     g_autofree char *id = g_strdup_printf("load-%d", load->asked++);
     wire_t *wire = wire_try_open(load->estate->nodes[node].callers_port);
     if (wire == NULL) {
-        return; /* it is being replaced: its callers go elsewhere */
+        return; /* the node is being replaced; clients use another one */
     }
     wire_post(wire, path, id, headers, "hello");
     wire_answer_t *answer = wire_read(wire, 10000);
@@ -39,13 +35,13 @@
     wire_close(wire);
 }
 
-static void load_run(load_t *load, int64_t for_ms) {
+static void load_run(load_t *load, int64_t duration_ms) {
     static const char *const models[] = {EDGE_MODEL("m0"), EDGE_MODEL("m1"), EDGE_MODEL("m2"),
                                          EDGE_MODEL("m3")};
-    int64_t until_ms = harness_now_ms() + for_ms;
+    int64_t until_ms = harness_now_ms() + duration_ms;
     for (int i = 0; harness_now_ms() < until_ms; i++) {
-        load_ask(load, i % NODES, "/lock/x", EDGE_DEADLINE);
-        load_ask(load, (i + 1) % NODES, "/note/x", models[i % (int)G_N_ELEMENTS(models)]);
+        load_send(load, i % NODES, "/lock/x", EDGE_DEADLINE);
+        load_send(load, (i + 1) % NODES, "/note/x", models[i % (int)G_N_ELEMENTS(models)]);
         g_usleep(30000);
     }
 }
@@ -59,7 +55,7 @@
     load_run(load, 1500);
 }
 
-/* No two holders take turns at an engine within the time that must lie between them. */
+/* Asserts that no engine got orders from two lease holders within the handover interval. */
 static void assert_one_holder(const estate_t *estate) {
     json_t *seen = estate_seen(estate);
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
@@ -84,8 +80,8 @@
     g_assert_cmpint(load->served, >=, (int)(SERVED_SHARE * load->asked));
 }
 
-/* All nodes are older; each is replaced, the lease's holder second; meanwhile an engine starts
- * again under its id and the configuration changes. */
+/* All nodes are upgraded, the lease holder second; meanwhile an engine restarts with the same id
+ * and the configuration changes. */
 static void test_forth(void) {
     estate_t *estate = estate_start_builds(NODES, NODES, NULL);
     load_t load = {.estate = estate};
@@ -113,8 +109,8 @@
     estate_stop(estate);
 }
 
-/* One node goes forth and back, twice, while a node of the older build or of the newer holds the
- * lease: the row that says which form its machine reads is another build's each time. */
+/* A node is upgraded and downgraded twice, with a lease holder of either build: the row with the
+ * format version that its machine reads changes each time. */
 static void test_forth_and_back(void) {
     estate_t *estate = estate_start_builds(NODES, 2, NULL);
     load_t load = {.estate = estate};
@@ -136,13 +132,13 @@
     estate_stop(estate);
 }
 
-/* Newer nodes tell each other with the news of models which start of an engine is meant; older ones
- * get the same news without. */
+/* Placement updates between newer nodes include the engine's incarnation; older nodes get the same
+ * updates without it. */
 static void test_news_reach_both(void) {
     estate_t *estate = estate_start_builds(NODES, 1, NULL);
     int holder = estate_wait_controller(estate, 5000);
     if (holder == 0) {
-        process_kill(&estate->nodes[0].process); /* a newer one is to tell the older */
+        process_kill(&estate->nodes[0].process); /* a newer node must be the sender */
         holder = estate_wait_controller(estate, 10000);
         estate_node_launch(estate, 0);
         estate_wait_ready(estate, 0);
@@ -151,7 +147,7 @@
     static const char *const models[] = {EDGE_MODEL("m4"), EDGE_MODEL("m5"), EDGE_MODEL("m6")};
     for (int node = 0; node < NODES; node++) {
         load_t load = {.estate = estate};
-        load_ask(&load, node, "/note/x", models[node]);
+        load_send(&load, node, "/note/x", models[node]);
         g_assert_cmpint(load.served, ==, 1);
         g_usleep(300000);
     }
--- a/tests/edge/test_zones.c
+++ b/tests/edge/test_zones.c
@@ -1,5 +1,5 @@
-/* Zones that operators evacuate: nothing new reaches their engines, what stands there alone is
- * loaded elsewhere, and once the zone is taken back its engines serve again. */
+/* Evacuated zones: their engines get no new requests, models that only they have are loaded in
+ * other zones, and when the evacuation ends the engines are used again. */
 #include "edge.h"
 
 #include <string.h>
@@ -20,7 +20,7 @@
               evacuate ? ",\"value\":\"{}\"" : "");
 }
 
-/* Runs at an engine that began after a time of the harness's clock. */
+/* Returns how many runs at an engine started after a time (harness_now_ms). */
 static int runs_after(const estate_t *estate, const char *engine, int64_t after_ms) {
     json_t *seen = estate_seen(estate);
     int count = 0;
@@ -34,7 +34,7 @@
     return count;
 }
 
-static void ask_all(const estate_t *estate, const char *name, int count) {
+static void assert_all_served(const estate_t *estate, const char *name, int count) {
     for (int i = 0; i < count; i++) {
         g_autofree char *lock = g_strdup_printf("%s-lock-%d", name, i);
         g_autofree char *chat = g_strdup_printf("%s-chat-%d", name, i);
@@ -45,18 +45,18 @@
     }
 }
 
-/* Only llm-1 in zone-1 holds m1. */
+/* Only llm-1 in zone-1 has m1. */
 static void test_evacuated_and_taken_back(void) {
     estate_t *estate = estate_start(2, FLAGS);
-    ask_all(estate, "before", 4);
-    int64_t acknowledged_ms = harness_now_ms();
+    assert_all_served(estate, "before", 4);
+    int64_t evacuated_ms = harness_now_ms();
     zone_evacuate(estate, "zone-1", TRUE);
-    while (harness_now_ms() < acknowledged_ms + EVACUATE_MS) {
-        ask_all(estate, "while", 1);
+    while (harness_now_ms() < evacuated_ms + EVACUATE_MS) {
+        assert_all_served(estate, "while", 1);
     }
-    ask_all(estate, "after", 10);
-    g_assert_cmpint(runs_after(estate, "lock-1", acknowledged_ms + EVACUATE_MS), ==, 0);
-    g_assert_cmpint(runs_after(estate, "llm-1", acknowledged_ms + EVACUATE_MS), ==, 0);
+    assert_all_served(estate, "after", 10);
+    g_assert_cmpint(runs_after(estate, "lock-1", evacuated_ms + EVACUATE_MS), ==, 0);
+    g_assert_cmpint(runs_after(estate, "llm-1", evacuated_ms + EVACUATE_MS), ==, 0);
     g_assert_cmpint(estate_orders(estate, "model_load", "m1"), >=, 1);
     zone_evacuate(estate, "zone-1", FALSE);
     g_usleep(1500000);
@@ -67,14 +67,14 @@
     estate_stop(estate);
 }
 
-/* What is asked for and stands in the zone alone is loaded elsewhere before anybody misses it. */
+/* Models with demand that are only in the zone are loaded elsewhere before the grace time ends. */
 static void test_models_move_ahead(void) {
     estate_t *estate = estate_start(1, "--catalog-ms=1000 --evacuate-ms=5000");
     estate_do(estate,
               "{\"do\":\"engine-start\",\"engine\":\"llm-3\",\"options\":{\"service\":\"llm\","
               "\"zone\":\"zone-2\",\"streams\":1,\"load_ms\":200,\"weights_mb\":2100}}");
     estate_wait_controller(estate, 5000);
-    ask_all(estate, "often", 3);
+    assert_all_served(estate, "often", 3);
     g_usleep(500000);
     zone_evacuate(estate, "zone-1", TRUE);
     g_usleep(1500000);
@@ -82,26 +82,26 @@
     estate_stop(estate);
 }
 
-/* One node can't reach the store, and the other, which holds the lease, tells it. */
+/* A node that can't reach the store learns of the evacuation from the lease holder. */
 static void test_node_without_the_store(void) {
     estate_t *estate = estate_start(2, FLAGS);
     int holder = estate_wait_controller(estate, 5000);
     g_usleep(700000);
     estate_store_fault(estate, 1 - holder, "freeze", 0);
-    int64_t acknowledged_ms = harness_now_ms();
+    int64_t evacuated_ms = harness_now_ms();
     zone_evacuate(estate, "zone-1", TRUE);
     g_usleep(EVACUATE_MS * 1000);
     for (int i = 0; i < 10; i++) {
         g_autofree char *id = g_strdup_printf("cut-%d", i);
         g_assert_cmpint(asked(estate, 1 - holder, "/lock/x", id, EDGE_DEADLINE), ==, 200);
     }
-    g_assert_cmpint(runs_after(estate, "lock-1", acknowledged_ms + EVACUATE_MS), ==, 0);
+    g_assert_cmpint(runs_after(estate, "lock-1", evacuated_ms + EVACUATE_MS), ==, 0);
     estate_store_fault(estate, 1 - holder, "pass", 0);
     estate_stop(estate);
 }
 
-/* A node that starts meanwhile knows no time of grace; with all zones evacuated requests are
- * refused at once, as not run; a zone that isn't there harms nothing. */
+/* A node that starts during an evacuation uses no grace time. With all zones evacuated, requests
+ * are refused at once without a run. An unknown zone has no effect. */
 static void test_two_zones_and_a_start(void) {
     estate_t *estate = estate_start(1, FLAGS);
     zone_evacuate(estate, "zone-nowhere", TRUE);
@@ -112,9 +112,9 @@
     process_kill(&estate->nodes[0].process);
     estate_node_launch(estate, 0);
     estate_wait_ready(estate, 0);
-    int64_t began_ms = harness_now_ms();
+    int64_t started_ms = harness_now_ms();
     g_assert_cmpint(asked(estate, 0, "/lock/x", "none", EDGE_DEADLINE), ==, 503);
-    g_assert_cmpint(harness_now_ms() - began_ms, <, 500);
+    g_assert_cmpint(harness_now_ms() - started_ms, <, 500);
     g_assert_cmpint(estate_runs(estate, "none"), ==, 0);
     zone_evacuate(estate, "zone-2", FALSE);
     g_usleep(1500000);
@@ -122,8 +122,8 @@
     estate_stop(estate);
 }
 
-/* A route that names regions is served there and nowhere else, whatever the caller says; where no
- * engine stands in them it is refused at once, as not run. */
+/* A route with allowed regions is served only there, whatever region the client names. If no engine
+ * is in them, requests are refused at once without a run. */
 static void test_homes(void) {
     estate_t *estate = estate_start(2, "--zone-regions=zone-1=north,zone-2=south");
     estate_configure(
@@ -133,22 +133,22 @@
         "{\"name\":\"w\",\"host\":\"a.example\",\"pathPrefix\":\"/west/\",\"routeType\":"
         "\"idempotent\",\"timeoutMs\":2000,\"service\":\"lock\",\"allowedRegions\":[\"west\"]}");
     g_usleep(1000000);
-    int64_t began_ms = harness_now_ms();
+    int64_t started_ms = harness_now_ms();
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("home-%d", i);
         g_assert_cmpint(asked(estate, i % 2, "/south/x", id, EDGE_DEADLINE "Region: north\r\n"), ==,
                         200);
     }
-    g_assert_cmpint(runs_after(estate, "lock-1", began_ms), ==, 0);
-    began_ms = harness_now_ms();
+    g_assert_cmpint(runs_after(estate, "lock-1", started_ms), ==, 0);
+    started_ms = harness_now_ms();
     g_assert_cmpint(asked(estate, 0, "/west/x", "west", EDGE_DEADLINE), ==, 503);
-    g_assert_cmpint(harness_now_ms() - began_ms, <, 300);
+    g_assert_cmpint(harness_now_ms() - started_ms, <, 300);
     g_assert_cmpint(estate_runs(estate, "west"), ==, 0);
-    /* The last engine at home leaves: there is none then. */
+    /* The last engine in an allowed region stops. */
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(2500000);
     g_assert_cmpint(asked(estate, 0, "/south/x", "gone", EDGE_DEADLINE), ==, 503);
-    g_assert_cmpint(runs_after(estate, "lock-1", began_ms), ==, 0);
+    g_assert_cmpint(runs_after(estate, "lock-1", started_ms), ==, 0);
     estate_stop(estate);
 }
 
