--- a/tests/edge/test_budget.c
+++ b/tests/edge/test_budget.c
@@ -70,7 +70,7 @@
     }
 }
 
-/* All engines of the service turn everything away from now on. */
+/* Makes all engines of the service reject every request from now on. */
 static void engines_reject(const estate_t *estate) {
     for (int i = 1; i <= ESTATE_PROXIED_ENGINES; i++) {
         estate_do(estate,
--- a/tests/edge/test_control.c
+++ b/tests/edge/test_control.c
@@ -110,11 +110,11 @@
     process_kill(&estate->nodes[controller].process);
     int64_t killed_ms = harness_now_ms();
     g_usleep(700000);
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_answer_t *answer =
         wire_ask(estate->nodes[other].callers_port, "/chat/x", "b1", EDGE_MODEL("m5"));
     g_assert_cmpint(answer->status, ==, 503);
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 250);
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 250);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
@@ -123,12 +123,12 @@
     g_assert_cmpfloat(retry_after_s, >, 2.5);
     g_assert_cmpfloat(retry_after_s, <, 6.0);
     g_usleep((gulong)(retry_after_s * 1e6));
-    asked_ms = harness_now_ms();
+    sent_ms = harness_now_ms();
     answer = wire_ask(estate->nodes[other].callers_port, "/chat/x", "b2", EDGE_MODEL("m5"));
     g_test_message("%d after %d ms, %d ms after the kill", answer->status,
-                   (int)(harness_now_ms() - asked_ms), (int)(harness_now_ms() - killed_ms));
+                   (int)(harness_now_ms() - sent_ms), (int)(harness_now_ms() - killed_ms));
     g_assert_cmpint(answer->status, ==, 200);
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 300);
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
     wire_answer_free(answer);
     g_assert_cmpint(estate_orders(estate, "model_load", "m5"), ==, 1);
     estate_assert_no_violation(estate);
@@ -222,14 +222,14 @@
 /* Loads of a model that crashes every engine back off after a few crashes, and other models are
  * served. */
 static void test_model_that_crashes_engines(void) {
-    enum { LOADS_MOST = 4, ASKED_FOR_MS = 12000 };
+    enum { MAX_CRASHES = 4, DURATION_MS = 12000 };
     estate_t *estate = estate_start(2, NULL);
     estate_wait_controller(estate, 8000);
     for (int engine = 1; engine <= 2; engine++) {
         estate_do(estate, "{\"do\":\"engine-crash-model\",\"engine\":\"llm-%d\",\"model\":\"m5\"}",
                   engine);
     }
-    int64_t until_ms = harness_now_ms() + ASKED_FOR_MS;
+    int64_t until_ms = harness_now_ms() + DURATION_MS;
     for (int i = 0; harness_now_ms() < until_ms; i++) {
         g_autofree char *id = g_strdup_printf("x%d", i);
         wire_answer_free(
@@ -241,7 +241,7 @@
     json_decref(seen);
     g_test_message("%zu engines crashed", crashes);
     g_assert_cmpint(crashes, >=, 2);
-    g_assert_cmpint(crashes, <=, LOADS_MOST);
+    g_assert_cmpint(crashes, <=, MAX_CRASHES);
     for (int node = 0; node < 2; node++) {
         g_autofree char *id = g_strdup_printf("y%d", node);
         wire_answer_t *answer =
--- a/tests/edge/test_cut_off.c
+++ b/tests/edge/test_cut_off.c
@@ -16,13 +16,13 @@
 
 /* Asserts that a request for a model that isn't loaded is refused at once with a Retry-After. */
 static void assert_refused_at_once(const estate_t *estate, int node, const char *id) {
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_answer_t *answer =
         wire_ask(estate->nodes[node].callers_port, "/chat/x", id, EDGE_MODEL("m5"));
-    int64_t took_ms = harness_now_ms() - asked_ms;
-    g_test_message("%s: %d after %d ms", id, answer->status, (int)took_ms);
+    int64_t elapsed_ms = harness_now_ms() - sent_ms;
+    g_test_message("%s: %d after %d ms", id, answer->status, (int)elapsed_ms);
     g_assert_cmpint(answer->status, ==, 503);
-    g_assert_cmpint(took_ms, <, AT_ONCE_MS);
+    g_assert_cmpint(elapsed_ms, <, AT_ONCE_MS);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), <, COME_BACK_MOST_S);
@@ -101,12 +101,12 @@
     int cut = test.cut;
     estate_link_fault(estate, controller, "cut", 0);
     estate_store_fault(estate, cut, "freeze", 0);
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_answer_t *answer =
         wire_ask(estate->nodes[cut].callers_port, "/chat/x", "w1", EDGE_MODEL("m5"));
-    g_test_message("%d after %d ms", answer->status, (int)(harness_now_ms() - asked_ms));
+    g_test_message("%d after %d ms", answer->status, (int)(harness_now_ms() - sent_ms));
     g_assert_cmpint(answer->status, ==, 503);
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 2500);
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 2500);
     wire_answer_free(answer);
     estate_stop(estate);
 }
--- a/tests/edge/test_path.c
+++ b/tests/edge/test_path.c
@@ -85,10 +85,10 @@
                      "\"routeType\":\"streaming\",\"timeoutMs\":700,\"service\":\"llm\"}");
     g_usleep(300000);
     int port = estate->nodes[0].callers_port;
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_answer_t *answer = wire_ask(port, "/short/x", "f1", EDGE_MODEL("m5"));
-    g_test_message("refused after %d ms", (int)(harness_now_ms() - asked_ms));
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 80);
+    g_test_message("refused after %d ms", (int)(harness_now_ms() - sent_ms));
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 80);
     g_assert_cmpint(answer->status, ==, 503);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
--- a/tests/edge/test_poison.c
+++ b/tests/edge/test_poison.c
@@ -103,12 +103,12 @@
 
 /* Asserts that the node refuses the request at once, without a run and with a long Retry-After. */
 static void assert_refused(const estate_t *estate, int node) {
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_t *wire = wire_open(estate->nodes[node].callers_port);
     wire_post(wire, PATH, "told", EDGE_MODEL("m0"), POISON);
     wire_answer_t *answer = wire_read(wire, 9000);
     g_assert_cmpint(answer->status, ==, 503);
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 300);
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), >=,
--- a/tests/edge/test_stops.c
+++ b/tests/edge/test_stops.c
@@ -23,9 +23,9 @@
     wire_post(streaming, "/chat/x", "k2", EDGE_MODEL("m7"), "hello");
     g_usleep(200000);
     process_signal(&estate->nodes[0].process, SIGTERM);
-    int64_t asked_ms = harness_now_ms();
+    int64_t stopped_ms = harness_now_ms();
     g_assert_true(wire_is_closed(idle, 4000));
-    int64_t elapsed_ms = harness_now_ms() - asked_ms;
+    int64_t elapsed_ms = harness_now_ms() - stopped_ms;
     g_assert_cmpint(elapsed_ms, >=, 2000); /* the load balancer must see it first */
     g_assert_cmpint(elapsed_ms, <=, 3300);
     wire_close(idle);
@@ -107,15 +107,15 @@
     estate_do(estate, "{\"do\":\"store-fault\",\"fault\":\"busy\"}");
     g_usleep(2500000); /* the lease expires, so no models are loaded */
     process_signal(&estate->nodes[0].process, SIGTERM);
-    int64_t asked_ms = harness_now_ms();
+    int64_t stopped_ms = harness_now_ms();
     g_usleep(2500000);
     wire_t *wire = wire_open(port);
     wire_post(wire, "/chat/x", "w1", "Model: m5\r\nRequest-Deadline-Ms: 20000\r\n", "hello");
     wire_answer_t *answer = wire_read(wire, 5000);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_nonnull(strstr(answer->head->str, "Retry-After: "));
-    g_test_message("answered after %d ms", (int)(harness_now_ms() - asked_ms));
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 3300);
+    g_test_message("answered after %d ms", (int)(harness_now_ms() - stopped_ms));
+    g_assert_cmpint(harness_now_ms() - stopped_ms, <, 3300);
     wire_answer_free(answer);
     wire_close(wire);
     estate_stop(estate);
--- a/tests/edge/test_tenants.c
+++ b/tests/edge/test_tenants.c
@@ -130,14 +130,14 @@
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
     estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\"}");
     g_usleep(400000);
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_post(wire, "/chat/x", "k1", EDGE_MODEL("m5") KEY("k-south"), "hello");
     g_usleep(100000);
     estate->tenants = "[{\"name\":\"north\",\"apiKeys\":[\"k-north-1\"]},"
                       "{\"name\":\"south\",\"apiKeys\":[\"k-south-2\"]}]";
     estate_configure(estate, NULL);
     wire_answer_t *answer = wire_read(wire, 5000);
-    g_test_message("answered after %d ms", (int)(harness_now_ms() - asked_ms));
+    g_test_message("answered after %d ms", (int)(harness_now_ms() - sent_ms));
     g_assert_cmpint(answer->status, ==, 401);
     wire_answer_free(answer);
     wire_close(wire);
--- a/tests/edge/test_told.c
+++ b/tests/edge/test_told.c
@@ -435,18 +435,18 @@
 
 /* Arrivals from one node during the backoff that the engine asked of it. */
 typedef struct backoff_check_t {
-    int64_t asked_ms; /* when the engine first rejected a request of the node; 0: not yet */
+    int64_t first_rejected_ms; /* first rejected request of the node; 0: none */
     unsigned arrivals;
 } backoff_check_t;
 
 static void backoff_arrival_count(const char *id, int node, int64_t at_ms, void *context) {
     (void)id;
     backoff_check_t *check = &((backoff_check_t *)context)[node];
-    if (check->asked_ms == 0) {
-        check->asked_ms = at_ms;
+    if (check->first_rejected_ms == 0) {
+        check->first_rejected_ms = at_ms;
     }
-    check->arrivals +=
-        at_ms > check->asked_ms + BACKOFF_GRACE_MS && at_ms < check->asked_ms + BACKOFF_MS - 50;
+    check->arrivals += at_ms > check->first_rejected_ms + BACKOFF_GRACE_MS &&
+                       at_ms < check->first_rejected_ms + BACKOFF_MS - 50;
 }
 
 /* Guards against requests (other ones, and retries of the rejected one) to an engine from which the
@@ -480,10 +480,10 @@
     wire_answer_free(wire_ask(port, "/lock/x", "n0-1", EDGE_DEADLINE));
     retry_after_set(estate, "lock-1", "");
     g_usleep(600000);
-    int64_t asked_ms = harness_now_ms();
+    int64_t sent_ms = harness_now_ms();
     wire_answer_t *answer = wire_ask(port, "/lock/x", "n0-2", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 503);
-    g_assert_cmpint(harness_now_ms() - asked_ms, <, 300);
+    g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -64,7 +64,7 @@
                              READY_TIMEOUT_MS));
 }
 
-/* Allocates all ports before any process starts, because the proxy needs them. */
+/* Allocates the ports of nodes and engines before the proxy starts, which needs them. */
 static void ports_choose(cluster_t *cluster) {
     for (int i = 0; i < HARNESS_NODES; i++) {
         cluster->nodes[i].callers_port = port_find();
--- a/tests/harness/estate.c
+++ b/tests/harness/estate.c
@@ -196,9 +196,9 @@
     argument_add(arguments, "--listen-callers=127.0.0.1:%d", node->callers_port);
     argument_add(arguments, "--listen-ready=127.0.0.1:%d", node->ready_port);
     argument_add(arguments, "--listen-nodes=127.0.0.1:%d", node->nodes_port);
-    argument_add(arguments, "--advertise-nodes=127.0.0.1:%d", estate->link_relays[index]);
+    argument_add(arguments, "--advertise-nodes=127.0.0.1:%d", estate->link_proxy_ports[index]);
     argument_add(arguments, "--listen-operators=127.0.0.1:%d", node->metrics_port);
-    argument_add(arguments, "--store=127.0.0.1:%d", estate->store_relays[index]);
+    argument_add(arguments, "--store=127.0.0.1:%d", estate->store_proxy_ports[index]);
     argument_add(arguments, "--engine-heartbeat-ms=300");
     argument_add(arguments, "--log-lines-per-s=10000");
     g_autofree char *all_flags =
@@ -243,18 +243,18 @@
     g_autoptr(GString) relays = g_string_new(NULL);
     estate->proxy_control_port = port_find();
     for (int i = 0; i < ESTATE_NODES; i++) {
-        estate->store_relays[i] = port_find();
-        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->store_relays[i],
+        estate->store_proxy_ports[i] = port_find();
+        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->store_proxy_ports[i],
                                estate->store_port);
-        estate->link_relays[i] = port_find();
+        estate->link_proxy_ports[i] = port_find();
         estate->nodes[i].nodes_port = port_find();
-        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->link_relays[i],
+        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->link_proxy_ports[i],
                                estate->nodes[i].nodes_port);
     }
     for (int i = 0; i < ESTATE_PROXIED_ENGINES; i++) {
-        estate->engine_relays[i] = port_find();
+        estate->engine_proxy_ports[i] = port_find();
         estate->engine_ports[i] = port_find();
-        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->engine_relays[i],
+        g_string_append_printf(relays, "127.0.0.1:%d=127.0.0.1:%d,", estate->engine_proxy_ports[i],
                                estate->engine_ports[i]);
     }
     g_string_truncate(relays, relays->len - 1);
@@ -286,16 +286,16 @@
 }
 
 void estate_store_fault(const estate_t *estate, int node, const char *fault, int delay_ms) {
-    relay_fault(estate, estate->store_relays[node], fault, delay_ms, 0, 0);
+    relay_fault(estate, estate->store_proxy_ports[node], fault, delay_ms, 0, 0);
 }
 
 void estate_link_fault(const estate_t *estate, int node, const char *fault, int delay_ms) {
-    relay_fault(estate, estate->link_relays[node], fault, delay_ms, 0, 0);
+    relay_fault(estate, estate->link_proxy_ports[node], fault, delay_ms, 0, 0);
 }
 
 void estate_engine_fault(const estate_t *estate, int engine, const char *fault, int bytes,
                          int times) {
-    relay_fault(estate, estate->engine_relays[engine], fault, 0, bytes, times);
+    relay_fault(estate, estate->engine_proxy_ports[engine], fault, 0, bytes, times);
 }
 
 /* Starts another node on new ports. Returns its index. */
@@ -340,7 +340,7 @@
             estate,
             "{\"do\":\"engine-start\",\"engine\":\"lock-%d\",\"options\":{\"service\":\"lock\","
             "\"zone\":\"zone-%d\",\"work_ms\":10,\"port\":%d,\"announce_port\":%d}}",
-            i + 1, i + 1, estate->engine_ports[i], estate->engine_relays[i]);
+            i + 1, i + 1, estate->engine_ports[i], estate->engine_proxy_ports[i]);
     for (int i = 0; i < nodes; i++)
         node_add(estate, i < older, flags != NULL ? flags[i] : NULL);
     for (int i = 0; i < nodes; i++)
--- a/tests/harness/estate.h
+++ b/tests/harness/estate.h
@@ -37,9 +37,9 @@
     int node_count;
     process_t proxy;
     int proxy_control_port;
-    int store_relays[ESTATE_NODES];            /**< proxy port per node, to the store */
-    int link_relays[ESTATE_NODES];             /**< proxy port per node, for other nodes */
-    int engine_relays[ESTATE_PROXIED_ENGINES]; /**< proxy ports of lock-1 and lock-2 */
+    int store_proxy_ports[ESTATE_NODES];            /**< proxy port per node, to the store */
+    int link_proxy_ports[ESTATE_NODES];             /**< proxy port per node, for other nodes */
+    int engine_proxy_ports[ESTATE_PROXIED_ENGINES]; /**< proxy ports of lock-1 and lock-2 */
     int engine_ports[ESTATE_PROXIED_ENGINES];
     int64_t catalog_version;
     const char *tenants;    /**< JSON list for estate_configure; NULL: clients have no keys */
--- a/tests/harness/processes.c
+++ b/tests/harness/processes.c
@@ -40,7 +40,7 @@
     started_count = started_count + 1;
 }
 
-/* A collected process's id may be given to another one. */
+/* The id of a reaped process may be reused. */
 static void abort_unregister(pid_t pid) {
     for (int i = 0; i < started_count; i++)
         if (started[i] == pid) {
