--- a/include/wickbridge/catalog.h
+++ b/include/wickbridge/catalog.h
@@ -22,10 +22,10 @@
 } wb_route_kind_t;
 
 /** A part of a weighted split. */
-typedef struct wb_route_part_t {
+typedef struct wb_route_target_t {
     char *service;
     double weight;
-} wb_route_part_t;
+} wb_route_target_t;
 
 typedef struct wb_route_t {
     char *name;
@@ -38,9 +38,9 @@
     int64_t target_gap_ms;     /**< 0: none */
     int rank;                  /**< 0 is the most urgent */
     int max_attempts;          /**< most engines that may run one request */
-    char **homes;              /**< regions in which its requests may be served; NULL: all */
+    char **allowed_regions;              /**< regions in which its requests may be served; NULL: all */
     gboolean is_public;        /**< a request needs no key */
-    GArray *parts;             /**< of wb_route_part_t */
+    GArray *parts;             /**< of wb_route_target_t */
     double split_point;        /**< private: state of wb_route_pick_service */
 } wb_route_t;
 
@@ -61,19 +61,19 @@
     GHashTable *models;  /**< name -> wb_model_spec_t; empty for services without models */
     double weights_mb;   /**< an engine's room for weights and adapters */
     int adapter_slots;
-    double cold_per_s; /**< requests a second that a cold engine bears; 0: as many as a warm one */
+    double cold_capacity_per_s; /**< requests a second that a cold engine bears; 0: as many as a warm one */
     int64_t cold_start_ms; /**< time for which an engine is cold after its start */
     double loads_per_s;    /**< loads from the weight store, all engines together; 0: no limit */
     int64_t store_load_ms; /**< mean time of its models' loads from there, set by wb_catalog_seal */
 } wb_service_t;
 
 /** Bounds on callers. */
-typedef struct wb_caller_limits_t {
+typedef struct wb_client_limits_t {
     size_t head_bytes;
     size_t body_bytes;
     int64_t head_timeout_ms;
     int64_t idle_timeout_ms;
-} wb_caller_limits_t;
+} wb_client_limits_t;
 
 typedef struct wb_catalog_t {
     int references;
@@ -81,7 +81,7 @@
     GHashTable *hosts;     /**< host -> GPtrArray of wb_route_t, longest prefix first */
     GHashTable *services;  /**< name -> wb_service_t */
     wb_tenants_t *tenants; /**< NULL: callers have no keys */
-    wb_caller_limits_t limits;
+    wb_client_limits_t limits;
     unsigned route_count;
 } wb_catalog_t;
 
@@ -92,7 +92,7 @@
 /** @return a route to fill in; the catalog owns it */
 wb_route_t *wb_catalog_add_route(wb_catalog_t *catalog, const char *name, const char *host,
                                  const char *path_prefix);
-void wb_route_add_part(wb_route_t *route, const char *service, double weight);
+void wb_route_add_target(wb_route_t *route, const char *service, double weight);
 /** @return a service to fill in; the catalog owns it */
 wb_service_t *wb_catalog_add_service(wb_catalog_t *catalog, const char *name);
 wb_model_spec_t *wb_service_add_model(wb_service_t *service, const char *name);
--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -21,8 +21,8 @@
 /** What the machine list says of an engine's machine. */
 typedef enum wb_machine_state_t {
     WB_MACHINE_LIVE,
-    WB_MACHINE_LEAVING,
-    WB_MACHINE_GONE
+    WB_MACHINE_DRAINING,
+    WB_MACHINE_REMOVED
 } wb_machine_state_t;
 
 typedef enum wb_order_action_t { WB_ORDER_FENCE, WB_ORDER_LOAD, WB_ORDER_UNLOAD } wb_order_action_t;
@@ -41,10 +41,10 @@
 
 /** How an order ended. */
 typedef enum wb_order_outcome_t {
-    WB_ORDER_TAKEN,   /**< the engine took it; its inventory came back */
+    WB_ORDER_ACCEPTED,   /**< the engine took it; its inventory came back */
     WB_ORDER_REFUSED, /**< the engine took the number, not the order; its inventory came back */
     WB_ORDER_STALE,   /**< a higher number came first; its inventory came back */
-    WB_ORDER_LOST     /**< no answer: it may still arrive */
+    WB_ORDER_NO_RESPONSE     /**< no answer: it may still arrive */
 } wb_order_outcome_t;
 
 /** One engine with a model ready. Texts are borrowed. */
@@ -57,8 +57,8 @@
 
 typedef enum wb_route_state_t {
     WB_ROUTE_READY,
-    WB_ROUTE_WAKING,
-    WB_ROUTE_REFUSED, /**< no engine can be used at all */
+    WB_ROUTE_LOADING,
+    WB_ROUTE_UNAVAILABLE, /**< no engine can be used at all */
     WB_ROUTE_BUSY     /**< all engines are full of models that are in use */
 } wb_route_state_t;
 
@@ -79,7 +79,7 @@
     const char *adapter; /**< "" for none */
     int waiting;
     int running;
-    int64_t tightest_deadline_ms; /**< from now, of what waits; 0 for none */
+    int64_t earliest_deadline_ms; /**< from now, of what waits; 0 for none */
 } wb_demand_t;
 
 typedef struct wb_cell_events_t {
@@ -94,7 +94,7 @@
 
 typedef struct wb_cell_options_t {
     const char *name;
-    int64_t remote_loads_at_once; /**< this cell's share of the weight store */
+    int64_t max_remote_loads; /**< this cell's share of the weight store */
     int64_t remote_ms_per_gib;    /**< first guesses; measured loads replace them */
     int64_t disk_ms_per_gib;
     int64_t memory_ms_per_gib;
@@ -108,30 +108,30 @@
 void wb_cell_set_config(wb_cell_t *cell, wb_config_t *config);
 
 /** The machine list shows an engine of this cell. */
-void wb_cell_machine(wb_cell_t *cell, const char *engine, const char *address, const char *zone,
+void wb_cell_set_machine(wb_cell_t *cell, const char *engine, const char *address, const char *zone,
                      wb_machine_state_t state, int64_t now_ms);
 
-/** All engines of a machine list were given to wb_cell_machine. */
-void wb_cell_machines_known(wb_cell_t *cell);
+/** All engines of a machine list were given to wb_cell_set_machine. */
+void wb_cell_set_machines_known(wb_cell_t *cell);
 
 /** Commands up to this sequence count. */
-void wb_cell_committed(wb_cell_t *cell, uint64_t sequence);
+void wb_cell_set_committed(wb_cell_t *cell, uint64_t sequence);
 
 /** An order ended. @param inventory taken over; NULL when lost */
 void wb_cell_order_done(wb_cell_t *cell, const char *engine, uint64_t fence,
                         wb_order_outcome_t outcome, wb_inventory_t *inventory, int64_t now_ms);
 
 /** An engine's inventory came; taken over. */
-void wb_cell_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms);
+void wb_cell_update_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms);
 
 /** An engine doesn't answer, or does again. */
-void wb_cell_engine_reachable(wb_cell_t *cell, const char *engine, gboolean reachable);
+void wb_cell_set_engine_reachable(wb_cell_t *cell, const char *engine, gboolean reachable);
 
 /** A gateway tells what it has; the present route is shown to it. */
-void wb_cell_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms);
+void wb_cell_update_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms);
 
 /** A gateway is gone. */
-void wb_cell_gateway_gone(wb_cell_t *cell, const char *node);
+void wb_cell_remove_gateway(wb_cell_t *cell, const char *node);
 
 /** Decide what is due. Call after events and every 100 ms or so. */
 void wb_cell_step(wb_cell_t *cell, int64_t now_ms);
@@ -140,7 +140,7 @@
 json_t *wb_cell_explain(const wb_cell_t *cell, const char *model, int64_t now_ms);
 
 /** Call a function for each engine that is not gone. */
-void wb_cell_engines_each(const wb_cell_t *cell,
+void wb_cell_each_engine(const wb_cell_t *cell,
                           void (*visit)(const char *engine, const char *address, void *context),
                           void *context);
 
--- a/include/wickbridge/cell_host.h
+++ b/include/wickbridge/cell_host.h
@@ -48,11 +48,11 @@
 void wb_cell_host_stop(wb_cell_host_t *host);
 
 /** Give it a message. @return TRUE when the message was its own */
-gboolean wb_cell_host_message(wb_cell_host_t *host, const char *node,
+gboolean wb_cell_host_on_message(wb_cell_host_t *host, const char *node,
                               const wb_wire_message *message);
 
-void wb_cell_host_member(wb_cell_host_t *host, const wb_member_t *member);
-void wb_cell_host_config(wb_cell_host_t *host, wb_config_t *config);
+void wb_cell_host_on_member(wb_cell_host_t *host, const wb_member_t *member);
+void wb_cell_host_set_config(wb_cell_host_t *host, wb_config_t *config);
 
 /** Hand all cells over. @return TRUE once none is owned any more */
 gboolean wb_cell_host_hand_over(wb_cell_host_t *host);
@@ -63,6 +63,6 @@
 /** @return the owner's explanation of a model, or NULL when its cell isn't owned here */
 json_t *wb_cell_host_explain(wb_cell_host_t *host, const char *model);
 
-guint wb_cell_host_owned(const wb_cell_host_t *host);
+guint wb_cell_host_owned_count(const wb_cell_host_t *host);
 
 #endif
--- a/include/wickbridge/cold_share.h
+++ b/include/wickbridge/cold_engine_share.h
@@ -1,5 +1,5 @@
 /**
- * @file cold_share.h
+ * @file cold_engine_share.h
  * @brief How many requests a second this node may send to an engine that is cold.
  *
  * The load that it answers: an engine has just started, or a whole zone of them comes back, with
@@ -17,10 +17,10 @@
  *
  * Pure: the time is passed in.
  */
-#ifndef WICKBRIDGE_COLD_SHARE_H
-#define WICKBRIDGE_COLD_SHARE_H
+#ifndef WICKBRIDGE_COLD_ENGINE_SHARE_H
+#define WICKBRIDGE_COLD_ENGINE_SHARE_H
 
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 /** In which requests are counted: a second as the engine counts it, and a tenth for what takes
  * longer on its way than what comes after it. */
@@ -29,9 +29,9 @@
 /**
  * @param per_s requests a second that the engine bears from all nodes together
  * @param nodes all nodes that share it, with this one; 0: this one has no part now
- * @param rank  nodes that come before this one, by wb_dealt_rank
+ * @param rank  nodes that come before this one, by wb_rendezvous_rank
  * @return requests a second for this node
  */
-unsigned wb_cold_share(double per_s, unsigned nodes, unsigned rank);
+unsigned wb_cold_engine_share(double per_s, unsigned nodes, unsigned rank);
 
 #endif
--- a/include/wickbridge/config_store.h
+++ b/include/wickbridge/config_store.h
@@ -60,11 +60,11 @@
                            wb_config_apply_fn done, void *context);
 
 /** Give it a message. @return TRUE when the message was its own */
-gboolean wb_config_store_message(wb_config_store_t *store, const char *node,
+gboolean wb_config_store_handle_message(wb_config_store_t *store, const char *node,
                                  const wb_wire_message *message);
 
 /** A neighbour's heartbeat shows its version. */
-void wb_config_store_heard(wb_config_store_t *store, const char *node, uint64_t version);
+void wb_config_store_on_peer_version(wb_config_store_t *store, const char *node, uint64_t version);
 
 /** @return recent accepted changes, oldest first, as a JSON array */
 json_t *wb_config_store_history(const wb_config_store_t *store);
--- a/include/wickbridge/dialect.h
+++ b/include/wickbridge/dialect.h
@@ -45,7 +45,7 @@
     const char *seal;
     const char *engine_load;    /**< running, waiting and slots with commas between */
     const char *engine_limit;   /**< requests a second that it takes from all nodes together */
-    const char *engine_leaving; /**< "1": it leaves */
+    const char *engine_draining; /**< "1": it leaves */
     unsigned wrong_engine_status;
     /* Engines' own calls. */
     const char *report_target;
--- a/include/wickbridge/event_log.h
+++ b/include/wickbridge/event_log.h
@@ -20,13 +20,13 @@
  * Write one line.
  * @param kind   the event, for example "request-ended"; a constant text
  * @param format printf-like text of further members, each begun with a comma:
- * ,"id":"%s","status":%u Texts from outside must be passed through wb_event_text.
+ * ,"id":"%s","status":%u Texts from outside must be passed through wb_event_escape.
  */
 void wb_event(const char *kind, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 /** @return the text with all that JSON can't hold as it is replaced; in a ring of buffers,
  * short-lived */
-const char *wb_event_text(const char *text);
+const char *wb_event_escape(const char *text);
 
 /** Hand gathered lines to the system, as far as it takes them without waiting. */
 void wb_event_log_flush(void);
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -8,7 +8,7 @@
 #ifndef WICKBRIDGE_FLEET_H
 #define WICKBRIDGE_FLEET_H
 
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 #include "wickbridge/engine_limit.h"
 #include "wickbridge/engine_pace.h"
 #include "wickbridge/list.h"
@@ -60,16 +60,16 @@
     int references;
     wb_engine_state_t *state;
     gboolean gone;            /**< no longer announced */
-    int64_t leaving_ms;       /**< steady time since which it is leaving or gone; 0: it isn't */
-    gboolean told_leaving;    /**< it told so in an answer, which no row of the same start undoes */
-    int64_t use_until_ms;     /**< steady time until which it may still get work if it is gone, or
+    int64_t draining_since_ms;       /**< steady time since which it is leaving or gone; 0: it isn't */
+    gboolean drain_reported;    /**< it told so in an answer, which no row of the same start undoes */
+    int64_t grace_until_ms;     /**< steady time until which it may still get work if it is gone, or
                                  leaves by an answer alone */
-    int64_t closed_from_ms;   /**< steady time from which it gets nothing new, as its zone is being
+    int64_t evacuated_from_ms;   /**< steady time from which it gets nothing new, as its zone is being
                                  evacuated; 0: it isn't */
     int64_t cold_until_ms;    /**< steady time until which it bears few requests; 0: it is warm */
-    wb_send_gate_t cold_gate; /**< what this node sent there while it was cold */
+    wb_send_limiter_t cold_limiter; /**< what this node sent there while it was cold */
     unsigned cold_share;      /**< requests a second that this node may send there meanwhile */
-    int64_t cold_shared_ms;   /**< when that was worked out; 0: never */
+    int64_t cold_share_updated_ms;   /**< when that was worked out; 0: never */
     GHashTable *overlay;      /**< MODEL/ADAPTER -> private; the controller's news */
     /* What this node sees of it: */
     unsigned running;           /**< this node's requests on it */
@@ -78,22 +78,22 @@
     unsigned reported_waiting;  /**< waiting, by its last answer */
     int64_t reported_ms;        /**< when; 0: never */
     wb_engine_pace_t pace;      /**< how long work takes there */
-    unsigned pace_heard;        /**< least percent told since the last report; 0: none */
+    unsigned pace_min_percent;        /**< least percent told since the last report; 0: none */
     double tokens_sent;         /**< prompt tokens sent there since the last report */
-    double shared_tokens_per_s; /**< prompt tokens that all nodes send there */
-    double shared_backlog_ms;   /**< time in which it has read them, as of shared_ms */
-    int64_t shared_ms;
+    double total_tokens_per_s; /**< prompt tokens that all nodes send there */
+    double total_backlog_ms;   /**< time in which it has read them, as of shared_received_ms */
+    int64_t shared_received_ms;
     unsigned failures;         /**< in a row */
     int64_t avoid_until_ms;    /**< it failed: used only when there is no other */
     int64_t unheard_since_ms;  /**< when the first request was sent after its last byte; 0: it owes
                                   nothing */
     int64_t rejected_until_ms; /**< it turned a request away: full for the moment */
     wb_engine_limit_t limit;   /**< what it takes from all nodes together */
-    wb_limit_place_t place;    /**< this node among them */
-    int64_t placed_ms;         /**< when that was worked out; 0: never */
-    wb_list_item_t state_news; /**< on a list while others should be told what it told */
-    int64_t state_told_ms;     /**< when they were told last; 0: never */
-    int64_t rest_until_ms;     /**< steady time until which it wants no request of this node */
+    wb_share_rank_t place;    /**< this node among them */
+    int64_t limit_share_updated_ms;         /**< when that was worked out; 0: never */
+    wb_list_item_t state_updates; /**< on a list while others should be told what it told */
+    int64_t state_sent_ms;     /**< when they were told last; 0: never */
+    int64_t backoff_until_ms;     /**< steady time until which it wants no request of this node */
     wb_list_t idle;            /**< kept connections; see attempt.c */
     GHashTable *prefixes;      /**< parts of prompts it has read for this node -> time */
 } wb_engine_t;
@@ -113,10 +113,10 @@
 gboolean wb_engine_state_is_later(const wb_engine_state_t *known, const wb_engine_state_t *state);
 /**
  * The engine is no longer announced.
- * @param use_until_ms steady time until which it may still get work, if no other can; it counts
+ * @param grace_until_ms steady time until which it may still get work, if no other can; it counts
  * only for an engine that hadn't said that it leaves
  */
-void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t use_until_ms);
+void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t grace_until_ms);
 
 /**
  * Tell until when an engine whose announcement has gone may still get work. It went at some time
@@ -124,18 +124,18 @@
  * drain the store was away: then announcements lapse of engines that live, and come back.
  * @param known_ms steady time as of which the table was known before
  */
-int64_t wb_fleet_use_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms);
+int64_t wb_fleet_grace_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms);
 
 /**
  * An answer of the engine, to this node or another, has told that it leaves: that holds for its
  * start. It may get work for half of the drain's time, if no other engine can.
  * @return FALSE when that was known
  */
-gboolean wb_engine_tell_leaving(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
+gboolean wb_engine_set_draining(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms);
 /** @return TRUE when it may get work: it stays, or is gone and its time isn't over */
-gboolean wb_engine_is_open(const wb_engine_t *engine, int64_t now_ms);
+gboolean wb_engine_is_usable(const wb_engine_t *engine, int64_t now_ms);
 /** @return TRUE when it can be counted on: it doesn't leave, nor does its zone */
-gboolean wb_engine_stays(const wb_engine_t *engine);
+gboolean wb_engine_is_available(const wb_engine_t *engine);
 /** @return an engine that is announced, or NULL */
 wb_engine_t *wb_fleet_find(const wb_fleet_t *fleet, const char *id);
 /** @return engines of a service, those that are gone for a short while too; owned by the fleet, or
@@ -156,12 +156,12 @@
  * until then they get what no other engine can take
  * @return engines of that zone
  */
-unsigned wb_fleet_close_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms);
+unsigned wb_fleet_evacuate_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms);
 /** That is taken back. @return engines of that zone */
-unsigned wb_fleet_open_zone(wb_fleet_t *fleet, const char *zone);
-gboolean wb_fleet_zone_is_closed(const wb_fleet_t *fleet, const char *zone);
+unsigned wb_fleet_end_evacuation(wb_fleet_t *fleet, const char *zone);
+gboolean wb_fleet_zone_is_evacuated(const wb_fleet_t *fleet, const char *zone);
 /** @return zones that are being evacuated */
-unsigned wb_fleet_closed_zones(const wb_fleet_t *fleet);
+unsigned wb_fleet_evacuated_zones(const wb_fleet_t *fleet);
 /** Forget engines that have been gone for some time. */
 void wb_fleet_sweep(wb_fleet_t *fleet, int64_t now_ms);
 
@@ -173,13 +173,13 @@
  * taken `row_after_ms` later: that one was made after what the news tell of.
  * @param adapter "" for the model itself
  */
-void wb_engine_note(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
+void wb_engine_apply_placement(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
                     int64_t now_ms, int64_t row_after_ms, int64_t valid_ms);
 /** @return a set of MODEL/ADAPTER (MODEL/ for a model itself) that the engine holds, by its
  * announcement and by the controller's news; to be freed with g_hash_table_unref */
-GHashTable *wb_engine_holdings(const wb_engine_t *engine, int64_t now_ms);
+GHashTable *wb_engine_held_models(const wb_engine_t *engine, int64_t now_ms);
 /** @return TRUE when news of the engine still go before its announcement */
-gboolean wb_engine_has_news(const wb_engine_t *engine);
+gboolean wb_engine_has_placement_updates(const wb_engine_t *engine);
 /** @return TRUE when two announcements tell of the same models and adapters */
 gboolean wb_engine_state_holds_same(const wb_engine_state_t *left, const wb_engine_state_t *right);
 /** @return TRUE when the engine holds the model, and the adapter if one is named ("" or NULL: none)
--- a/include/wickbridge/group.h
+++ b/include/wickbridge/group.h
@@ -57,11 +57,11 @@
  * else does (a transaction on the cell's row), and that no earlier majority can still act.
  * @param record what is known of an earlier record, or an empty one; owned by the group from here
  */
-void wb_group_found(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
+void wb_group_bootstrap(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
                     uint64_t generation, uint64_t epoch, int64_t now_ms);
 
 /** Take a message from another member. */
-void wb_group_message(wb_group_t *group, const char *node, const wb_wire_message *message,
+void wb_group_on_message(wb_group_t *group, const char *node, const wb_wire_message *message,
                       int64_t now_ms);
 
 /** Let time pass; call every 50 ms or so. */
@@ -80,7 +80,7 @@
 gboolean wb_group_has_quorum(const wb_group_t *group, int64_t now_ms);
 
 /** The owner is down: ask for votes without waiting for the time-out. */
-void wb_group_owner_down(wb_group_t *group, const char *node, int64_t now_ms);
+void wb_group_on_owner_down(wb_group_t *group, const char *node, int64_t now_ms);
 
 wb_group_role_t wb_group_role(const wb_group_t *group);
 uint64_t wb_group_epoch(const wb_group_t *group);
@@ -95,6 +95,6 @@
  * Promise an era to someone who founds the record again because a majority is gone.
  * Afterwards this member takes nothing from lower epochs. @return its record, or NULL
  */
-wb_record_t *wb_group_yield(wb_group_t *group, uint64_t epoch);
+wb_record_t *wb_group_promise_epoch(wb_group_t *group, uint64_t epoch);
 
 #endif
--- a/include/wickbridge/http_client.h
+++ b/include/wickbridge/http_client.h
@@ -26,8 +26,8 @@
 /** How far a call got. */
 typedef enum wb_http_outcome_t {
     WB_HTTP_NOT_SENT, /**< no byte of the request can have arrived */
-    WB_HTTP_BROKEN,   /**< sent, and no whole answer came back */
-    WB_HTTP_ANSWERED  /**< a whole answer came back, whatever its status */
+    WB_HTTP_INCOMPLETE,   /**< sent, and no whole answer came back */
+    WB_HTTP_COMPLETED  /**< a whole answer came back, whatever its status */
 } wb_http_outcome_t;
 
 /** The end of a call. Valid only inside the callback. */
--- a/include/wickbridge/http_listener.h
+++ b/include/wickbridge/http_listener.h
@@ -29,7 +29,7 @@
                        void *context);
     /** The caller left while its request ran; the connection is gone after this call. May be NULL.
      */
-    void (*on_gone)(wb_http_connection_t *connection, void *request, void *context);
+    void (*on_client_closed)(wb_http_connection_t *connection, void *request, void *context);
     /** Output that had piled up was sent. May be NULL. */
     void (*on_drained)(wb_http_connection_t *connection, void *request, void *context);
     void *context;
@@ -45,20 +45,20 @@
 /** Take no more connections: who connects is refused by the system. Open ones go on. */
 void wb_http_listener_stop(wb_http_listener_t *listener);
 /** Close the connections on which no request runs or is partly read. */
-void wb_http_listener_close_resting(wb_http_listener_t *listener);
+void wb_http_listener_close_idle(wb_http_listener_t *listener);
 /** @return connections that have a request running or partly read */
-unsigned wb_http_listener_busy(const wb_http_listener_t *listener);
+unsigned wb_http_listener_active_count(const wb_http_listener_t *listener);
 /** Close everything, running requests too, and free. */
 void wb_http_listener_close(wb_http_listener_t *listener);
 
-/** Keep a request's state with its connection; told to on_gone and on_drained. */
+/** Keep a request's state with its connection; told to on_client_closed and on_drained. */
 void wb_http_connection_set_request(wb_http_connection_t *connection, void *request);
 
 /**
  * Answer the running request whole.
  * @param headers whole lines, each ended by CR LF, without lengths; may be empty
  */
-void wb_http_connection_answer(wb_http_connection_t *connection, unsigned status,
+void wb_http_connection_reply(wb_http_connection_t *connection, unsigned status,
                                const char *reason, const char *headers, const void *body,
                                size_t length);
 /** Begin an answer whose length isn't known; it goes out in chunks. */
@@ -76,6 +76,6 @@
 int64_t wb_http_connection_request_began_ms(const wb_http_connection_t *connection);
 
 /** @return the usual reason phrase of a status */
-const char *wb_http_reason(unsigned status);
+const char *wb_http_status_reason(unsigned status);
 
 #endif
--- a/include/wickbridge/http_peer.h
+++ b/include/wickbridge/http_pool.h
@@ -1,22 +1,22 @@
 /**
- * @file http_peer.h
+ * @file http_pool.h
  * @brief Short HTTP calls to one address, over a few kept connections, on a loop.
  *
  * For calls whose answers are small and read whole. Each connection carries one call at a time.
  * Threads: everything here belongs on the loop's thread.
  */
-#ifndef WICKBRIDGE_HTTP_PEER_H
-#define WICKBRIDGE_HTTP_PEER_H
+#ifndef WICKBRIDGE_HTTP_POOL_H
+#define WICKBRIDGE_HTTP_POOL_H
 
 #include "wickbridge/http_reader.h"
 #include "wickbridge/loop.h"
 
-typedef struct wb_http_peer_t wb_http_peer_t;
+typedef struct wb_http_pool_t wb_http_pool_t;
 typedef struct wb_http_call_t wb_http_call_t;
 
 /** What became of a call. */
 typedef enum wb_http_outcome_t {
-    WB_HTTP_ANSWERED, /**< a whole answer is at hand */
+    WB_HTTP_COMPLETED, /**< a whole answer is at hand */
     WB_HTTP_NOT_SENT, /**< no byte of it left */
     WB_HTTP_UNKNOWN   /**< it was sent and not answered: it may have been done, or may be done later
                        */
@@ -32,7 +32,7 @@
 
 typedef void (*wb_http_result_fn)(const wb_http_result_t *result, void *context);
 
-/** One call. Texts need to live only during wb_http_peer_call. */
+/** One call. Texts need to live only during wb_http_pool_call. */
 typedef struct wb_http_request_t {
     const char *method;
     const char *target;
@@ -47,7 +47,7 @@
     gboolean (*may_send)(void *context);
     /** Told the head of the answer, before its result. May be NULL. */
     void (*on_head)(const wb_http_head_t *head, void *context);
-    wb_http_result_fn on_result; /**< called once, never from inside wb_http_peer_call */
+    wb_http_result_fn on_result; /**< called once, never from inside wb_http_pool_call */
     void *context;
 } wb_http_request_t;
 
@@ -55,10 +55,10 @@
  * @param connect_timeout_ms longest time to connect
  * @param silence_limit_ms   unacknowledged bytes break a connection after this time
  */
-wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
+wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms);
 /** Free; running calls end without a result. */
-void wb_http_peer_free(wb_http_peer_t *peer);
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request);
+void wb_http_pool_free(wb_http_pool_t *peer);
+void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request);
 
 #endif
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -26,8 +26,8 @@
     gboolean released;
     unsigned recent_loads; /**< loads from the weight store lately begun, told to a successor */
     /* Engines that may have been ordered lately: */
-    gboolean grants_known; /**< FALSE: this copy of the row doesn't tell */
-    gboolean any_granted;  /**< any engine may have been; the lists are empty */
+    gboolean has_grants; /**< FALSE: this copy of the row doesn't tell */
+    gboolean grants_unlisted;  /**< any engine may have been; the lists are empty */
     char **granted;        /**< by this holder */
     guint granted_count;   /**< of granted */
     char **inherited;      /**< by a holder before it */
@@ -38,7 +38,7 @@
 typedef struct wb_lease_predecessor_t {
     int64_t seen_ms;       /**< steady time at which its last row was seen; 0: there was none */
     unsigned loads;        /**< loads from the weight store lately begun, as that row told */
-    unsigned engines_most; /**< engines that it may have ordered after that row; G_MAXUINT: any */
+    unsigned max_ordered_engines; /**< engines that it may have ordered after that row; G_MAXUINT: any */
 } wb_lease_predecessor_t;
 
 /** Free what a row holds; it is empty then. */
@@ -51,7 +51,7 @@
     const char *address;      /**< where other nodes reach this one; must outlive the lease */
     int64_t duration_ms;      /**< how long a renewal lets its holder act, from its sending */
     int64_t renew_ms;         /**< time between renewals */
-    int64_t quiet_ms;         /**< time that must lie between the acts of two holders */
+    int64_t handover_interval_ms;         /**< time that must lie between the acts of two holders */
     int64_t margin_ms;        /**< added when waiting, taken off when acting */
     int64_t write_timeout_ms; /**< a write without an answer is sent again after this time */
     int64_t spread_ms; /**< each node waits up to so long more before it takes another's lease over,
@@ -81,14 +81,14 @@
 /** The write was surely not done, or lost its race. */
 void wb_lease_on_not_written(wb_lease_t *lease, int64_t now_ms);
 /** Nobody knows whether the write was done. */
-void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms);
+void wb_lease_on_write_unknown(wb_lease_t *lease, int64_t now_ms);
 
 /**
  * An order to an engine is due. Ask again right before its bytes leave.
  * @return 0: it may be given; above: not before so many ms; -1: not before the next write counts,
  * which is due now
  */
-int64_t wb_lease_ask_order(wb_lease_t *lease, const char *engine, int64_t now_ms);
+int64_t wb_lease_authorize_order(wb_lease_t *lease, const char *engine, int64_t now_ms);
 /** @return ms for which an engine must be left alone, as another holder may have ordered it */
 int64_t wb_lease_blocked_ms(const wb_lease_t *lease, const char *engine, int64_t now_ms);
 /** @return TRUE while this node may act. Ask right before each act. */
@@ -101,11 +101,11 @@
  * row was never read */
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease);
 /** @return steady time at which this node learned of the row's last change; 0: never */
-int64_t wb_lease_changed_ms(const wb_lease_t *lease);
+int64_t wb_lease_row_changed_ms(const wb_lease_t *lease);
 /** @return the version of the row that is known; 0: none */
 int64_t wb_lease_version(const wb_lease_t *lease);
 /** @return who holds it as far as known; NULL when nobody does. Owned by the lease */
-const wb_lease_row_t *wb_lease_known(const wb_lease_t *lease);
+const wb_lease_row_t *wb_lease_known_row(const wb_lease_t *lease);
 /** @return what the holder before this one had begun; owned by the lease */
 const wb_lease_predecessor_t *wb_lease_predecessor(const wb_lease_t *lease);
 /**
@@ -113,13 +113,13 @@
  * @param first_ms  so much later at the earliest: others are better for it
  * @param spread_ms and by chance up to so much later than that
  */
-void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms);
+void wb_lease_set_takeover_delay(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms);
 /** The store was away for this node, and answers again: whoever held the lease may renew it first.
  */
-void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms);
+void wb_lease_on_store_recovered(wb_lease_t *lease, int64_t now_ms);
 /** Give the lease up at the next write, and don't take it again. */
 void wb_lease_release(wb_lease_t *lease);
 /** @return TRUE while a lease that is to be given up isn't yet, as far as known */
-gboolean wb_lease_is_owed(const wb_lease_t *lease);
+gboolean wb_lease_release_is_pending(const wb_lease_t *lease);
 
 #endif
--- a/include/wickbridge/link.h
+++ b/include/wickbridge/link.h
@@ -49,14 +49,14 @@
 /** Queue a message; it is sent when the socket lets it. */
 void wb_link_send(wb_link_t *link, const wb_wire_message *message);
 /** As wb_link_send; a peer of form 1 gets the message without the parts. */
-void wb_link_send_parts(wb_link_t *link, const wb_wire_message *message,
-                        const wb_wire_parts *parts);
+void wb_link_send_with_extensions(wb_link_t *link, const wb_wire_message *message,
+                        const wb_wire_extensions *parts);
 /** @return the parts of the message that on_message is called for; valid until it returns */
-const wb_wire_parts *wb_link_parts(const wb_link_t *link);
+const wb_wire_extensions *wb_link_extensions(const wb_link_t *link);
 /** Set which form of messages the other end reads, as it told; 1 until then. */
-void wb_link_set_form(wb_link_t *link, unsigned form);
+void wb_link_set_format_version(wb_link_t *link, unsigned form);
 /** @return it */
-unsigned wb_link_form(const wb_link_t *link);
+unsigned wb_link_format_version(const wb_link_t *link);
 
 /**
  * Queue a message that was encoded before, so that one that goes to many links is encoded once.
@@ -71,7 +71,7 @@
 void wb_link_close(wb_link_t *link);
 
 /** Break the link soon; on_close will run. Safe from any callback. */
-void wb_link_break(wb_link_t *link, const char *reason);
+void wb_link_close_later(wb_link_t *link, const char *reason);
 
 void wb_link_set_data(wb_link_t *link, void *data);
 void *wb_link_data(const wb_link_t *link);
--- a/include/wickbridge/log.h
+++ b/include/wickbridge/log.h
@@ -8,18 +8,18 @@
 #include <glib.h>
 
 /** The parts that log; each has a fixed prefix. */
-typedef enum wb_part_t {
-    WB_PART_NODE,
-    WB_PART_GATEWAY,
-    WB_PART_MEMBERSHIP,
-    WB_PART_CONFIG,
-    WB_PART_CELL,
-    WB_PART_ENGINE,
-    WB_PART_PLATFORM,
-    WB_PART_LINK,
-    WB_PART_TOOL,
-    WB_PART_STANDIN
-} wb_part_t;
+typedef enum wb_log_component_t {
+    WB_LOG_NODE,
+    WB_LOG_GATEWAY,
+    WB_LOG_MEMBERSHIP,
+    WB_LOG_CONFIG,
+    WB_LOG_CELL,
+    WB_LOG_ENGINE,
+    WB_LOG_PLATFORM,
+    WB_LOG_LINK,
+    WB_LOG_TOOL,
+    WB_LOG_STANDIN
+} wb_log_component_t;
 
 /**
  * Choose the output form for the whole process. Call once, before other threads start.
@@ -33,7 +33,7 @@
 GLogLevelFlags wb_log_level_parse(const char *name);
 
 /** Write one sentence for a part. Any thread may call it. */
-void wb_log(wb_part_t part, GLogLevelFlags level, const char *format, ...) G_GNUC_PRINTF(3, 4);
+void wb_log(wb_log_component_t part, GLogLevelFlags level, const char *format, ...) G_GNUC_PRINTF(3, 4);
 
 #define wb_log_warning(part, ...) wb_log((part), G_LOG_LEVEL_WARNING, __VA_ARGS__)
 #define wb_log_message(part, ...) wb_log((part), G_LOG_LEVEL_MESSAGE, __VA_ARGS__)
--- a/include/wickbridge/member.h
+++ b/include/wickbridge/member.h
@@ -23,7 +23,7 @@
 typedef struct wb_member_t {
     char *node;           /**< "id~boot" */
     char *address;        /**< IP:PORT for links */
-    char *caller_address; /**< IP:PORT for callers */
+    char *client_address; /**< IP:PORT for callers */
     char *zone;
     uint64_t incarnation; /**< raised by the node itself to refute a suspicion */
     wb_member_state_t state;
--- a/include/wickbridge/membership.h
+++ b/include/wickbridge/membership.h
@@ -18,7 +18,7 @@
 typedef struct wb_membership_options_t {
     const char *node;
     const char *address;
-    const char *caller_address;
+    const char *client_address;
     const char *zone;
     const char *const *seeds; /**< addresses to join through, ended by NULL */
     int64_t heartbeat_interval_ms;
--- a/include/wickbridge/node.h
+++ b/include/wickbridge/node.h
@@ -95,6 +95,6 @@
 wb_platform_t *wb_node_platform(wb_node_t *node);
 
 /** @return TRUE when callers can be served, and tells the gateway. On the loop's thread */
-gboolean wb_node_is_ready(wb_node_t *node);
+gboolean wb_node_update_ready(wb_node_t *node);
 
 #endif
--- a/include/wickbridge/peers.h
+++ b/include/wickbridge/peers.h
@@ -31,7 +31,7 @@
     void (*on_down)(const char *node, const char *reason, void *context);
     void (*on_message)(const char *node, const wb_wire_message *message, void *context);
     /** At `address` now answers `node`, another one than was expected. */
-    void (*on_replaced)(const char *expected, const char *node, void *context);
+    void (*on_address_reused)(const char *expected, const char *node, void *context);
     void *context;
 } wb_peers_events_t;
 
@@ -43,7 +43,7 @@
 gboolean wb_peers_send(wb_peers_t *peers, const char *node, const wb_wire_message *message);
 
 /** Send over an open link only. @return FALSE when there is none */
-gboolean wb_peers_send_open(wb_peers_t *peers, const char *node, const wb_wire_message *message);
+gboolean wb_peers_send_if_connected(wb_peers_t *peers, const char *node, const wb_wire_message *message);
 
 /** Make sure that a link is open or opening. @param overlay ask for heartbeats on it */
 void wb_peers_connect(wb_peers_t *peers, const char *node, gboolean overlay);
@@ -52,21 +52,21 @@
 void wb_peers_connect_address(wb_peers_t *peers, const char *address);
 
 /** @return names of nodes with an open link that either side wants heartbeats on */
-GPtrArray *wb_peers_overlay(wb_peers_t *peers);
+GPtrArray *wb_peers_overlay_nodes(wb_peers_t *peers);
 
 /** @return when something last arrived from the node, 0 when no link is open */
-int64_t wb_peers_heard_ms(wb_peers_t *peers, const char *node);
+int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node);
 
 /** We don't want heartbeats from this node any more. */
 void wb_peers_release_overlay(wb_peers_t *peers, const char *node);
 
 /** Break the link to a node, if any. */
-void wb_peers_drop(wb_peers_t *peers, const char *node, const char *reason);
+void wb_peers_disconnect(wb_peers_t *peers, const char *node, const char *reason);
 
 /** Close links that are not in the overlay and were not used for `idle_ms`. */
 void wb_peers_close_idle(wb_peers_t *peers, int64_t idle_ms);
 
 const wb_link_counters_t *wb_peers_counters(const wb_peers_t *peers);
-unsigned wb_peers_open_links(const wb_peers_t *peers);
+unsigned wb_peers_link_count(const wb_peers_t *peers);
 
 #endif
--- a/include/wickbridge/platform.h
+++ b/include/wickbridge/platform.h
@@ -35,15 +35,15 @@
 void wb_platform_transact(wb_platform_t *platform, json_t *checks, json_t *writes,
                           wb_platform_done_fn done, void *context);
 /** @return a check for wb_platform_transact; version 0: the row must not exist */
-json_t *wb_platform_check(const char *key, int64_t version);
+json_t *wb_platform_make_check(const char *key, int64_t version);
 /** @return a write for wb_platform_transact; takes `value`, NULL deletes the row */
-json_t *wb_platform_write(const char *key, json_t *value);
+json_t *wb_platform_make_write(const char *key, json_t *value);
 
 /** Read one row: {"key", "version", "value"}, version 0 when it does not exist. */
-void wb_platform_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
+void wb_platform_read_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
                      void *context);
 /** Read rows by prefix: {"rows": [...]}. */
-void wb_platform_scan(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
+void wb_platform_scan_rows(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
                       void *context);
 /** Write an object; its body is JSON here. Takes no reference. */
 void wb_platform_object_put(wb_platform_t *platform, const char *name, const json_t *body,
@@ -51,7 +51,7 @@
 void wb_platform_object_get(wb_platform_t *platform, const char *name, wb_platform_done_fn done,
                             void *context);
 /** Read the machine list; without "machines" when it is still at version `after`. */
-void wb_platform_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
+void wb_platform_list_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
                           void *context);
 
 /** @return operations sent to the table service so far */
--- a/include/wickbridge/policy.h
+++ b/include/wickbridge/policy.h
@@ -20,7 +20,7 @@
 /** Memory that a program may use. */
 #define WB_POLICY_MEMORY_LIMIT_BYTES (1024 * 1024)
 /** Largest answer of either function. */
-#define WB_POLICY_MOST_MS (7 * 86400000LL)
+#define WB_POLICY_MAX_MS (7 * 86400000LL)
 
 typedef struct wb_policy_program_t wb_policy_program_t;
 
@@ -49,21 +49,21 @@
 } wb_policy_engine_t;
 
 /** What a call to a policy gave. */
-typedef enum wb_policy_answer_t {
-    WB_POLICY_ANSWERED,
+typedef enum wb_policy_result_t {
+    WB_POLICY_OK,
     WB_POLICY_UNDEFINED, /**< the program leaves this open: the built-in rule holds */
     WB_POLICY_FAILED     /**< it failed, took too long, or returned nonsense */
-} wb_policy_answer_t;
+} wb_policy_result_t;
 
 /** Compile a program and try it once. @return APR_EINVAL with the reason when it can't be used */
 apr_status_t wb_policy_compile(wb_policy_program_t **program, const char *name, const char *text,
                                wb_error_t *error);
 void wb_policy_free(wb_policy_program_t *program);
 
-wb_policy_answer_t wb_policy_keep_alive(wb_policy_program_t *program,
+wb_policy_result_t wb_policy_keep_alive(wb_policy_program_t *program,
                                         const wb_policy_model_t *model, int64_t *keep_alive_ms,
                                         wb_error_t *error);
-wb_policy_answer_t wb_policy_placement_cost(wb_policy_program_t *program,
+wb_policy_result_t wb_policy_placement_cost(wb_policy_program_t *program,
                                             const wb_policy_model_t *model,
                                             const wb_policy_engine_t *engine, int64_t *cost_ms,
                                             wb_error_t *error);
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -39,8 +39,8 @@
     unsigned state; /**< wb_machine_state_t, never gone: such engines are forgotten */
 } wb_record_engine_t;
 
-/** wb_record_engine_t.state of an engine to forget; equals WB_MACHINE_GONE. */
-#define WB_RECORD_ENGINE_GONE 2
+/** wb_record_engine_t.state of an engine to forget; equals WB_MACHINE_REMOVED. */
+#define WB_RECORD_ENGINE_REMOVED 2
 
 typedef struct wb_record_t {
     uint64_t generation;
@@ -48,8 +48,8 @@
     GPtrArray *slots;        /**< wb_slot_t * */
     GHashTable *engines;     /**< id -> wb_record_engine_t * */
     GHashTable *claims;      /**< "model\nkey" -> wb_claim_t * */
-    int64_t unsure_until_ms; /**< until then claims from before a lost majority may be missing */
-    gboolean slots_unsure;   /**< after a lost majority, until all engines were seen */
+    int64_t claims_incomplete_until_ms; /**< until then claims from before a lost majority may be missing */
+    gboolean slots_unverified;   /**< after a lost majority, until all engines were seen */
 } wb_record_t;
 
 wb_record_t *wb_record_create(void);
@@ -71,25 +71,25 @@
 /** What is to be done about a request that asks for its key's one run. */
 typedef enum wb_claim_decision_t {
     WB_CLAIM_PROPOSE,     /**< the key is free, or its last attempt is known not to have run */
-    WB_CLAIM_ASKED_AGAIN, /**< this very attempt has been proposed before */
+    WB_CLAIM_REPEATED, /**< this very attempt has been proposed before */
     WB_CLAIM_TAKEN,       /**< another attempt ran or may still run */
     WB_CLAIM_DONE,        /**< the first run's answer is known */
     WB_CLAIM_MISMATCH,    /**< the key belongs to another request */
-    WB_CLAIM_UNSURE       /**< the record may have lost the key's claim */
+    WB_CLAIM_UNVERIFIED       /**< the record may have lost the key's claim */
 } wb_claim_decision_t;
 
 /** Decide on a claim. @param want with a stream, that is, with something to run */
-wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_want *want,
+wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_request *want,
                                     int64_t now_ms);
 
 /** Fill the command that claims a key for a request. It borrows the texts of `want`. */
-void wb_claim_command(const wb_wire_claim_want *want, uint64_t attempt, wb_wire_command *command);
+void wb_claim_fill_command(const wb_wire_claim_request *want, uint64_t attempt, wb_wire_command *command);
 
 /** Answers are kept so long with their claims; the claims themselves stay longer. */
-#define WB_CLAIM_ANSWER_KEEP_MS 60000
+#define WB_CLAIM_RESPONSE_RETENTION_MS 60000
 
-/** Forget claims older than `retention_ms`, and answers older than WB_CLAIM_ANSWER_KEEP_MS, so that
+/** Forget claims older than `retention_ms`, and answers older than WB_CLAIM_RESPONSE_RETENTION_MS, so that
  * a record with many claims still fits into a message. */
-void wb_record_expire(wb_record_t *record, int64_t now_ms, int64_t retention_ms);
+void wb_record_expire_claims(wb_record_t *record, int64_t now_ms, int64_t retention_ms);
 
 #endif
--- a/include/wickbridge/settings.h
+++ b/include/wickbridge/settings.h
@@ -56,10 +56,10 @@
                              const char *value, const char *origin, wb_error_t *error);
 
 /** @return how many settings have another value in `left` than in `right` */
-unsigned wb_settings_differ(const wb_settings_table_t *table, const void *left, const void *right);
+unsigned wb_settings_count_changed(const wb_settings_table_t *table, const void *left, const void *right);
 
 /** Write the table as a page section in Markdown. */
-void wb_settings_document(const wb_settings_table_t *table, FILE *file);
+void wb_settings_print_markdown(const wb_settings_table_t *table, FILE *file);
 
 /** Check that text is IP:PORT with a numeric address. @return nonzero when it is */
 int wb_address_is_valid(const char *text);
--- a/include/wickbridge/store_calls.h
+++ b/include/wickbridge/store_calls.h
@@ -12,12 +12,12 @@
 
 /** Why a call is made. */
 typedef enum wb_store_cause_t {
-    WB_STORE_CAUSE_READ,   /**< a whole read: at the start, or the history is gone */
-    WB_STORE_CAUSE_PACE,   /**< nobody has told of the table yet: it is followed */
-    WB_STORE_CAUSE_LAPSED, /**< what others told of the table is no longer fresh */
+    WB_STORE_CAUSE_FULL_READ,   /**< a whole read: at the start, or the history is gone */
+    WB_STORE_CAUSE_POLL,   /**< nobody has told of the table yet: it is followed */
+    WB_STORE_CAUSE_STALE, /**< what others told of the table is no longer fresh */
     WB_STORE_CAUSE_SAFETY, /**< others' readings are fresh, but an own one is due */
-    WB_STORE_CAUSE_LOOK,   /**< something has changed that isn't known here */
-    WB_STORE_CAUSE_HURRY,  /**< someone waits */
+    WB_STORE_CAUSE_CHANGE,   /**< something has changed that isn't known here */
+    WB_STORE_CAUSE_EXPEDITED,  /**< someone waits */
     WB_STORE_CAUSE_RETRY,  /**< the call before failed */
     WB_STORE_CAUSE_WRITE,  /**< the node's own row or the lease */
     WB_STORE_CAUSE_COUNT
@@ -29,7 +29,7 @@
     uint64_t made[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT];
     uint64_t failed;
     uint64_t told[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT]; /**< as of the last log line */
-    uint64_t failed_told;
+    uint64_t failed_logged;
     int64_t told_ms; /**< steady time of the last log line */
 } wb_store_calls_t;
 
--- a/include/wickbridge/table.h
+++ b/include/wickbridge/table.h
@@ -23,7 +23,7 @@
     WB_TABLE_DONE,         /**< read, or written */
     WB_TABLE_CONFLICT,     /**< the row had another version; `rows` has it as it is */
     WB_TABLE_NOT_DONE,     /**< refused or not sent; may be tried again */
-    WB_TABLE_HISTORY_GONE, /**< changes after that version are no longer known */
+    WB_TABLE_HISTORY_EXPIRED, /**< changes after that version are no longer known */
     WB_TABLE_UNKNOWN       /**< no answer: a write may have been done, or may be done later */
 } wb_table_outcome_t;
 
--- a/include/wickbridge/tcp_stream.h
+++ b/include/wickbridge/tcp_stream.h
@@ -16,19 +16,19 @@
 typedef struct wb_tcp_listener_t wb_tcp_listener_t;
 
 /** How a connection ended. */
-typedef enum wb_tcp_end_t {
-    WB_TCP_END_UNREACHED, /**< it was never connected, so nothing was sent: there was no answer */
+typedef enum wb_tcp_end_reason_t {
+    WB_TCP_END_UNREACHABLE, /**< it was never connected, so nothing was sent: there was no answer */
     WB_TCP_END_REFUSED,   /**< the same, and the machine said that nobody listens there */
     WB_TCP_END_CLOSED,    /**< the peer closed it in order */
     WB_TCP_END_RESET      /**< it broke, or the peer stopped acknowledging */
-} wb_tcp_end_t;
+} wb_tcp_end_reason_t;
 
 typedef struct wb_tcp_events_t {
     /** Connected; not called for accepted connections. May be NULL. */
     void (*on_open)(wb_tcp_stream_t *stream, void *context);
     void (*on_data)(wb_tcp_stream_t *stream, const char *data, size_t length, void *context);
     /** The stream has ended; the callee must still call wb_tcp_stream_close. */
-    void (*on_end)(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context);
+    void (*on_end)(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context);
     /** All output was handed to the system. May be NULL. */
     void (*on_drained)(wb_tcp_stream_t *stream, void *context);
 } wb_tcp_events_t;
@@ -39,7 +39,7 @@
 /**
  * Begin to connect. on_open or on_end follows, never from inside this call.
  * @param address            IP:PORT
- * @param connect_timeout_ms time after which on_end says WB_TCP_END_UNREACHED
+ * @param connect_timeout_ms time after which on_end says WB_TCP_END_UNREACHABLE
  * @param silence_limit_ms   unacknowledged bytes end the connection after this time
  */
 apr_status_t wb_tcp_stream_connect(wb_loop_t *loop, const char *address, int64_t connect_timeout_ms,
--- a/include/wickbridge/tenant.h
+++ b/include/wickbridge/tenant.h
@@ -17,9 +17,9 @@
 /** Bytes of a key's digest: those of SHA-256. */
 #define WB_KEY_DIGEST_BYTES 32
 /** Longer texts are no keys; what callers send is bounded by the head's limit only. */
-#define WB_KEY_LIMIT_BYTES 512
+#define WB_KEY_MAX_BYTES 512
 /** A tenant without a rank of its own: its requests have their route's. */
-#define WB_TENANT_NO_RANK (-1)
+#define WB_TENANT_NO_PRIORITY (-1)
 
 typedef struct wb_key_digest_t {
     guchar bytes[WB_KEY_DIGEST_BYTES];
@@ -33,12 +33,12 @@
 
 typedef struct wb_tenant_t {
     char *name;
-    int rank; /**< 0 is the most urgent; goes before the route's; WB_TENANT_NO_RANK */
+    int rank; /**< 0 is the most urgent; goes before the route's; WB_TENANT_NO_PRIORITY */
     wb_quota_unit_t unit;
-    double plain_tokens; /**< what a request counts that names no tokens */
+    double default_tokens; /**< what a request counts that names no tokens */
     double rate_per_s;   /**< units a second, over all nodes; 0: no limit */
     double burst;        /**< units on top of the rate */
-    char **homes;        /**< regions in which its requests may be served; NULL: all */
+    char **allowed_regions;        /**< regions in which its requests may be served; NULL: all */
 } wb_tenant_t;
 
 typedef struct wb_tenants_t wb_tenants_t;
@@ -52,7 +52,7 @@
 void wb_tenants_add_key(wb_tenants_t *tenants, wb_tenant_t *tenant, const char *key);
 const wb_tenant_t *wb_tenants_find(const wb_tenants_t *tenants, const char *name);
 /** @return the tenant that holds the key, or NULL */
-const wb_tenant_t *wb_tenants_of_key(const wb_tenants_t *tenants, const wb_key_digest_t *digest);
+const wb_tenant_t *wb_tenants_find_by_key(const wb_tenants_t *tenants, const wb_key_digest_t *digest);
 /** @return name -> wb_tenant_t */
 GHashTable *wb_tenants_all(const wb_tenants_t *tenants);
 
--- a/include/wickbridge/tls.h
+++ b/include/wickbridge/tls.h
@@ -42,6 +42,6 @@
 wb_tls_step_t wb_tls_session_receive(wb_tls_session_t *session, char *data, gsize *length);
 
 /** @return one line on the last failure */
-const char *wb_tls_session_failure(const wb_tls_session_t *session);
+const char *wb_tls_session_error(const wb_tls_session_t *session);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -87,7 +87,7 @@
     return 0;
 }
 
-void wb_log(wb_part_t part, GLogLevelFlags level, const char *format, ...) {
+void wb_log(wb_log_component_t part, GLogLevelFlags level, const char *format, ...) {
     if ((level & G_LOG_LEVEL_MASK) > output.level)
         return;
     char line[LINE_SIZE];
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -147,7 +147,7 @@
     if (key == FLAG_KEY_SETTINGS)
         parse->file = argument;
     else if (key == FLAG_KEY_DOCUMENT) {
-        wb_settings_document(parse->table, stdout);
+        wb_settings_print_markdown(parse->table, stdout);
         exit(0);
     } else if (key >= FLAG_KEY_BASE && (size_t)(key - FLAG_KEY_BASE) < parse->table->count)
         parse->flag_values[key - FLAG_KEY_BASE] = argument;
@@ -243,7 +243,7 @@
     }
 }
 
-unsigned wb_settings_differ(const wb_settings_table_t *table, const void *left, const void *right) {
+unsigned wb_settings_count_changed(const wb_settings_table_t *table, const void *left, const void *right) {
     unsigned differ = 0;
     for (size_t i = 0; i < table->count; i++) {
         differ += value_differs(&table->rows[i], left, right);
@@ -251,7 +251,7 @@
     return differ;
 }
 
-void wb_settings_document(const wb_settings_table_t *table, FILE *file) {
+void wb_settings_print_markdown(const wb_settings_table_t *table, FILE *file) {
     static const char *const type_names[] = {"text", "address", "integer", "number", "boolean"};
     fprintf(file, "## %s\n\n%s\n\n", table->program, table->purpose);
     fprintf(file,
--- a/src/catalog/catalog.c
+++ b/src/catalog/catalog.c
@@ -8,7 +8,7 @@
 #define GOLDEN_RATIO 0.6180339887498949
 
 static void part_clear(gpointer data) {
-    g_free(((wb_route_part_t *)data)->service);
+    g_free(((wb_route_target_t *)data)->service);
 }
 
 static void route_free(gpointer data) {
@@ -16,7 +16,7 @@
     g_free(route->name);
     g_free(route->host);
     g_free(route->path_prefix);
-    g_strfreev(route->homes);
+    g_strfreev(route->allowed_regions);
     g_array_unref(route->parts);
     g_free(route);
 }
@@ -65,7 +65,7 @@
     route->host = g_ascii_strdown(host, -1);
     route->path_prefix = g_strdup(path_prefix);
     route->max_attempts = 1;
-    route->parts = g_array_new(FALSE, FALSE, sizeof(wb_route_part_t));
+    route->parts = g_array_new(FALSE, FALSE, sizeof(wb_route_target_t));
     route->split_point = g_random_double();
     g_array_set_clear_func(route->parts, part_clear);
     GPtrArray *routes = g_hash_table_lookup(catalog->hosts, route->host);
@@ -78,8 +78,8 @@
     return route;
 }
 
-void wb_route_add_part(wb_route_t *route, const char *service, double weight) {
-    wb_route_part_t part = {g_strdup(service), weight};
+void wb_route_add_target(wb_route_t *route, const char *service, double weight) {
+    wb_route_target_t part = {g_strdup(service), weight};
     g_array_append_val(route->parts, part);
 }
 
@@ -154,18 +154,18 @@
 const char *wb_route_pick_service(wb_route_t *route) {
     double total = 0;
     for (guint i = 0; i < route->parts->len; i++)
-        total += g_array_index(route->parts, wb_route_part_t, i).weight;
+        total += g_array_index(route->parts, wb_route_target_t, i).weight;
     if (total <= 0)
         return NULL;
     if (route->parts->len == 1)
-        return g_array_index(route->parts, wb_route_part_t, 0).service;
+        return g_array_index(route->parts, wb_route_target_t, 0).service;
     route->split_point = fmod(route->split_point + GOLDEN_RATIO, 1.0);
     double left = route->split_point * total;
     for (guint i = 0; i < route->parts->len; i++) {
-        const wb_route_part_t *part = &g_array_index(route->parts, wb_route_part_t, i);
+        const wb_route_target_t *part = &g_array_index(route->parts, wb_route_target_t, i);
         if (left < part->weight)
             return part->service;
         left -= part->weight;
     }
-    return g_array_index(route->parts, wb_route_part_t, route->parts->len - 1).service;
+    return g_array_index(route->parts, wb_route_target_t, route->parts->len - 1).service;
 }
--- a/src/catalog/homes.c
+++ b/src/catalog/regions.c
@@ -1,7 +1,7 @@
 /* Regions in which requests of a route or a tenant may be served. */
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 
-GHashTable *wb_regions_read(const char *text) {
+GHashTable *wb_zone_regions_parse(const char *text) {
     GHashTable *regions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g_auto(GStrv) pairs = g_strsplit(text, ",", -1);
     for (char **pair = pairs; *pair != NULL; pair++) {
@@ -13,6 +13,6 @@
     return regions;
 }
 
-gboolean wb_homes_allow(const char *const *homes, const char *region) {
-    return homes == NULL || (region != NULL && g_strv_contains(homes, region));
+gboolean wb_regions_allow(const char *const *allowed_regions, const char *region) {
+    return allowed_regions == NULL || (region != NULL && g_strv_contains(allowed_regions, region));
 }
--- a/src/catalog/tenant.c
+++ b/src/catalog/tenant.c
@@ -12,7 +12,7 @@
 static void tenant_free(gpointer data) {
     wb_tenant_t *tenant = data;
     g_free(tenant->name);
-    g_strfreev(tenant->homes);
+    g_strfreev(tenant->allowed_regions);
     g_free(tenant);
 }
 
@@ -56,7 +56,7 @@
     }
     tenant = g_new0(wb_tenant_t, 1);
     tenant->name = g_strdup(name);
-    tenant->rank = WB_TENANT_NO_RANK;
+    tenant->rank = WB_TENANT_NO_PRIORITY;
     g_hash_table_insert(tenants->by_name, tenant->name, tenant);
     return tenant;
 }
@@ -70,7 +70,7 @@
     return g_hash_table_lookup(tenants->by_name, name);
 }
 
-const wb_tenant_t *wb_tenants_of_key(const wb_tenants_t *tenants, const wb_key_digest_t *digest) {
+const wb_tenant_t *wb_tenants_find_by_key(const wb_tenants_t *tenants, const wb_key_digest_t *digest) {
     return g_hash_table_lookup(tenants->by_key, digest);
 }
 
@@ -106,5 +106,5 @@
     if (tenant->unit == WB_QUOTA_REQUESTS) {
         return 1;
     }
-    return tokens >= 0 ? tokens : tenant->plain_tokens;
+    return tokens >= 0 ? tokens : tenant->default_tokens;
 }
--- a/src/cell/cell_balance.c
+++ b/src/cell/cell_balance.c
@@ -47,7 +47,7 @@
     if (host->leaving || now_ms < host->balance_next_ms)
         return;
     host->balance_next_ms = now_ms + BALANCE_INTERVAL_MS;
-    guint own = wb_cell_host_owned(host);
+    guint own = wb_cell_host_owned_count(host);
     if (own < WORTH_MOVING)
         return;
     g_autoptr(GHashTable) counts = owned_count(host);
@@ -61,7 +61,7 @@
         if (node == NULL || own < fewest + WORTH_MOVING)
             continue;
         if (wb_group_hand_over_to(hosted->group, node)) {
-            wb_log_message(WB_PART_CELL, "Cell %s is handed over to %s, which owns fewer.",
+            wb_log_message(WB_LOG_CELL, "Cell %s is handed over to %s, which owns fewer.",
                            hosted->name, node);
             return; /* one at a time */
         }
--- a/src/cell/cell_policy.c
+++ b/src/cell/cell_policy.c
@@ -15,14 +15,14 @@
     wb_error_t error;
     if (policy != NULL &&
         wb_policy_compile(&cell->policy, policy->name, policy->program, &error) != APR_SUCCESS)
-        wb_log_warning(WB_PART_CELL, "The built-in rules hold in cell %s: %s.", cell->name,
+        wb_log_warning(WB_LOG_CELL, "The built-in rules hold in cell %s: %s.", cell->name,
                        error.message);
 }
 
 static void failure_note(wb_cell_t *cell, const wb_error_t *error) {
     g_strlcpy(cell->policy_failure, error->message, sizeof(cell->policy_failure));
     if (cell->policy_failures++ % FAILURES_LOGGED_EVERY == 0)
-        wb_log_warning(WB_PART_CELL, "The built-in rule is used in cell %s: %s.", cell->name,
+        wb_log_warning(WB_LOG_CELL, "The built-in rule is used in cell %s: %s.", cell->name,
                        error->message);
 }
 
--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -51,26 +51,26 @@
 
 static int64_t owner_ask_order(const char *engine, void *context) {
     wb_controller_t *controller = context;
-    return controller->events.ask_order(engine, controller->events.context);
+    return controller->events.authorize_order(engine, controller->events.context);
 }
 
 static gboolean owner_store_has_room(const char *service, void *context) {
-    return wb_load_window_has_room(wb_controller_window(context, service), wb_clock_ms());
+    return wb_load_window_allows(wb_controller_window(context, service), wb_clock_ms());
 }
 
-static wb_load_pace_t *pace_of(wb_controller_t *controller, const char *service) {
-    wb_load_pace_t *pace = g_hash_table_lookup(controller->paces, service);
+static wb_load_concurrency_t *pace_of(wb_controller_t *controller, const char *service) {
+    wb_load_concurrency_t *pace = g_hash_table_lookup(controller->paces, service);
     if (pace == NULL) {
-        pace = g_new0(wb_load_pace_t, 1);
+        pace = g_new0(wb_load_concurrency_t, 1);
         g_hash_table_insert(controller->paces, g_strdup(service), pace);
     }
     return pace;
 }
 
-wb_store_turns_t *wb_controller_turns(wb_controller_t *controller, const char *service) {
-    wb_store_turns_t *turns = g_hash_table_lookup(controller->turns, service);
+wb_store_fairness_t *wb_controller_turns(wb_controller_t *controller, const char *service) {
+    wb_store_fairness_t *turns = g_hash_table_lookup(controller->turns, service);
     if (turns == NULL) {
-        turns = g_new0(wb_store_turns_t, 1);
+        turns = g_new0(wb_store_fairness_t, 1);
         g_hash_table_insert(controller->turns, g_strdup(service), turns);
     }
     return turns;
@@ -97,7 +97,7 @@
 }
 
 unsigned wb_controller_store_limit(wb_controller_t *controller, const char *service) {
-    return wb_load_pace_limit(pace_of(controller, service), nominal_load_ms(controller, service));
+    return wb_load_concurrency_limit(pace_of(controller, service), nominal_load_ms(controller, service));
 }
 
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service) {
@@ -109,34 +109,34 @@
 }
 
 static unsigned owner_store_load_begins(const char *service, void *context) {
-    wb_load_window_count(wb_controller_window(context, service), wb_clock_ms());
+    wb_load_window_record(wb_controller_window(context, service), wb_clock_ms());
     return wb_controller_store_loads(context, service);
 }
 
 static void owner_store_load_ended(const char *service, unsigned at_once, int64_t took_ms,
                                    int64_t nominal_ms, void *context) {
-    wb_load_pace_t *pace = pace_of(context, service);
-    wb_load_pace_note(pace, at_once, took_ms, nominal_ms);
+    wb_load_concurrency_t *pace = pace_of(context, service);
+    wb_load_concurrency_record(pace, at_once, took_ms, nominal_ms);
     wb_event("store-load-ended",
              ",\"service\":\"%s\",\"at_once\":%u,\"ms\":%lld,\"alone_ms\":%lld,\"limit\":%u",
-             wb_event_text(service), at_once, (long long)took_ms, (long long)nominal_ms,
-             wb_load_pace_limit(pace, nominal_ms));
+             wb_event_escape(service), at_once, (long long)took_ms, (long long)nominal_ms,
+             wb_load_concurrency_limit(pace, nominal_ms));
 }
 
 static void owner_load_crashed(const wb_engine_t *engine, const char *model, void *context) {
     wb_controller_t *controller = context;
     const char *service = engine->state->service;
     int64_t now_ms = wb_clock_ms();
-    if (engine->leaving_ms != 0) {
+    if (engine->draining_since_ms != 0) {
         return; /* it ended as it had said */
     }
-    guint engines = wb_load_faults_crashed(controller->faults, service, model, now_ms);
+    guint engines = wb_load_faults_record_crash(controller->faults, service, model, now_ms);
     wb_event("load-crashed",
              ",\"service\":\"%s\",\"model\":\"%s\",\"engine\":\"%s\",\"in_a_row\":%u,"
              "\"paused_ms\":%lld",
-             wb_event_text(service), wb_event_text(model), wb_event_text(engine->state->id),
+             wb_event_escape(service), wb_event_escape(model), wb_event_escape(engine->state->id),
              engines,
-             (long long)wb_load_faults_paused_ms(controller->faults, service, model, now_ms));
+             (long long)wb_load_faults_backoff_ms(controller->faults, service, model, now_ms));
 }
 
 static uint64_t owner_token(void *context) {
@@ -152,9 +152,9 @@
                            gboolean held, void *context) {
     wb_controller_t *controller = context;
     if (held && *adapter == '\0')
-        wb_load_faults_loaded(controller->faults, engine->state->service, model);
+        wb_load_faults_record_success(controller->faults, engine->state->service, model);
     if (held)
-        wb_demand_book_served(controller->book, engine->state->service, model, adapter);
+        wb_demand_stats_mark_served(controller->book, engine->state->service, model, adapter);
     wb_controller_tell(controller, engine, model, adapter, held, 0);
 }
 
@@ -198,10 +198,10 @@
     wb_controller_snapshot_clear(&snapshot);
 }
 
-void wb_controller_take_demand(wb_controller_t *controller, const wb_wire_demand *demand) {
+void wb_controller_on_demand(wb_controller_t *controller, const wb_wire_demand *demand) {
     /* With many engines a decision takes its time: the next waits for some times that, or the tick.
      */
-    if (wb_demand_book_take(controller->book, demand, wb_clock_ms()) &&
+    if (wb_demand_stats_update(controller->book, demand, wb_clock_ms()) &&
         wb_clock_us() >= controller->next_us)
         wb_controller_decide(controller);
 }
@@ -216,8 +216,8 @@
     int64_t begun_us = wb_clock_us();
     int64_t now_ms = wb_clock_ms();
     controller->until_us = begun_us + DECISION_MOST_US;
-    wb_demand_book_count(controller->book, now_ms);
-    wb_demand_book_age(controller->book, now_ms);
+    wb_demand_stats_aggregate(controller->book, now_ms);
+    wb_demand_stats_expire(controller->book, now_ms);
     gboolean spread = now_ms - controller->spread_ms >= SPREAD_INTERVAL_MS;
     if (spread)
         controller->spread_ms = now_ms;
@@ -240,7 +240,7 @@
     int64_t now_ms = wb_clock_ms();
     if (wb_clock_us() < controller->next_us)
         return;
-    if (wb_demand_book_someone_waits(controller->book) ||
+    if (wb_demand_stats_has_waiting(controller->book) ||
         now_ms - controller->spread_ms >= SPREAD_INTERVAL_MS)
         wb_controller_decide(controller);
 }
@@ -256,7 +256,7 @@
     controller->fleet = fleet;
     controller->metrics = metrics;
     controller->events = *events;
-    controller->book = wb_demand_book_create();
+    controller->book = wb_demand_stats_create();
     controller->orders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                                (GDestroyNotify)wb_engine_orders_free);
     controller->faults = wb_load_faults_create();
@@ -268,7 +268,7 @@
     return controller;
 }
 
-void wb_controller_set_token(wb_controller_t *controller, uint64_t token,
+void wb_controller_set_lease(wb_controller_t *controller, uint64_t token,
                              const wb_lease_predecessor_t *predecessor) {
     if (controller->token == token)
         return;
@@ -277,14 +277,14 @@
     g_hash_table_remove_all(controller->orders);
     if (token == 0 || predecessor->seen_ms == 0 || controller->catalog == NULL)
         return;
-    unsigned loads_untold = predecessor->engines_most > G_MAXUINT / LOADS_UNTOLD
+    unsigned loads_untold = predecessor->max_ordered_engines > G_MAXUINT / LOADS_UNTOLD
                                 ? G_MAXUINT
-                                : LOADS_UNTOLD * predecessor->engines_most;
+                                : LOADS_UNTOLD * predecessor->max_ordered_engines;
     GHashTableIter iter;
     gpointer name;
     g_hash_table_iter_init(&iter, controller->catalog->services);
     while (g_hash_table_iter_next(&iter, &name, NULL))
-        wb_load_window_assume(wb_controller_window(controller, name), predecessor->loads,
+        wb_load_window_add_predecessor(wb_controller_window(controller, name), predecessor->loads,
                               loads_untold,
                               predecessor->seen_ms + controller->settings->lease_duration_ms);
 }
@@ -295,7 +295,7 @@
     gpointer window;
     g_hash_table_iter_init(&iter, controller->windows);
     while (g_hash_table_iter_next(&iter, NULL, &window))
-        most = MAX(most, wb_load_window_counted(window, wb_clock_ms()));
+        most = MAX(most, wb_load_window_used(window, wb_clock_ms()));
     return most;
 }
 
@@ -321,8 +321,8 @@
     }
 }
 
-const struct wb_model_use_t *wb_controller_use(const wb_controller_t *controller,
+const struct wb_model_use_t *wb_controller_model_use(const wb_controller_t *controller,
                                                const char *service, const char *model) {
-    const wb_usage_t *usage = wb_demand_book_find(controller->book, service, model, "");
+    const wb_usage_t *usage = wb_demand_stats_find(controller->book, service, model, "");
     return usage != NULL ? &usage->use : NULL;
 }
--- a/src/control/controller_adapters.c
+++ b/src/control/controller_adapters.c
@@ -77,7 +77,7 @@
 void wb_controller_place_adapters(wb_controller_t *controller,
                                   const wb_placement_snapshot_t *snapshot) {
     wb_adapter_scene_t scene = {controller, snapshot};
-    wb_demand_book_each_adapter(controller->book, snapshot->service->name, adapter_need, &scene);
+    wb_demand_stats_each_waiting_adapter(controller->book, snapshot->service->name, adapter_need, &scene);
 }
 
 /* The adapter that was asked for longest ago, and isn't running or waited for. */
@@ -102,7 +102,7 @@
                 continue;
             }
             const wb_usage_t *usage =
-                wb_demand_book_find(controller->book, engine->state->service, model, adapter);
+                wb_demand_stats_find(controller->book, engine->state->service, model, adapter);
             int64_t used_ms = usage != NULL ? usage->used_ms : 0;
             if (usage != NULL && usage->use.waiting > 0)
                 continue;
--- a/src/control/controller_missing.c
+++ b/src/control/controller_missing.c
@@ -48,7 +48,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
         wb_usage_t *usage =
-            wb_demand_book_find(controller->book, snapshot->service->name, spec->name, "");
+            wb_demand_stats_find(controller->book, snapshot->service->name, spec->name, "");
         if (usage == NULL) {
             continue;
         }
@@ -57,13 +57,13 @@
             usage->told_ready_ms = 0;
         }
         if (is_missing(usage, now_ms) &&
-            wb_load_faults_paused_ms(controller->faults, snapshot->service->name, spec->name,
+            wb_load_faults_backoff_ms(controller->faults, snapshot->service->name, spec->name,
                                      now_ms) == 0) {
             wb_missing_model_t model = {spec, usage->missed, usage->time_left_ms};
             g_array_append_val(missing, model);
         }
     }
-    g_array_sort(missing, wb_load_queue_order);
+    g_array_sort(missing, wb_load_queue_compare);
     return missing;
 }
 
@@ -78,7 +78,7 @@
     if (usage->use.waiting > 0) {
         return G_MAXDOUBLE;
     }
-    return wb_placement_store_price_ms(spec) +
+    return wb_placement_store_load_cost_ms(spec) +
            MISSED_COST_MS *
                (usage->missed + (usage->use.unreliable > 0 ? coming_requests(usage, spec) : 0));
 }
@@ -108,7 +108,7 @@
     plan->entries.entries_len = entries->len;
     plan->entries.entries_val = (wb_wire_load_plan_entry *)(void *)entries->data;
     controller->events.on_news(&news, controller->events.context);
-    wb_event("load-plan", ",\"service\":\"%s\",\"told\":%u", wb_event_text(service), entries->len);
+    wb_event("load-plan", ",\"service\":\"%s\",\"told\":%u", wb_event_escape(service), entries->len);
 }
 
 /* Who waits for a model whose loads crash engines is told when the next one may begin. */
@@ -124,8 +124,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
         int64_t paused_ms =
-            wb_load_faults_paused_ms(controller->faults, service, spec->name, now_ms);
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, spec->name, "");
+            wb_load_faults_backoff_ms(controller->faults, service, spec->name, now_ms);
+        wb_usage_t *usage = wb_demand_stats_find(controller->book, service, spec->name, "");
         if (paused_ms > 0 && usage != NULL && usage->use.replicas == 0) {
             plan_note(entries, usage, spec, paused_ms + spec->store_load_ms, now_ms);
         }
@@ -142,18 +142,18 @@
 static gboolean missing_place(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                               const wb_model_spec_t *spec, const wb_usage_t *usage,
                               int64_t now_ms) {
-    const wb_store_turns_t *turns = wb_controller_turns(controller, snapshot->service->name);
-    unsigned room = snapshot->store_room;
-    gboolean may = wb_store_turns_missing_may(turns, missing_gain_ms(usage, spec),
+    const wb_store_fairness_t *turns = wb_controller_turns(controller, snapshot->service->name);
+    unsigned room = snapshot->store_loads_allowed;
+    gboolean may = wb_store_fairness_may_load_missing(turns, missing_gain_ms(usage, spec),
                                               spec->store_load_ms, now_ms);
     if (!may) {
-        snapshot->store_room = 0;
+        snapshot->store_loads_allowed = 0;
     }
     gboolean placed =
         wb_controller_place_model(controller, snapshot, spec, missing_limit_ms(usage, spec),
                                   usage->use.waiting > 0 ? "waited-for" : "missing");
     if (!may) {
-        snapshot->store_room = room;
+        snapshot->store_loads_allowed = room;
     }
     return placed;
 }
@@ -169,10 +169,10 @@
         if (i > 0 && wb_controller_time_is_over(controller))
             break;
         const wb_missing_model_t *model = &g_array_index(missing, wb_missing_model_t, i);
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, model->spec->name, "");
+        wb_usage_t *usage = wb_demand_stats_find(controller->book, service, model->spec->name, "");
         if (missing_place(controller, snapshot, model->spec, usage, now_ms)) {
             usage->told_ready_ms = 0;
-        } else if (snapshot->store_room == 0 && usage->use.replicas == 0 && model->missed > 0) {
+        } else if (snapshot->store_loads_allowed == 0 && usage->use.replicas == 0 && model->missed > 0) {
             int64_t ready_in_ms = wb_load_queue_ready_ms(
                 wb_controller_store_limit(controller, service),
                 wb_controller_store_loads(controller, service), before, model->spec->store_load_ms);
--- a/src/control/controller_models.c
+++ b/src/control/controller_models.c
@@ -17,9 +17,9 @@
     double victims_ms;
     wb_placement_engine_t *place = wb_placement_choose(snapshot, spec, &cost_ms, &victims_ms);
     if (place == NULL ||
-        victims_ms + wb_placement_load_price_ms(spec, place->engine->state) > limit_ms)
+        victims_ms + wb_placement_load_cost_ms(spec, place->engine->state) > limit_ms)
         return FALSE;
-    wb_usage_t *usage = wb_demand_book_get(controller->book, snapshot->service->name, spec->name,
+    wb_usage_t *usage = wb_demand_stats_get(controller->book, snapshot->service->name, spec->name,
                                            "", wb_clock_ms());
     wb_event("model-placed",
              ",\"service\":\"%s\",\"model\":\"%s\",\"engine\":\"%s\",\"why\":\"%s\","
@@ -32,8 +32,8 @@
     gboolean from_store;
     double load_ms = wb_placement_load_ms(spec, place->engine->state, &from_store);
     if (from_store) {
-        snapshot->store_room -= snapshot->store_room > 0;
-        wb_store_turns_loaded(wb_controller_turns(controller, snapshot->service->name),
+        snapshot->store_loads_allowed -= snapshot->store_loads_allowed > 0;
+        wb_store_fairness_record_load(wb_controller_turns(controller, snapshot->service->name),
                               usage->use.replicas == 0);
     }
     double ready_ms = place->busy_ms + load_ms + (victims_ms > 0 ? DROP_TIME_MS : 0);
@@ -60,28 +60,28 @@
 }
 
 /* Whether a model's measured work asks for one more engine, or for a faster one. */
-static gboolean wants_engine(const wb_model_use_t *use, const wb_engine_power_t *power,
+static gboolean wants_engine(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                              double fastest) {
     if (use->replicas == 0) {
         return FALSE;
     }
-    return wb_placement_speed(use) < wb_placement_wanted(use, power) ||
-           wb_placement_is_slow(use, fastest);
+    return wb_placement_total_speed(use) < wb_placement_wanted_replicas(use, power) ||
+           wb_placement_engines_are_slow(use, fastest);
 }
 
 static GArray *spreads_collect(const wb_controller_t *controller,
                                const wb_placement_snapshot_t *snapshot) {
     GArray *spreads = g_array_new(FALSE, FALSE, sizeof(wb_spread_t));
     const char *service = snapshot->service->name;
-    double fastest = wb_placement_fastest(snapshot);
+    double fastest = wb_placement_max_speed(snapshot);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wb_model_spec_t *spec = value;
-        const wb_usage_t *usage = wb_demand_book_find(controller->book, service, spec->name, "");
+        const wb_usage_t *usage = wb_demand_stats_find(controller->book, service, spec->name, "");
         if (usage == NULL || !wants_engine(&usage->use, &snapshot->power, fastest) ||
-            wb_load_faults_paused_ms(controller->faults, service, spec->name, wb_clock_ms()) > 0) {
+            wb_load_faults_backoff_ms(controller->faults, service, spec->name, wb_clock_ms()) > 0) {
             continue;
         }
         wb_spread_t spread = {spec, &usage->use,
@@ -102,9 +102,9 @@
         wb_placement_choose(snapshot, spread->spec, &cost_ms, &victims_ms);
     *found = place != NULL;
     if (place == NULL) {
-        if (snapshot->store_room == 0 &&
-            spread->gain_ms > wb_placement_store_price_ms(spread->spec)) {
-            wb_store_turns_wish(wb_controller_turns(controller, snapshot->service->name),
+        if (snapshot->store_loads_allowed == 0 &&
+            spread->gain_ms > wb_placement_store_load_cost_ms(spread->spec)) {
+            wb_store_fairness_request_replica(wb_controller_turns(controller, snapshot->service->name),
                                 spread->gain_ms, wb_clock_ms());
         }
         return FALSE;
@@ -146,7 +146,7 @@
     if (wb_controller_is_large(controller)) {
         wb_controller_snapshot_one(controller, service, engine, &snapshot);
     } else {
-        wb_demand_book_count(controller->book, wb_clock_ms());
+        wb_demand_stats_aggregate(controller->book, wb_clock_ms());
         wb_controller_snapshot(controller, service, &snapshot);
     }
     double cost_ms;
--- a/src/control/controller_snapshot.c
+++ b/src/control/controller_snapshot.c
@@ -19,7 +19,7 @@
     if (*adapter != '\0')
         return;
     wb_model_use_t *use =
-        &wb_demand_book_get(scene->controller->book, scene->service->name, model, "", wb_clock_ms())
+        &wb_demand_stats_get(scene->controller->book, scene->service->name, model, "", wb_clock_ms())
              ->use;
     use->in_loading++;
     use->loading_speed += scene->place->speed;
@@ -37,16 +37,16 @@
  * own word: these are only looked up, as a model that nobody asks for isn't missed. */
 static void replicas_count(wb_controller_t *controller, const char *service,
                            const wb_placement_engine_t *place, int64_t now_ms) {
-    gboolean stays = wb_engine_stays(place->engine);
-    if (!stays && place->engine->leaving_ms != 0 && !place->engine->told_leaving) {
+    gboolean stays = wb_engine_is_available(place->engine);
+    if (!stays && place->engine->draining_since_ms != 0 && !place->engine->drain_reported) {
         return;
     }
     GHashTableIter iter;
     gpointer name;
     g_hash_table_iter_init(&iter, place->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        wb_usage_t *usage = stays ? wb_demand_book_get(controller->book, service, name, "", now_ms)
-                                  : wb_demand_book_find(controller->book, service, name, "");
+        wb_usage_t *usage = stays ? wb_demand_stats_get(controller->book, service, name, "", now_ms)
+                                  : wb_demand_stats_find(controller->book, service, name, "");
         if (stays) {
             usage->use.replicas++;
             usage->use.speed += place->speed;
@@ -62,10 +62,10 @@
                     wb_engine_t *engine, const wb_engine_orders_t *orders, int64_t now_ms) {
     wb_placement_engine_t place = {.engine = engine, .state = engine->state};
     place.speed = controller->settings->engine_pace != 0
-                      ? 1 / wb_engine_pace_usual(&engine->pace, now_ms)
+                      ? 1 / wb_engine_pace_intrinsic_factor(&engine->pace, now_ms)
                       : 1;
-    place.available = wb_engine_stays(engine) && now_ms >= engine->avoid_until_ms;
-    place.in_need = engine->limit.named || now_ms < engine->rest_until_ms;
+    place.available = wb_engine_is_available(engine) && now_ms >= engine->avoid_until_ms;
+    place.in_need = engine->limit.named || now_ms < engine->backoff_until_ms;
     if (orders != NULL) {
         place.state = wb_engine_orders_state(orders);
         place.busy_ms = wb_engine_orders_busy_ms(orders);
@@ -82,7 +82,7 @@
 static void engine_count(wb_controller_t *controller, const wb_placement_snapshot_t *snapshot,
                          wb_placement_engine_t *place, const wb_engine_orders_t *orders,
                          int64_t now_ms) {
-    if (orders != NULL && wb_engine_stays(place->engine)) {
+    if (orders != NULL && wb_engine_is_available(place->engine)) {
         wb_loading_scene_t scene = {controller, snapshot->service, place};
         wb_engine_orders_each(orders, loading_count, &scene);
     }
@@ -97,7 +97,7 @@
     gpointer name;
     g_hash_table_iter_init(&iter, place->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        const wb_usage_t *usage = wb_demand_book_find(controller->book, service, name, "");
+        const wb_usage_t *usage = wb_demand_stats_find(controller->book, service, name, "");
         per_s += usage != NULL ? usage->use.rate_per_s / MAX(usage->use.replicas, 1) : 0;
     }
     return per_s;
@@ -108,7 +108,7 @@
                              const wb_placement_engine_t *place) {
     const char *service = snapshot->service->name;
     const wb_engine_limit_t *limit = &place->engine->limit;
-    if (!limit->named || !wb_engine_stays(place->engine) ||
+    if (!limit->named || !wb_engine_is_available(place->engine) ||
         limit->per_s >= LIMIT_HEADROOM * asked_per_s(controller, service, place)) {
         return;
     }
@@ -116,7 +116,7 @@
     gpointer name;
     g_hash_table_iter_init(&iter, place->state->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        wb_usage_t *usage = wb_demand_book_find(controller->book, service, name, "");
+        wb_usage_t *usage = wb_demand_stats_find(controller->book, service, name, "");
         if (usage != NULL && usage->use.replicas > 0) {
             usage->use.replicas--;
             usage->use.speed -= place->speed;
@@ -126,7 +126,7 @@
 }
 
 /* Requests for a replica, on average over all models. */
-static double place_rate_per_s(const wb_placement_snapshot_t *snapshot) {
+static double replica_rate_per_s(const wb_placement_snapshot_t *snapshot) {
     double rate_per_s = 0;
     unsigned replicas = 0;
     GHashTableIter iter;
@@ -147,7 +147,7 @@
 }
 
 gboolean wb_controller_is_large(const wb_controller_t *controller) {
-    return g_hash_table_size(wb_fleet_all(controller->fleet)) > WB_PLACES_JUDGED;
+    return g_hash_table_size(wb_fleet_all(controller->fleet)) > WB_PLACEMENT_MAX_CANDIDATES;
 }
 
 static void snapshot_begin(wb_controller_t *controller, const wb_service_t *service,
@@ -156,7 +156,7 @@
         .service = service,
         .engines = g_array_new(FALSE, FALSE, sizeof(wb_placement_engine_t)),
         .uses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL),
-        .store_room = wb_controller_store_room(controller, service->name),
+        .store_loads_allowed = wb_controller_store_room(controller, service->name),
         .power = {controller->settings->prefill_tokens_per_ms, 0},
         .is_loading = engine_is_loading,
         .context = controller};
@@ -169,11 +169,11 @@
     g_hash_table_iter_init(&iter, snapshot->service->models);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
         wb_usage_t *usage =
-            wb_demand_book_find(controller->book, snapshot->service->name, name, "");
+            wb_demand_stats_find(controller->book, snapshot->service->name, name, "");
         if (usage != NULL)
             g_hash_table_insert(snapshot->uses, name, &usage->use);
     }
-    snapshot->place_rate_per_s = place_rate_per_s(snapshot);
+    snapshot->replica_rate_per_s = replica_rate_per_s(snapshot);
 }
 
 void wb_controller_snapshot(wb_controller_t *controller, const wb_service_t *service,
@@ -196,7 +196,7 @@
         limited_discount(controller, snapshot,
                          &g_array_index(snapshot->engines, wb_placement_engine_t, i));
     }
-    if (snapshot->engines->len > WB_PLACES_JUDGED) {
+    if (snapshot->engines->len > WB_PLACEMENT_MAX_CANDIDATES) {
         snapshot->first = (guint)g_random_int_range(0, (gint32)snapshot->engines->len);
     }
     uses_add(controller, snapshot);
--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -7,13 +7,13 @@
 
 #include "control/controller.h"
 
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 #include "control/engine_orders.h"
 #include "control/load_faults.h"
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 #include "control/load_window.h"
 #include "control/placement.h"
-#include "control/store_turns.h"
+#include "control/store_fairness.h"
 
 struct wb_controller_t {
     wb_loop_t *loop;
@@ -24,11 +24,11 @@
     wb_controller_events_t events;
     wb_catalog_t *catalog;
     uint64_t token; /* 0: not acting */
-    wb_demand_book_t *book;
+    wb_demand_stats_t *book;
     GHashTable *orders;  /* engine id -> wb_engine_orders_t */
     GHashTable *windows; /* service -> wb_load_window_t */
-    GHashTable *paces;   /* service -> wb_load_pace_t */
-    GHashTable *turns;   /* service -> wb_store_turns_t */
+    GHashTable *paces;   /* service -> wb_load_concurrency_t */
+    GHashTable *turns;   /* service -> wb_store_fairness_t */
     wb_load_faults_t *faults;
     int64_t spread_ms;
     int64_t until_us; /* the decision under way begins no further choice after this */
@@ -43,7 +43,7 @@
  * deliver at once */
 unsigned wb_controller_store_room(wb_controller_t *controller, const char *service);
 /** @return whose turn at the weight store it is; created when there is none */
-wb_store_turns_t *wb_controller_turns(wb_controller_t *controller, const char *service);
+wb_store_fairness_t *wb_controller_turns(wb_controller_t *controller, const char *service);
 /** @return an engine's orders; they are created when there are none */
 wb_engine_orders_t *wb_controller_orders(wb_controller_t *controller, wb_engine_t *engine);
 /** Tell all gateways of a model or adapter. @param ready_in_ms when it should be there; 0: no load
--- a/src/control/demand_book.c
+++ b/src/control/demand_stats.c
@@ -1,5 +1,5 @@
 /* What all gateways ask for, by model and adapter. */
-#include "control/demand_book.h"
+#include "control/demand_stats.h"
 
 #include <math.h>
 #include <string.h>
@@ -16,7 +16,7 @@
     int64_t at_ms;
 } wb_node_demand_t;
 
-struct wb_demand_book_t {
+struct wb_demand_stats_t {
     GHashTable *demands; /* node -> wb_node_demand_t */
     GHashTable *usages;  /* SERVICE/MODEL/ADAPTER -> wb_usage_t */
 };
@@ -27,14 +27,14 @@
     g_free(demand);
 }
 
-wb_demand_book_t *wb_demand_book_create(void) {
-    wb_demand_book_t *book = g_new0(wb_demand_book_t, 1);
+wb_demand_stats_t *wb_demand_stats_create(void) {
+    wb_demand_stats_t *book = g_new0(wb_demand_stats_t, 1);
     book->demands = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_demand_free);
     book->usages = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return book;
 }
 
-void wb_demand_book_free(wb_demand_book_t *book) {
+void wb_demand_stats_free(wb_demand_stats_t *book) {
     g_hash_table_unref(book->demands);
     g_hash_table_unref(book->usages);
     g_free(book);
@@ -44,13 +44,13 @@
     return g_strjoin("/", service, model, adapter, NULL);
 }
 
-wb_usage_t *wb_demand_book_find(const wb_demand_book_t *book, const char *service,
+wb_usage_t *wb_demand_stats_find(const wb_demand_stats_t *book, const char *service,
                                 const char *model, const char *adapter) {
     g_autofree char *key = usage_key(service, model, adapter);
     return g_hash_table_lookup(book->usages, key);
 }
 
-wb_usage_t *wb_demand_book_get(wb_demand_book_t *book, const char *service, const char *model,
+wb_usage_t *wb_demand_stats_get(wb_demand_stats_t *book, const char *service, const char *model,
                                const char *adapter, int64_t now_ms) {
     g_autofree char *key = usage_key(service, model, adapter);
     wb_usage_t *usage = g_hash_table_lookup(book->usages, key);
@@ -85,7 +85,7 @@
         usage->used_ms = now_ms;
 }
 
-gboolean wb_demand_book_take(wb_demand_book_t *book, const wb_wire_demand *demand, int64_t now_ms) {
+gboolean wb_demand_stats_update(wb_demand_stats_t *book, const wb_wire_demand *demand, int64_t now_ms) {
     wb_node_demand_t *kept = g_new0(wb_node_demand_t, 1);
     kept->at_ms = now_ms;
     /* A copy by way of its bytes: the message belongs to its link. */
@@ -103,13 +103,13 @@
     gboolean waits = FALSE;
     for (guint i = 0; i < demand->entries.entries_len; i++) {
         const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
-        wb_usage_t *model = wb_demand_book_get(book, entry->service, entry->model, "", now_ms);
+        wb_usage_t *model = wb_demand_stats_get(book, entry->service, entry->model, "", now_ms);
         usage_arrivals(model, entry->arrivals, entry->work, now_ms);
         if (model->use.replicas == 0)
             model->missed += entry->arrivals;
         if (*entry->adapter != '\0') {
             usage_arrivals(
-                wb_demand_book_get(book, entry->service, entry->model, entry->adapter, now_ms),
+                wb_demand_stats_get(book, entry->service, entry->model, entry->adapter, now_ms),
                 entry->arrivals, 0, now_ms);
             model->use.adapter_rate_per_s += entry->arrivals / RATE_TIME_S;
         }
@@ -118,7 +118,7 @@
     return waits;
 }
 
-static void usages_clear(wb_demand_book_t *book) {
+static void usages_clear(wb_demand_stats_t *book) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, book->usages);
@@ -144,7 +144,7 @@
 }
 
 /* Adds up what all nodes said lately. */
-void wb_demand_book_count(wb_demand_book_t *book, int64_t now_ms) {
+void wb_demand_stats_aggregate(wb_demand_stats_t *book, int64_t now_ms) {
     usages_clear(book);
     GHashTableIter iter;
     gpointer value;
@@ -158,12 +158,12 @@
         const wb_wire_demand *demand = &kept->message.wb_wire_message_u.demand;
         for (guint i = 0; i < demand->entries.entries_len; i++) {
             const wb_wire_demand_entry *entry = &demand->entries.entries_val[i];
-            wb_usage_t *model = wb_demand_book_get(book, entry->service, entry->model, "", now_ms);
+            wb_usage_t *model = wb_demand_stats_get(book, entry->service, entry->model, "", now_ms);
             entry_count(model, entry, *entry->adapter == '\0');
             if (*entry->adapter == '\0')
                 continue;
             entry_count(
-                wb_demand_book_get(book, entry->service, entry->model, entry->adapter, now_ms),
+                wb_demand_stats_get(book, entry->service, entry->model, entry->adapter, now_ms),
                 entry, TRUE);
             model->use.waiting += entry->waiting;
             if (entry->waiting > 0)
@@ -180,7 +180,7 @@
            now_ms - usage->used_ms > WB_USAGE_LIFE_MS;
 }
 
-void wb_demand_book_age(wb_demand_book_t *book, int64_t now_ms) {
+void wb_demand_stats_expire(wb_demand_stats_t *book, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_foreach_remove(book->usages, usage_is_old, &now_ms);
@@ -195,7 +195,7 @@
     }
 }
 
-void wb_demand_book_served(wb_demand_book_t *book, const char *service, const char *model,
+void wb_demand_stats_mark_served(wb_demand_stats_t *book, const char *service, const char *model,
                            const char *adapter) {
     GHashTableIter iter;
     gpointer value;
@@ -211,12 +211,12 @@
             }
         }
     }
-    wb_usage_t *usage = wb_demand_book_find(book, service, model, "");
+    wb_usage_t *usage = wb_demand_stats_find(book, service, model, "");
     if (usage != NULL)
         usage->waited_ms = 0;
 }
 
-gboolean wb_demand_book_someone_waits(const wb_demand_book_t *book) {
+gboolean wb_demand_stats_has_waiting(const wb_demand_stats_t *book) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, book->usages);
@@ -226,7 +226,7 @@
     return FALSE;
 }
 
-void wb_demand_book_each_adapter(const wb_demand_book_t *book, const char *service,
+void wb_demand_stats_each_waiting_adapter(const wb_demand_stats_t *book, const char *service,
                                  void (*visit)(const wb_wire_demand_entry *entry, void *context),
                                  void *context) {
     GHashTableIter iter;
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -2,7 +2,7 @@
 #include "control/engine_orders_types.h"
 
 #include "control/placement.h"
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
 #include "wickbridge/event_log.h"
 
@@ -43,13 +43,13 @@
 }
 
 static void task_over(wb_engine_orders_t *orders, const char *outcome) {
-    wb_task_t *task = wb_task_pop(&orders->tasks);
+    wb_task_t *task = wb_engine_task_pop(&orders->tasks);
     wb_event(
         "task-over",
         ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"outcome\":\"%s\",\"ms\":%lld",
         orders->engine->state->id, task->model, task->adapter, outcome,
         (long long)(wb_clock_ms() - task->created_ms));
-    wb_task_free(task);
+    wb_engine_task_free(task);
     if (orders->settle != WB_SETTLE_NONE) {
         /* An order was taken and nothing shows yet what came of it: it still takes room. */
         state_forget(orders);
@@ -70,7 +70,7 @@
         return;
     }
     unreachable_begin(orders);
-    if (wb_task_first(&orders->tasks) != NULL)
+    if (wb_engine_task_first(&orders->tasks) != NULL)
         task_over(orders, "unreachable");
 }
 
@@ -79,7 +79,7 @@
     orders->owner.load_crashed(orders->engine, orders->order_model, orders->owner.context);
     unreachable_begin(orders);
     state_forget(orders);
-    if (wb_task_first(&orders->tasks) != NULL)
+    if (wb_engine_task_first(&orders->tasks) != NULL)
         task_over(orders, "crashed");
     orders->settle = WB_SETTLE_NONE;
 }
@@ -92,7 +92,7 @@
     unreachable_begin(orders);
     state_forget(orders);
     orders->settle = WB_SETTLE_NONE;
-    if (wb_task_first(&orders->tasks) != NULL) {
+    if (wb_engine_task_first(&orders->tasks) != NULL) {
         task_over(orders, "engine-restarted");
     }
 }
@@ -117,7 +117,7 @@
 
 /* The engine holds what the first task asks for. */
 static void task_done(wb_engine_orders_t *orders) {
-    const wb_task_t *task = wb_task_first(&orders->tasks);
+    const wb_task_t *task = wb_engine_task_first(&orders->tasks);
     if (orders->order_from_store && *task->adapter == '\0' &&
         strcmp(task->model, orders->order_model) == 0) {
         orders->order_from_store = FALSE;
@@ -151,7 +151,7 @@
     }
     gboolean loaded = orders->settle == WB_SETTLE_LOADED;
     orders->settle = WB_SETTLE_NONE;
-    if (loaded && wb_task_first(&orders->tasks) != NULL)
+    if (loaded && wb_engine_task_first(&orders->tasks) != NULL)
         task_done(orders);
     else
         advance_after(orders, 0);
@@ -161,7 +161,7 @@
     wb_engine_orders_t *orders = context;
     orders->calling = FALSE;
     wb_engine_state_t *state = NULL;
-    if (result->outcome == WB_HTTP_ANSWERED && result->status == 200)
+    if (result->outcome == WB_HTTP_COMPLETED && result->status == 200)
         state =
             orders->dialect->report_parse(orders->engine->state->id, result->body, result->length);
     if (result->refused && orders->settle == WB_SETTLE_LOADED) {
@@ -201,9 +201,9 @@
 /* What the engine tells of itself beside a report or an order's outcome. */
 static void head_hear(const wb_http_head_t *head, void *context) {
     wb_engine_orders_t *orders = context;
-    wb_heard_t heard = {orders->dialect,      head,          WB_HEARD_ON_CALL,
+    wb_engine_response_t heard = {orders->dialect,      head,          WB_RESPONSE_TO_CALL,
                         orders->call_sent_ms, wb_clock_ms(), orders->settings->drain_ms};
-    if (wb_engine_hear(orders->engine, &heard, orders->metrics)) {
+    if (wb_engine_update_from_response(orders->engine, &heard, orders->metrics)) {
         orders->owner.heard(orders->engine, orders->owner.context);
     }
 }
@@ -217,7 +217,7 @@
                                  .context = orders};
     orders->calling = TRUE;
     orders->call_sent_ms = wb_clock_ms();
-    wb_http_peer_call(orders->peer, &request);
+    wb_http_pool_call(orders->peer, &request);
 }
 
 /* Returns 0 when an order may be given now, else ms after which to ask again. */
@@ -225,7 +225,7 @@
     if (!orders->owner.may_act(orders->owner.context)) {
         return RETRY_MS;
     }
-    int64_t wait_ms = orders->owner.ask_order(orders->engine->state->id, orders->owner.context);
+    int64_t wait_ms = orders->owner.authorize_order(orders->engine->state->id, orders->owner.context);
     return wait_ms < 0 ? GRANT_LOOK_MS : MIN(wait_ms, RETRY_MS);
 }
 
@@ -306,7 +306,7 @@
         return;
     }
     state_forget(orders);
-    if (result->status == 400 && wb_task_first(&orders->tasks) != NULL)
+    if (result->status == 400 && wb_engine_task_first(&orders->tasks) != NULL)
         task_over(orders, "refused");
     else
         advance_after(orders, LOOK_AGAIN_MS);
@@ -338,7 +338,7 @@
                                  .context = orders};
     orders->calling = TRUE;
     orders->call_sent_ms = orders->order_sent_ms;
-    wb_http_peer_call(orders->peer, &request);
+    wb_http_pool_call(orders->peer, &request);
 }
 
 static void order_give(wb_engine_orders_t *orders, wb_order_kind_t kind, const char *model,
@@ -437,7 +437,7 @@
 }
 
 static void orders_advance(wb_engine_orders_t *orders) {
-    const wb_task_t *task = wb_task_first(&orders->tasks);
+    const wb_task_t *task = wb_engine_task_first(&orders->tasks);
     if (orders->calling || task == NULL)
         return;
     /* The leave to order is asked for beside the report. */
@@ -462,7 +462,7 @@
     }
     gboolean idle = orders->tasks.len == 0;
     gboolean first_has_begun = orders->calling || orders->settle != WB_SETTLE_NONE;
-    wb_task_queue(&orders->tasks, wb_task_create(model, adapter, wb_clock_ms()), first_has_begun);
+    wb_engine_task_enqueue(&orders->tasks, wb_engine_task_create(model, adapter, wb_clock_ms()), first_has_begun);
     if (idle && !orders->calling) {
         advance_after(orders, 0);
     }
@@ -480,7 +480,7 @@
             g_hash_table_lookup(orders->engine->state->models, orders->order_model);
         wb_engine_state_add_model(orders->state, orders->order_model, held->version);
         orders->settle = WB_SETTLE_NONE;
-        if (wb_task_first(&orders->tasks) != NULL)
+        if (wb_engine_task_first(&orders->tasks) != NULL)
             task_done(orders);
         return;
     }
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -20,7 +20,7 @@
 typedef struct wb_engine_orders_owner_t {
     gboolean (*may_act)(void *context);
     /** An order to an engine is due: 0: it may be given; above: not before so many ms; -1: soon. */
-    int64_t (*ask_order)(const char *engine, void *context);
+    int64_t (*authorize_order)(const char *engine, void *context);
     /** @return models to drop so that `model` fits, or NULL when it can't be made to fit */
     GPtrArray *(*pick_victims)(const wb_engine_state_t *state, const char *model, void *context);
     /** @return an adapter of a model to drop, as MODEL/ADAPTER, owned by the caller, or NULL */
--- a/src/control/engine_orders_state.c
+++ b/src/control/engine_orders_state.c
@@ -4,7 +4,7 @@
 
 gboolean wb_engine_orders_has(const wb_engine_orders_t *orders, const char *model,
                               const char *adapter) {
-    return wb_task_find(&orders->tasks, model, adapter) != NULL;
+    return wb_engine_task_find(&orders->tasks, model, adapter) != NULL;
 }
 
 void wb_engine_orders_each(const wb_engine_orders_t *orders,
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -8,7 +8,7 @@
 #include "control/engine_orders.h"
 #include "control/engine_task.h"
 
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 
 /* What the engine is waited for. */
 typedef enum wb_settle_t { WB_SETTLE_NONE, WB_SETTLE_LOADED, WB_SETTLE_UNLOADED } wb_settle_t;
@@ -20,7 +20,7 @@
     wb_engine_t *engine;
     wb_edge_metrics_t *metrics;
     wb_engine_orders_owner_t owner;
-    wb_http_peer_t *peer;
+    wb_http_pool_t *peer;
     wb_list_t tasks;          /* of wb_task_t; the first is under way */
     wb_engine_state_t *state; /* as believed; NULL until it was read */
     gboolean calling;
@@ -42,7 +42,7 @@
     int64_t late_told_ms; /* when gateways were last told that the load is late; 0: never */
 };
 
-/* engine_orders_late.c */
+/* engine_orders_overdue.c */
 /** The load under way goes on beyond its time. */
 void wb_engine_orders_load_is_late(wb_engine_orders_t *orders);
 /** The leave to order takes longer than a decision should: beside a slow store it is one write of
--- a/src/control/engine_task.c
+++ b/src/control/engine_task.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-wb_task_t *wb_task_create(const char *model, const char *adapter, int64_t now_ms) {
+wb_task_t *wb_engine_task_create(const char *model, const char *adapter, int64_t now_ms) {
     wb_task_t *task = g_new0(wb_task_t, 1);
     task->model = g_strdup(model);
     task->adapter = g_strdup(adapter);
@@ -11,22 +11,22 @@
     return task;
 }
 
-void wb_task_free(wb_task_t *task) {
+void wb_engine_task_free(wb_task_t *task) {
     g_free(task->model);
     g_free(task->adapter);
     g_free(task);
 }
 
-wb_task_t *wb_task_first(const wb_list_t *tasks) {
+wb_task_t *wb_engine_task_first(const wb_list_t *tasks) {
     wb_list_item_t *first = wb_list_first(tasks);
     return first != NULL ? WB_LIST_OF(first, wb_task_t, queued) : NULL;
 }
 
-wb_task_t *wb_task_pop(wb_list_t *tasks) {
+wb_task_t *wb_engine_task_pop(wb_list_t *tasks) {
     return WB_LIST_OF(wb_list_pop(tasks), wb_task_t, queued);
 }
 
-wb_task_t *wb_task_find(const wb_list_t *tasks, const char *model, const char *adapter) {
+wb_task_t *wb_engine_task_find(const wb_list_t *tasks, const char *model, const char *adapter) {
     WB_LIST_EACH(item, tasks) {
         wb_task_t *task = WB_LIST_OF(item, wb_task_t, queued);
         if (strcmp(task->model, model) == 0 && strcmp(task->adapter, adapter) == 0) {
@@ -36,7 +36,7 @@
     return NULL;
 }
 
-void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun) {
+void wb_engine_task_enqueue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun) {
     const wb_list_item_t *first = wb_list_first(tasks);
     wb_list_item_t *place = &tasks->ring;
     if (*task->adapter != '\0') {
--- a/src/control/engine_task.h
+++ b/src/control/engine_task.h
@@ -17,19 +17,19 @@
     int64_t created_ms;
 } wb_task_t;
 
-wb_task_t *wb_task_create(const char *model, const char *adapter, int64_t now_ms);
+wb_task_t *wb_engine_task_create(const char *model, const char *adapter, int64_t now_ms);
 /** Free a task that is on no list. */
-void wb_task_free(wb_task_t *task);
+void wb_engine_task_free(wb_task_t *task);
 /** @return the first task, which stays; NULL when there is none */
-wb_task_t *wb_task_first(const wb_list_t *tasks);
+wb_task_t *wb_engine_task_first(const wb_list_t *tasks);
 /** Take the first task out; there must be one. */
-wb_task_t *wb_task_pop(wb_list_t *tasks);
+wb_task_t *wb_engine_task_pop(wb_list_t *tasks);
 /** @return the task for a model or adapter, or NULL */
-wb_task_t *wb_task_find(const wb_list_t *tasks, const char *model, const char *adapter);
+wb_task_t *wb_engine_task_find(const wb_list_t *tasks, const char *model, const char *adapter);
 /**
  * Put a task where it belongs: adapters come in moments, so they go before models.
  * @param first_has_begun the first task is under way and stays first
  */
-void wb_task_queue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun);
+void wb_engine_task_enqueue(wb_list_t *tasks, wb_task_t *task, gboolean first_has_begun);
 
 #endif
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -74,7 +74,7 @@
     wb_lease_t *lease = g_new0(wb_lease_t, 1);
     lease->settings = *settings;
     lease->version = -1;
-    lease->grants = wb_lease_grants_create(settings->quiet_ms + settings->margin_ms);
+    lease->grants = wb_lease_grants_create(settings->handover_interval_ms + settings->margin_ms);
     lease->spread_ms = settings->spread_ms;
     lease->takeover_share = g_random_double();
     lease->beat = ((uint64_t)g_random_int() << 24) + 1;
@@ -101,7 +101,7 @@
 /* The row is as this process wrote it at some time. */
 static void own_row_take(wb_lease_t *lease, int64_t sent_ms) {
     lease->own_token = lease->known.token;
-    wb_lease_grants_written(lease->grants, lease->known.beat);
+    wb_lease_grants_on_written(lease->grants, lease->known.beat);
     if (lease->known.released)
         lease->given_up = TRUE;
     else if (!lease->releasing)
@@ -116,7 +116,7 @@
 
 void wb_lease_on_row(wb_lease_t *lease, const wb_lease_row_t *row, int64_t version,
                      int64_t now_ms) {
-    if (version == lease->version && row != NULL && row->grants_known) {
+    if (version == lease->version && row != NULL && row->has_grants) {
         /* Another node told of this row before, in short; now the store has shown it whole. */
         wb_lease_row_copy(&lease->known, row);
         return;
@@ -167,18 +167,18 @@
 static void takeover_begin(wb_lease_t *lease, int64_t now_ms) {
     const wb_lease_settings_t *settings = &lease->settings;
     gboolean anybody = lease->known.holder != NULL;
-    gboolean named = lease->known.grants_known && !lease->known.any_granted;
-    lease->predecessor.engines_most = named ? lease->known.granted_count : G_MAXUINT;
+    gboolean named = lease->known.has_grants && !lease->known.grants_unlisted;
+    lease->predecessor.max_ordered_engines = named ? lease->known.granted_count : G_MAXUINT;
     wb_lease_grants_begin(
         lease->grants, anybody ? &lease->known : NULL, is_own(lease, &lease->known),
-        holder_acts_until_ms(lease) + settings->quiet_ms + settings->margin_ms, now_ms);
+        holder_acts_until_ms(lease) + settings->handover_interval_ms + settings->margin_ms, now_ms);
 }
 
 int64_t wb_lease_takeover_at_ms(const wb_lease_t *lease) {
     return lease->version < 0 ? 0 : takeover_at_ms(lease);
 }
 
-int64_t wb_lease_changed_ms(const wb_lease_t *lease) {
+int64_t wb_lease_row_changed_ms(const wb_lease_t *lease) {
     return lease->version_since_ms;
 }
 
@@ -186,7 +186,7 @@
     if (lease->writing || lease->version < 0 || now_ms < lease->retry_at_ms)
         return FALSE;
     if (is_holding(lease))
-        return lease->releasing || wb_lease_grants_is_short(lease->grants) ||
+        return lease->releasing || wb_lease_grants_has_pending(lease->grants) ||
                now_ms - lease->last_write_ms >= lease->settings.renew_ms;
     if (lease->releasing || lease->given_up)
         return FALSE;
@@ -209,7 +209,7 @@
         next.token = MAX(lease->known.token, lease->own_token) + 1;
         takeover_begin(lease, now_ms);
     }
-    wb_lease_grants_write(lease->grants, &next, now_ms);
+    wb_lease_grants_fill_row(lease->grants, &next, now_ms);
     wb_lease_row_copy(&lease->written, &next);
     lease->written_expected = lease->version;
     lease->written_sent_ms = now_ms;
@@ -245,7 +245,7 @@
     lease->last_write_ms = now_ms - lease->settings.renew_ms;
 }
 
-void wb_lease_on_unknown(wb_lease_t *lease, int64_t now_ms) {
+void wb_lease_on_write_unknown(wb_lease_t *lease, int64_t now_ms) {
     /* The same condition guards the next try; only one of the two can count. The pause runs from
      * when the write was sent: after a timeout the next try follows at once, but not when the store
      * resets each connection. */
@@ -253,8 +253,8 @@
     lease->retry_at_ms -= now_ms - lease->written_sent_ms;
 }
 
-int64_t wb_lease_ask_order(wb_lease_t *lease, const char *engine, int64_t now_ms) {
-    return wb_lease_grants_ask(lease->grants, engine, now_ms);
+int64_t wb_lease_authorize_order(wb_lease_t *lease, const char *engine, int64_t now_ms) {
+    return wb_lease_grants_request(lease->grants, engine, now_ms);
 }
 
 int64_t wb_lease_blocked_ms(const wb_lease_t *lease, const char *engine, int64_t now_ms) {
@@ -273,7 +273,7 @@
     return lease->own_token;
 }
 
-const wb_lease_row_t *wb_lease_known(const wb_lease_t *lease) {
+const wb_lease_row_t *wb_lease_known_row(const wb_lease_t *lease) {
     return lease->known.holder != NULL ? &lease->known : NULL;
 }
 
@@ -285,12 +285,12 @@
     return &lease->predecessor;
 }
 
-void wb_lease_set_spread(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms) {
+void wb_lease_set_takeover_delay(wb_lease_t *lease, int64_t first_ms, int64_t spread_ms) {
     lease->first_ms = first_ms;
     lease->spread_ms = spread_ms;
 }
 
-void wb_lease_store_back(wb_lease_t *lease, int64_t now_ms) {
+void wb_lease_on_store_recovered(wb_lease_t *lease, int64_t now_ms) {
     lease->holder_first_ms = now_ms + HOLDER_FIRST_RENEWALS * lease->settings.renew_ms;
 }
 
@@ -298,6 +298,6 @@
     lease->releasing = TRUE;
 }
 
-gboolean wb_lease_is_owed(const wb_lease_t *lease) {
+gboolean wb_lease_release_is_pending(const wb_lease_t *lease) {
     return lease->releasing && is_holding(lease);
 }
--- a/src/control/lease_grants.c
+++ b/src/control/lease_grants.c
@@ -14,7 +14,7 @@
 } wb_grant_t;
 
 struct wb_lease_grants_t {
-    int64_t quiet_ms;
+    int64_t handover_interval_ms;
     GHashTable *engines;    /* id -> wb_grant_t */
     int64_t all_blocked_ms; /* until then any engine may have been ordered by another */
     uint64_t written_beat;  /* newest own row that is known to be in the store */
@@ -23,9 +23,9 @@
     GPtrArray *dropped; /* names that left `engines` and that the last row may still borrow */
 };
 
-wb_lease_grants_t *wb_lease_grants_create(int64_t quiet_ms) {
+wb_lease_grants_t *wb_lease_grants_create(int64_t handover_interval_ms) {
     wb_lease_grants_t *grants = g_new0(wb_lease_grants_t, 1);
-    grants->quiet_ms = quiet_ms;
+    grants->handover_interval_ms = handover_interval_ms;
     grants->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     grants->granted = g_ptr_array_new();
     grants->inherited = g_ptr_array_new();
@@ -72,7 +72,7 @@
     if (row == NULL) {
         return;
     }
-    if (!row->grants_known || row->any_granted) {
+    if (!row->has_grants || row->grants_unlisted) {
         grants->all_blocked_ms = until_ms;
         return;
     }
@@ -93,7 +93,7 @@
     return MAX(until_ms - now_ms, 0);
 }
 
-int64_t wb_lease_grants_ask(wb_lease_grants_t *grants, const char *engine, int64_t now_ms) {
+int64_t wb_lease_grants_request(wb_lease_grants_t *grants, const char *engine, int64_t now_ms) {
     wb_grant_t *grant = grant_get(grants, engine);
     grant->asked_ms = now_ms;
     int64_t blocked_ms = wb_lease_grants_blocked_ms(grants, engine, now_ms);
@@ -103,7 +103,7 @@
     return grant->beat != 0 && grant->beat <= grants->written_beat ? 0 : -1;
 }
 
-gboolean wb_lease_grants_is_short(const wb_lease_grants_t *grants) {
+gboolean wb_lease_grants_has_pending(const wb_lease_grants_t *grants) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, grants->engines);
@@ -127,7 +127,7 @@
     const wb_grant_t *grant = value;
     wb_quiet_scene_t *scene = context;
     gboolean asked =
-        grant->asked_ms != 0 && scene->now_ms - grant->asked_ms < scene->grants->quiet_ms;
+        grant->asked_ms != 0 && scene->now_ms - grant->asked_ms < scene->grants->handover_interval_ms;
     if (asked || scene->now_ms < grant->blocked_ms) {
         return FALSE;
     }
@@ -135,7 +135,7 @@
     return TRUE;
 }
 
-void wb_lease_grants_write(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms) {
+void wb_lease_grants_fill_row(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms) {
     names_clear(grants);
     wb_quiet_scene_t scene = {grants, now_ms};
     g_hash_table_foreach_remove(grants->engines, engine_is_quiet, &scene);
@@ -154,15 +154,15 @@
             g_ptr_array_add(grants->granted, name);
         }
     }
-    row->grants_known = TRUE;
-    row->any_granted =
+    row->has_grants = TRUE;
+    row->grants_unlisted =
         now_ms < grants->all_blocked_ms || g_hash_table_size(grants->engines) > NAMES_LIMIT;
-    row->granted = row->any_granted ? NULL : (char **)grants->granted->pdata;
-    row->granted_count = row->any_granted ? 0 : grants->granted->len;
-    row->inherited = row->any_granted ? NULL : (char **)grants->inherited->pdata;
-    row->inherited_count = row->any_granted ? 0 : grants->inherited->len;
+    row->granted = row->grants_unlisted ? NULL : (char **)grants->granted->pdata;
+    row->granted_count = row->grants_unlisted ? 0 : grants->granted->len;
+    row->inherited = row->grants_unlisted ? NULL : (char **)grants->inherited->pdata;
+    row->inherited_count = row->grants_unlisted ? 0 : grants->inherited->len;
 }
 
-void wb_lease_grants_written(wb_lease_grants_t *grants, uint64_t beat) {
+void wb_lease_grants_on_written(wb_lease_grants_t *grants, uint64_t beat) {
     grants->written_beat = MAX(grants->written_beat, beat);
 }
--- a/src/control/lease_grants.h
+++ b/src/control/lease_grants.h
@@ -17,8 +17,8 @@
 
 typedef struct wb_lease_grants_t wb_lease_grants_t;
 
-/** @param quiet_ms time after its last order for which an engine is named, with all margins */
-wb_lease_grants_t *wb_lease_grants_create(int64_t quiet_ms);
+/** @param handover_interval_ms time after its last order for which an engine is named, with all margins */
+wb_lease_grants_t *wb_lease_grants_create(int64_t handover_interval_ms);
 void wb_lease_grants_free(wb_lease_grants_t *grants);
 
 /**
@@ -35,16 +35,16 @@
  * @return 0: it may be ordered now; above: not before so many ms; -1: not before the next row is
  * written
  */
-int64_t wb_lease_grants_ask(wb_lease_grants_t *grants, const char *engine, int64_t now_ms);
+int64_t wb_lease_grants_request(wb_lease_grants_t *grants, const char *engine, int64_t now_ms);
 /** @return ms for which the engine must be left alone, as another may have ordered it lately */
 int64_t wb_lease_grants_blocked_ms(const wb_lease_grants_t *grants, const char *engine,
                                    int64_t now_ms);
 /** @return TRUE when an engine is asked for that no row names yet */
-gboolean wb_lease_grants_is_short(const wb_lease_grants_t *grants);
+gboolean wb_lease_grants_has_pending(const wb_lease_grants_t *grants);
 
 /** Fill in the engines of a row that is about to be written; the names are owned by the grants. */
-void wb_lease_grants_write(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms);
+void wb_lease_grants_fill_row(wb_lease_grants_t *grants, wb_lease_row_t *row, int64_t now_ms);
 /** An own row is in the store. */
-void wb_lease_grants_written(wb_lease_grants_t *grants, uint64_t beat);
+void wb_lease_grants_on_written(wb_lease_grants_t *grants, uint64_t beat);
 
 #endif
--- a/src/control/load_pace.c
+++ b/src/control/load_concurrency.c
@@ -1,5 +1,5 @@
 /* How many loads from the weight store are worth having under way at once. */
-#include "control/load_pace.h"
+#include "control/load_concurrency.h"
 
 #include <math.h>
 
@@ -14,23 +14,23 @@
 #define TIMELY 1.25
 #define SLOW 1.5
 
-gboolean wb_load_pace_is_late(int64_t nominal_ms) {
+gboolean wb_load_exceeds_client_timeout(int64_t nominal_ms) {
     return nominal_ms > PATIENCE_MS;
 }
 
-unsigned wb_load_pace_limit(const wb_load_pace_t *pace, int64_t nominal_ms) {
+unsigned wb_load_concurrency_limit(const wb_load_concurrency_t *pace, int64_t nominal_ms) {
     if (pace->limit > 0) {
         return (unsigned)MAX(pace->limit, 1);
     }
-    return wb_load_pace_is_late(nominal_ms) ? 1 : (unsigned)FIRST_LIMIT;
+    return wb_load_exceeds_client_timeout(nominal_ms) ? 1 : (unsigned)FIRST_LIMIT;
 }
 
-void wb_load_pace_note(wb_load_pace_t *pace, unsigned at_once, int64_t took_ms,
+void wb_load_concurrency_record(wb_load_concurrency_t *pace, unsigned at_once, int64_t took_ms,
                        int64_t nominal_ms) {
     if (at_once == 0 || took_ms <= 0 || nominal_ms <= 0) {
         return;
     }
-    double limit = wb_load_pace_limit(pace, nominal_ms);
+    double limit = wb_load_concurrency_limit(pace, nominal_ms);
     double times = (double)took_ms / (double)nominal_ms;
     if (times < TIMELY && at_once >= limit) {
         limit += 1;
--- a/src/control/load_faults.c
+++ b/src/control/load_faults.c
@@ -26,7 +26,7 @@
     return g_strjoin("/", service, model, NULL);
 }
 
-guint wb_load_faults_crashed(wb_load_faults_t *faults, const char *service, const char *model,
+guint wb_load_faults_record_crash(wb_load_faults_t *faults, const char *service, const char *model,
                              int64_t now_ms) {
     g_autofree char *key = key_of(service, model);
     wb_load_fault_t *fault = g_hash_table_lookup(faults->models, key);
@@ -35,15 +35,15 @@
         g_hash_table_insert(faults->models, g_steal_pointer(&key), fault);
     }
     fault->engines++;
-    if (fault->engines >= WB_LOAD_FAULTS_MOST) {
+    if (fault->engines >= WB_LOAD_FAULTS_MAX_CRASHES) {
         fault->pause_ms =
-            CLAMP(2 * fault->pause_ms, WB_LOAD_FAULTS_PAUSE_MS, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
+            CLAMP(2 * fault->pause_ms, WB_LOAD_FAULTS_BACKOFF_MIN_MS, WB_LOAD_FAULTS_BACKOFF_MAX_MS);
         fault->until_ms = now_ms + fault->pause_ms;
     }
     return fault->engines;
 }
 
-void wb_load_faults_loaded(wb_load_faults_t *faults, const char *service, const char *model) {
+void wb_load_faults_record_success(wb_load_faults_t *faults, const char *service, const char *model) {
     if (!wb_load_faults_any(faults)) {
         return;
     }
@@ -55,7 +55,7 @@
     return g_hash_table_size(faults->models) > 0;
 }
 
-int64_t wb_load_faults_paused_ms(const wb_load_faults_t *faults, const char *service,
+int64_t wb_load_faults_backoff_ms(const wb_load_faults_t *faults, const char *service,
                                  const char *model, int64_t now_ms) {
     if (!wb_load_faults_any(faults)) {
         return 0;
--- a/src/control/load_queue.c
+++ b/src/control/load_queue.c
@@ -1,7 +1,7 @@
 /* In which order missing models are loaded, and when the last in line are there. */
 #include "control/load_queue.h"
 
-gint wb_load_queue_order(gconstpointer left, gconstpointer right) {
+gint wb_load_queue_compare(gconstpointer left, gconstpointer right) {
     const wb_missing_model_t *a = left;
     const wb_missing_model_t *b = right;
     if (a->missed != b->missed) {
--- a/src/control/load_queue.h
+++ b/src/control/load_queue.h
@@ -23,7 +23,7 @@
 
 /** Order of loading: most missed first, then by the time left to those that wait. For
  * g_array_sort. */
-gint wb_load_queue_order(gconstpointer left, gconstpointer right);
+gint wb_load_queue_compare(gconstpointer left, gconstpointer right);
 
 /**
  * When a model that waits for its turn at the weight store should be there.
--- a/src/control/load_window.c
+++ b/src/control/load_window.c
@@ -31,7 +31,7 @@
     window->most_burst = MAX((unsigned)most_burst, 1);
 }
 
-void wb_load_window_assume(wb_load_window_t *window, unsigned told, unsigned untold_most,
+void wb_load_window_add_predecessor(wb_load_window_t *window, unsigned told, unsigned untold_most,
                            int64_t until_ms) {
     window->assumed = MIN(told + MIN(window->most_burst, untold_most), window->most);
     window->assumed_ms = until_ms;
@@ -47,19 +47,19 @@
     return counted;
 }
 
-unsigned wb_load_window_counted(const wb_load_window_t *window, int64_t now_ms) {
+unsigned wb_load_window_used(const wb_load_window_t *window, int64_t now_ms) {
     gboolean assumed = window->assumed_ms > now_ms - window->window_ms;
     return counted_since(window, now_ms - window->window_ms) + (assumed ? window->assumed : 0);
 }
 
-gboolean wb_load_window_has_room(const wb_load_window_t *window, int64_t now_ms) {
+gboolean wb_load_window_allows(const wb_load_window_t *window, int64_t now_ms) {
     if (window->most == 0)
         return TRUE;
-    return wb_load_window_counted(window, now_ms) < window->most &&
+    return wb_load_window_used(window, now_ms) < window->most &&
            counted_since(window, now_ms - window->burst_ms) < window->most_burst;
 }
 
-void wb_load_window_count(wb_load_window_t *window, int64_t now_ms) {
+void wb_load_window_record(wb_load_window_t *window, int64_t now_ms) {
     while (window->began->len > 0 &&
            g_array_index(window->began, int64_t, 0) <= now_ms - window->window_ms)
         g_array_remove_index(window->began, 0);
--- a/src/control/load_window.h
+++ b/src/control/load_window.h
@@ -20,12 +20,12 @@
  * The shorter window takes only one's own loads: each holder keeps to it by itself.
  * @param untold_most it can't have begun more than so many without telling
  */
-void wb_load_window_assume(wb_load_window_t *window, unsigned told, unsigned untold_most,
+void wb_load_window_add_predecessor(wb_load_window_t *window, unsigned told, unsigned untold_most,
                            int64_t until_ms);
 /** @return loads counted in the window */
-unsigned wb_load_window_counted(const wb_load_window_t *window, int64_t now_ms);
+unsigned wb_load_window_used(const wb_load_window_t *window, int64_t now_ms);
 /** @return TRUE when one more load may begin now */
-gboolean wb_load_window_has_room(const wb_load_window_t *window, int64_t now_ms);
-void wb_load_window_count(wb_load_window_t *window, int64_t now_ms);
+gboolean wb_load_window_allows(const wb_load_window_t *window, int64_t now_ms);
+void wb_load_window_record(wb_load_window_t *window, int64_t now_ms);
 
 #endif
--- a/src/control/placement.c
+++ b/src/control/placement.c
@@ -135,7 +135,7 @@
 }
 
 /* Mean delay of a model's requests when so many engines share them. */
-static double delay_ms(const wb_model_use_t *use, double engines, const wb_engine_power_t *power) {
+static double delay_ms(const wb_model_use_t *use, double engines, const wb_engine_capacity_t *power) {
     return reading_delay_ms(use, engines, power->tokens_per_ms) +
            slots_delay_ms(use, engines, power->slots);
 }
@@ -311,7 +311,7 @@
 static double running_cost_ms(const wb_placement_snapshot_t *snapshot, const wb_model_use_t *use,
                               double speed) {
     double rate = use->rate_per_s / (use->replicas + use->in_loading + 1);
-    double beyond = rate - snapshot->place_rate_per_s;
+    double beyond = rate - snapshot->replica_rate_per_s;
     double own_ms = use->replicas > 0 ? run_ms(use) : 0;
     return beyond * HORIZON_S * own_ms * (1 / speed_or_usual(speed) - 1);
 }
@@ -322,7 +322,7 @@
     wb_placement_engine_t *best = NULL;
     guint len = snapshot->engines->len;
     guint judged = 0;
-    for (guint i = 0; i < len && judged < WB_PLACES_JUDGED; i++) {
+    for (guint i = 0; i < len && judged < WB_PLACEMENT_MAX_CANDIDATES; i++) {
         wb_placement_engine_t *place =
             &g_array_index(snapshot->engines, wb_placement_engine_t, (snapshot->first + i) % len);
         if (!place->available || place->in_need ||
@@ -333,7 +333,7 @@
         double victims_ms;
         gboolean from_store;
         double load_ms = wb_placement_load_ms(model, place->state, &from_store);
-        if (from_store && snapshot->store_room == 0)
+        if (from_store && snapshot->store_loads_allowed == 0)
             continue;
         judged++;
         if (!room_cost(snapshot, place, model, &victims_ms))
@@ -350,20 +350,20 @@
     return best;
 }
 
-unsigned wb_placement_wanted(const wb_model_use_t *use, const wb_engine_power_t *power) {
+unsigned wb_placement_wanted_replicas(const wb_model_use_t *use, const wb_engine_capacity_t *power) {
     double work = MAX(use->work_per_s, use->recent_work_per_s);
     double by_work = work / (power->tokens_per_ms * 1000.0 * READING_SHARE);
     double by_slots = power->slots > 0 ? use->running / (SLOTS_SHARE * power->slots) : 0;
     return (unsigned)ceil(MAX(by_work, by_slots));
 }
 
-double wb_placement_speed(const wb_model_use_t *use) {
+double wb_placement_total_speed(const wb_model_use_t *use) {
     double held = use->speed > 0 ? use->speed : use->replicas;
     double loading = use->loading_speed > 0 ? use->loading_speed : use->in_loading;
     return held + loading;
 }
 
-double wb_placement_fastest(const wb_placement_snapshot_t *snapshot) {
+double wb_placement_max_speed(const wb_placement_snapshot_t *snapshot) {
     double fastest = 0;
     for (guint i = 0; i < snapshot->engines->len; i++) {
         const wb_placement_engine_t *place =
@@ -373,25 +373,25 @@
     return fastest;
 }
 
-gboolean wb_placement_is_slow(const wb_model_use_t *use, double fastest) {
+gboolean wb_placement_engines_are_slow(const wb_model_use_t *use, double fastest) {
     unsigned engines = use->replicas + use->in_loading;
-    return engines > 0 && wb_placement_speed(use) / engines < SLOW_SHARE * fastest;
+    return engines > 0 && wb_placement_total_speed(use) / engines < SLOW_SHARE * fastest;
 }
 
-double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_power_t *power,
+double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                             double speed) {
     double engines = MAX(use->replicas + use->in_loading, 1);
-    double now = MAX(wb_placement_speed(use), 0.1);
+    double now = MAX(wb_placement_total_speed(use), 0.1);
     double then = now + speed_or_usual(speed);
     double saved_ms = delay_ms(use, now, power) - delay_ms(use, then, power);
     saved_ms += shared_run_ms(use, engines, now) - shared_run_ms(use, engines + 1, then);
     return use->rate_per_s * HORIZON_S * saved_ms;
 }
 
-double wb_placement_store_price_ms(const wb_model_spec_t *model) {
+double wb_placement_store_load_cost_ms(const wb_model_spec_t *model) {
     return LOAD_PRICE * (double)model->store_load_ms;
 }
 
-double wb_placement_load_price_ms(const wb_model_spec_t *model, const wb_engine_state_t *state) {
+double wb_placement_load_cost_ms(const wb_model_spec_t *model, const wb_engine_state_t *state) {
     return LOAD_PRICE * wb_placement_load_ms(model, state, NULL);
 }
--- a/src/control/placement.h
+++ b/src/control/placement.h
@@ -44,19 +44,19 @@
 } wb_placement_engine_t;
 
 /** What one engine does. */
-typedef struct wb_engine_power_t {
+typedef struct wb_engine_capacity_t {
     double tokens_per_ms; /**< prompt tokens that it reads in a millisecond */
     unsigned slots;       /**< requests that it runs at once; 0: not known */
-} wb_engine_power_t;
+} wb_engine_capacity_t;
 
 /** A choice of a place judges so many engines at most, from a random one on. Judging one takes 2
  * us, so among 10,000 a choice would take 20 ms, and 600 models wait at a start. The best of 512 is
  * among the best 0.6 in 100 of all in 19 of 20 choices. Fleets of up to so many are judged whole.
  */
-#define WB_PLACES_JUDGED 512
+#define WB_PLACEMENT_MAX_CANDIDATES 512
 
 /** Says whether an engine is about to load a model. */
-typedef gboolean (*wb_placement_loading_fn)(const wb_engine_t *engine, const char *model,
+typedef gboolean (*wb_placement_is_loading_fn)(const wb_engine_t *engine, const char *model,
                                             void *context);
 
 typedef struct wb_placement_snapshot_t {
@@ -64,10 +64,10 @@
     GArray *engines;                    /**< of wb_placement_engine_t */
     guint first;                        /**< engine that a choice among them begins at */
     GHashTable *uses;                   /**< model -> wb_model_use_t */
-    wb_engine_power_t power;            /**< what an engine does */
-    double place_rate_per_s;            /**< requests for a replica, on average over all */
-    unsigned store_room;                /**< loads from the weight store that may begin now */
-    wb_placement_loading_fn is_loading; /**< NULL: none loads anything */
+    wb_engine_capacity_t power;            /**< what an engine does */
+    double replica_rate_per_s;            /**< requests for a replica, on average over all */
+    unsigned store_loads_allowed;                /**< loads from the weight store that may begin now */
+    wb_placement_is_loading_fn is_loading; /**< NULL: none loads anything */
     void *context;                      /**< of is_loading */
 } wb_placement_snapshot_t;
 
@@ -104,18 +104,18 @@
                                            double *victim_cost_ms);
 
 /** Engines that a model's measured work asks for, by its prompts and by what runs. */
-unsigned wb_placement_wanted(const wb_model_use_t *use, const wb_engine_power_t *power);
+unsigned wb_placement_wanted_replicas(const wb_model_use_t *use, const wb_engine_capacity_t *power);
 
 /** @return speeds of the engines that hold a model or load it, together */
-double wb_placement_speed(const wb_model_use_t *use);
+double wb_placement_total_speed(const wb_model_use_t *use);
 
 /** @return speed of the service's fastest engine that can take a model */
-double wb_placement_fastest(const wb_placement_snapshot_t *snapshot);
+double wb_placement_max_speed(const wb_placement_snapshot_t *snapshot);
 
 /** @return TRUE when a model's engines are slower on average than the fastest by so much that one
  * more at a fast one may be worth its load, though they could read its prompts
- * @param fastest as wb_placement_fastest gives it */
-gboolean wb_placement_is_slow(const wb_model_use_t *use, double fastest);
+ * @param fastest as wb_placement_max_speed gives it */
+gboolean wb_placement_engines_are_slow(const wb_model_use_t *use, double fastest);
 
 /**
  * What one more engine of a speed would save a model's requests, in ms, over the time that its
@@ -124,13 +124,13 @@
  * engine's reading fills up; that for a place among those that run is Sakasegawa's approximation of
  * a queue with many servers (1977).
  */
-double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_power_t *power,
+double wb_placement_gain_ms(const wb_model_use_t *use, const wb_engine_capacity_t *power,
                             double speed);
 
-/** As wb_placement_load_price_ms, for a load from the weight store. */
-double wb_placement_store_price_ms(const wb_model_spec_t *model);
+/** As wb_placement_load_cost_ms, for a load from the weight store. */
+double wb_placement_store_load_cost_ms(const wb_model_spec_t *model);
 
 /** What a load costs all others, in ms, besides what it displaces. */
-double wb_placement_load_price_ms(const wb_model_spec_t *model, const wb_engine_state_t *state);
+double wb_placement_load_cost_ms(const wb_model_spec_t *model, const wb_engine_state_t *state);
 
 #endif
--- a/src/control/store_turns.h
+++ b/src/control/store_fairness.h
@@ -1,5 +1,5 @@
 /**
- * @file store_turns.h
+ * @file store_fairness.h
  * @brief Who loads next from a slow weight store: a model that no engine holds, or one more replica
  * of a busy one.
  *
@@ -9,31 +9,31 @@
  * its second. So they take turns while the replica gains more: no kind is put off by more than one
  * load. Pure.
  */
-#ifndef WICKBRIDGE_STORE_TURNS_H
-#define WICKBRIDGE_STORE_TURNS_H
+#ifndef WICKBRIDGE_STORE_FAIRNESS_H
+#define WICKBRIDGE_STORE_FAIRNESS_H
 
 #include <glib.h>
 #include <stdint.h>
 
 /** Zeroed: nothing was loaded. */
-typedef struct wb_store_turns_t {
+typedef struct wb_store_fairness_t {
     double wished_ms; /* what the replica gains that only lacks the store */
     int64_t wished_at_ms;
     gboolean was_missing; /* the last load was a missing model's */
-} wb_store_turns_t;
+} wb_store_fairness_t;
 
 /** A replica would be loaded, had the store room. @param gain_ms what its requests gain */
-void wb_store_turns_wish(wb_store_turns_t *turns, double gain_ms, int64_t now_ms);
+void wb_store_fairness_request_replica(wb_store_fairness_t *turns, double gain_ms, int64_t now_ms);
 /** @return TRUE when some replica only lacks the store */
-gboolean wb_store_turns_is_wished(const wb_store_turns_t *turns, int64_t now_ms);
+gboolean wb_store_fairness_replica_pending(const wb_store_fairness_t *turns, int64_t now_ms);
 /**
  * @param gain_ms  what requests for the missing model gain
  * @param load_ms  what a load takes
  * @return FALSE while a replica's turn is next
  */
-gboolean wb_store_turns_missing_may(const wb_store_turns_t *turns, double gain_ms, int64_t load_ms,
+gboolean wb_store_fairness_may_load_missing(const wb_store_fairness_t *turns, double gain_ms, int64_t load_ms,
                                     int64_t now_ms);
 /** A load from the store was ordered. */
-void wb_store_turns_loaded(wb_store_turns_t *turns, gboolean is_missing);
+void wb_store_fairness_record_load(wb_store_fairness_t *turns, gboolean is_missing);
 
 #endif
--- a/src/control/table_watch.c
+++ b/src/control/table_watch.c
@@ -36,7 +36,7 @@
     wb_loop_t *loop;
     wb_table_t *table;
     wb_table_name_t name;
-    wb_table_pace_t pace;
+    wb_table_watch_intervals_t pace;
     wb_table_watch_events_t events;
     wb_watch_state_t state;
     unsigned rows_most;   /* 0: no limit */
@@ -177,7 +177,7 @@
         return due;
     int64_t safety_ms = (int64_t)((double)watch->pace.safety_ms * watch->spread);
     int64_t vouched_until_ms =
-        MIN(watch->vouched_ms + watch->pace.trust_ms, watch->asked_ms + safety_ms);
+        MIN(watch->vouched_ms + watch->pace.peer_read_valid_ms, watch->asked_ms + safety_ms);
     return MAX(due, vouched_until_ms);
 }
 
@@ -199,8 +199,8 @@
     watch->state = WB_WATCH_FOLLOWING;
     watch->events.on_batch(TRUE, watch->events.context);
     /* An empty table is about to be filled. */
-    int64_t trust_ms = watch->newest_row > 0 ? watch->pace.read_trust_ms : 0;
-    int64_t fresh_until_ms = watch->read_began_ms + trust_ms;
+    int64_t peer_read_valid_ms = watch->newest_row > 0 ? watch->pace.full_read_valid_ms : 0;
+    int64_t fresh_until_ms = watch->read_began_ms + peer_read_valid_ms;
     ask_after(watch, MAX(due_ms(watch), fresh_until_ms) - wb_clock_ms());
 }
 
@@ -228,7 +228,7 @@
 static void large_begin(wb_table_watch_t *watch) {
     read_begin(watch); /* nothing of a read under way is kept meanwhile */
     watch->state = WB_WATCH_LARGE;
-    watch->events.on_large(watch->events.context);
+    watch->events.on_row_limit(watch->events.context);
 }
 
 static void page_answered(const wb_table_answer_t *answer, void *context) {
@@ -268,8 +268,8 @@
 static void changes_answered(const wb_table_answer_t *answer, void *context) {
     wb_table_watch_t *watch = context;
     watch->asking = FALSE;
-    call_note(watch, answer->outcome == WB_TABLE_DONE || answer->outcome == WB_TABLE_HISTORY_GONE);
-    if (answer->outcome == WB_TABLE_HISTORY_GONE) {
+    call_note(watch, answer->outcome == WB_TABLE_DONE || answer->outcome == WB_TABLE_HISTORY_EXPIRED);
+    if (answer->outcome == WB_TABLE_HISTORY_EXPIRED) {
         read_begin(watch);
         ask_after(watch, READ_AGAIN_MS);
         return;
@@ -304,16 +304,16 @@
 /* Why a call is made now; the one before began at asked_ms. */
 static wb_store_cause_t cause_of(const wb_table_watch_t *watch, int64_t now_ms) {
     if (watch->state == WB_WATCH_READING)
-        return WB_STORE_CAUSE_READ;
+        return WB_STORE_CAUSE_FULL_READ;
     if (watch->retry_ms != 0)
         return WB_STORE_CAUSE_RETRY;
     if (watch->vouched_ms == 0)
-        return WB_STORE_CAUSE_PACE;
+        return WB_STORE_CAUSE_POLL;
     if (watch->look_since_ms != 0)
-        return WB_STORE_CAUSE_LOOK;
-    if (now_ms >= watch->vouched_ms + watch->pace.trust_ms)
-        return WB_STORE_CAUSE_LAPSED;
-    return now_ms < due_ms(watch) ? WB_STORE_CAUSE_HURRY : WB_STORE_CAUSE_SAFETY;
+        return WB_STORE_CAUSE_CHANGE;
+    if (now_ms >= watch->vouched_ms + watch->pace.peer_read_valid_ms)
+        return WB_STORE_CAUSE_STALE;
+    return now_ms < due_ms(watch) ? WB_STORE_CAUSE_EXPEDITED : WB_STORE_CAUSE_SAFETY;
 }
 
 static void watch_ask(void *context) {
@@ -326,7 +326,7 @@
     if (watch->state == WB_WATCH_FOLLOWING) {
         /* Who looks, or tries again, wants to know now, also that nothing has changed. */
         gboolean at_once =
-            watch->cause == WB_STORE_CAUSE_LOOK || watch->cause == WB_STORE_CAUSE_RETRY;
+            watch->cause == WB_STORE_CAUSE_CHANGE || watch->cause == WB_STORE_CAUSE_RETRY;
         int64_t wait_ms = at_once ? 0 : watch->pace.wait_ms;
         watch->table->changes(watch->table, watch->name, watch->version, wait_ms, changes_answered,
                               watch);
@@ -340,7 +340,7 @@
 }
 
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
-                                        const wb_table_pace_t *pace,
+                                        const wb_table_watch_intervals_t *pace,
                                         const wb_table_watch_events_t *events) {
     wb_table_watch_t *watch = g_new0(wb_table_watch_t, 1);
     watch->loop = loop;
@@ -358,11 +358,11 @@
     return watch;
 }
 
-void wb_table_watch_limit(wb_table_watch_t *watch, unsigned rows) {
+void wb_table_watch_set_row_limit(wb_table_watch_t *watch, unsigned rows) {
     watch->rows_most = rows;
 }
 
-void wb_table_watch_go_on(wb_table_watch_t *watch) {
+void wb_table_watch_read_all(wb_table_watch_t *watch) {
     if (watch->state == WB_WATCH_LARGE || watch->state == WB_WATCH_PART) {
         watch->rows_most = 0;
         watch->tells_again = TRUE;
@@ -371,7 +371,7 @@
     }
 }
 
-void wb_table_watch_follow_part(wb_table_watch_t *watch) {
+void wb_table_watch_follow_subset(wb_table_watch_t *watch) {
     g_assert(watch->state == WB_WATCH_LARGE);
     read_begin(watch);
     g_hash_table_remove_all(watch->versions);
@@ -379,7 +379,7 @@
     watch->synced = TRUE;
 }
 
-void wb_table_watch_hurry(wb_table_watch_t *watch) {
+void wb_table_watch_expedite(wb_table_watch_t *watch) {
     watch->hurried = TRUE;
     if (watch->asking || watch->state != WB_WATCH_FOLLOWING || watch->timer == NULL ||
         watch->retry_ms != 0)
@@ -388,7 +388,7 @@
     ask_after(watch, watch->asked_ms + HURRY_PAUSE_MS - wb_clock_ms());
 }
 
-void wb_table_watch_wake(wb_table_watch_t *watch) {
+void wb_table_watch_retry_now(wb_table_watch_t *watch) {
     if (watch->retry_ms == 0 || watch->asking || watch->timer == NULL)
         return;
     watch->retry_ms = RETRY_MS;
@@ -402,19 +402,19 @@
         ask_after(watch, due_ms(watch) - wb_clock_ms());
 }
 
-void wb_table_watch_set_pace(wb_table_watch_t *watch, const wb_table_pace_t *pace) {
+void wb_table_watch_set_intervals(wb_table_watch_t *watch, const wb_table_watch_intervals_t *pace) {
     if (memcmp(&watch->pace, pace, sizeof(*pace)) == 0)
         return;
     watch->pace = *pace;
     due_again(watch);
 }
 
-void wb_table_watch_take(wb_table_watch_t *watch, const wb_table_row_t *row) {
+void wb_table_watch_apply_row(wb_table_watch_t *watch, const wb_table_row_t *row) {
     if (watch->synced && row_take(watch, row))
         watch->events.on_batch(FALSE, watch->events.context);
 }
 
-void wb_table_watch_vouch(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms) {
+void wb_table_watch_note_peer_read(wb_table_watch_t *watch, int64_t newest_row, int64_t known_ms) {
     if (newest_row > MAX(watch->newest_row, watch->heard_row))
         watch->look_since_ms = wb_clock_ms();
     watch->heard_row = MAX(watch->heard_row, newest_row);
@@ -422,7 +422,7 @@
     due_again(watch);
 }
 
-void wb_table_watch_look(wb_table_watch_t *watch) {
+void wb_table_watch_poll_soon(wb_table_watch_t *watch) {
     watch->look_since_ms = wb_clock_ms();
     due_again(watch);
 }
--- a/src/directory/engine_subset.c
+++ b/src/directory/engine_subset.c
@@ -26,7 +26,7 @@
     for (guint i = 0; engines != NULL && i < engines->len; i++) {
         wb_engine_t *engine = g_ptr_array_index(engines, i);
         const wb_engine_state_t *state = engine->state;
-        if (!wb_engine_is_open(engine, now_ms) ||
+        if (!wb_engine_is_usable(engine, now_ms) ||
             (*model != '\0' && !wb_engine_holds(engine, model, "", now_ms))) {
             continue;
         }
@@ -36,7 +36,7 @@
     }
     g_array_sort(ranked, best_first);
     GPtrArray *subset = g_ptr_array_new();
-    for (guint i = 0; i < ranked->len && i < WB_ENGINE_SUBSET_MOST; i++) {
+    for (guint i = 0; i < ranked->len && i < WB_ENGINE_SUBSET_MAX; i++) {
         g_ptr_array_add(subset, g_array_index(ranked, wb_ranked_engine_t, i).engine);
     }
     return subset;
--- a/src/directory/engine_subset.h
+++ b/src/directory/engine_subset.h
@@ -19,13 +19,13 @@
 
 /** As many as the users' machines choose among in under 100 us, and four times as many as a model's
  * engines in a zone on average where 9,640 engines with two places hold 299 models in 6 zones. */
-#define WB_ENGINE_SUBSET_MOST 64
+#define WB_ENGINE_SUBSET_MAX 64
 
 /**
  * @param engines of the service, as wb_fleet_service tells; NULL: none
  * @param model   "" for any engine of the service
  * @param zone    of the gateway that asks
- * @return at most WB_ENGINE_SUBSET_MOST wb_engine_t that hold the model and get work; to be
+ * @return at most WB_ENGINE_SUBSET_MAX wb_engine_t that hold the model and get work; to be
  * unreffed
  */
 GPtrArray *wb_engine_subset(const GPtrArray *engines, const char *model, const char *zone,
--- a/src/directory/table_readers.c
+++ b/src/directory/table_readers.c
@@ -44,7 +44,7 @@
     return FALSE;
 }
 
-const char *wb_table_readers_relay(const GArray *readers, const char *own, GHashTable *failed) {
+const char *wb_table_readers_choose_relay(const GArray *readers, const char *own, GHashTable *failed) {
     uint64_t seed = XXH64(own, strlen(own), 0);
     const char *best = NULL;
     uint64_t highest = 0;
--- a/src/directory/table_readers.h
+++ b/src/directory/table_readers.h
@@ -31,6 +31,6 @@
  * @param failed set of ids that couldn't be reached lately; NULL: none
  * @return id of the reader to ask, owned by `readers`; NULL: there is none
  */
-const char *wb_table_readers_relay(const GArray *readers, const char *own, GHashTable *failed);
+const char *wb_table_readers_choose_relay(const GArray *readers, const char *own, GHashTable *failed);
 
 #endif
--- a/src/dispatch/admission.c
+++ b/src/dispatch/admission.c
@@ -13,7 +13,7 @@
 #define RETRY_LEAST_MS 500
 #define RETRY_MOST_MS 8000
 
-double wb_admission_refusal_chance(const wb_choice_request_t *request,
+double wb_admission_refusal_probability(const wb_choice_request_t *request,
                                    const wb_choice_estimate_t *estimate, int rank,
                                    double patience_ms) {
     if (!request->has_prompt || request->target_ms <= 0) {
--- a/src/dispatch/admission.h
+++ b/src/dispatch/admission.h
@@ -26,7 +26,7 @@
  * @param patience_ms time from its arrival after which its caller leaves
  * @return chance of a refusal, 0 to 1
  */
-double wb_admission_refusal_chance(const wb_choice_request_t *request,
+double wb_admission_refusal_probability(const wb_choice_request_t *request,
                                    const wb_choice_estimate_t *estimate, int rank,
                                    double patience_ms);
 
--- a/src/dispatch/engine_choice.c
+++ b/src/dispatch/engine_choice.c
@@ -79,7 +79,7 @@
 wb_choice_estimate_t wb_choice_estimate(const wb_choice_setup_t *setup,
                                         const wb_choice_request_t *request,
                                         const wb_choice_engine_t *engine) {
-    double place_ms = setup->by_pace ? FULLNESS_MS / MAX(engine->slots, 1) : 0;
+    double place_ms = setup->use_pace ? FULLNESS_MS / MAX(engine->slots, 1) : 0;
     wb_choice_estimate_t estimate = {.cost_ms = fullness_ms(engine) + engine->penalty_ms,
                                      .spread_ms = spread_ms(engine, place_ms)};
     if (!request->has_prompt) {
@@ -87,12 +87,12 @@
     }
     double token_ms = engine->pace / setup->tokens_per_ms;
     double step_ms = setup->step_ms * engine->pace;
-    double read_ms = engine->unread_tokens * token_ms;
+    double read_ms = engine->uncached_tokens * token_ms;
     estimate.wait_ms = wait_ms(setup, engine);
     estimate.first_ms = request->wait_scale * estimate.wait_ms + read_ms + step_ms;
-    estimate.pause_ms = setup->event_tokens * (step_ms + setup->piece_tokens * token_ms);
+    estimate.pause_ms = setup->event_tokens * (step_ms + setup->chunk_tokens * token_ms);
     estimate.cost_ms += estimate.first_ms;
-    if (!setup->by_pace) {
+    if (!setup->use_pace) {
         return estimate;
     }
     double stream_ms = request->out_tokens * step_ms;
--- a/src/dispatch/engine_choice.h
+++ b/src/dispatch/engine_choice.h
@@ -22,15 +22,15 @@
 
 /** Share of the prompt tokens sent to an engine that it reads anew, though the sender doesn't know
  * that it keeps some: 0.56 of all tokens measured on three deployments, and some margin. */
-#define WB_UNREAD_SHARE 0.66
+#define WB_UNCACHED_SHARE 0.66
 
 /** What is known of engines of a service, at a usual engine's pace. */
 typedef struct wb_choice_setup_t {
     double tokens_per_ms; /**< prompt tokens read in a ms */
     double step_ms;       /**< a step in which each stream gets a token */
-    double piece_tokens;  /**< prompt tokens that one step reads at most */
+    double chunk_tokens;  /**< prompt tokens that one step reads at most */
     double event_tokens;  /**< tokens of an event of a stream */
-    gboolean by_pace;     /**< engines' paces and streams count; else all engines are alike */
+    gboolean use_pace;     /**< engines' paces and streams count; else all engines are alike */
 } wb_choice_setup_t;
 
 /** What is to be sent. */
@@ -50,7 +50,7 @@
     double running;        /**< requests running and waiting there, as this gateway knows: what all
                               of them are told is the same and half a second old, and by it they would
                               all go to one engine until they are told anew */
-    double unread_tokens;  /**< of this prompt, that the engine doesn't keep */
+    double uncached_tokens;  /**< of this prompt, that the engine doesn't keep */
     double backlog_tokens; /**< prompt tokens sent there and not known to be read */
     double backlog_ms;     /**< time that it takes to read what all nodes have sent there */
     double reading_share;  /**< share of its time that it reads prompts, of what all nodes send */
--- a/src/dispatch/length_guess.c
+++ b/src/dispatch/length_estimate.c
@@ -1,5 +1,5 @@
 /* How many tokens an answer will have. */
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 
 #include <math.h>
 
@@ -10,22 +10,22 @@
 /* Kinds are an operator's routes: some dozen. A configuration may rename them. */
 #define KINDS_LIMIT 512
 
-struct wb_length_guess_t {
+struct wb_length_estimate_t {
     GHashTable *means; /* kind -> double *, of the logarithm of tokens */
 };
 
-wb_length_guess_t *wb_length_guess_create(void) {
-    wb_length_guess_t *guess = g_new0(wb_length_guess_t, 1);
+wb_length_estimate_t *wb_length_estimate_create(void) {
+    wb_length_estimate_t *guess = g_new0(wb_length_estimate_t, 1);
     guess->means = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return guess;
 }
 
-void wb_length_guess_free(wb_length_guess_t *guess) {
+void wb_length_estimate_free(wb_length_estimate_t *guess) {
     g_hash_table_unref(guess->means);
     g_free(guess);
 }
 
-void wb_length_guess_learn(wb_length_guess_t *guess, const char *kind, double tokens) {
+void wb_length_estimate_learn(wb_length_estimate_t *guess, const char *kind, double tokens) {
     double seen = log(MAX(tokens, 1));
     double *mean = g_hash_table_lookup(guess->means, kind);
     if (mean != NULL) {
@@ -38,7 +38,7 @@
     g_hash_table_insert(guess->means, g_strdup(kind), g_memdup2(&seen, sizeof(seen)));
 }
 
-double wb_length_guess_tokens(const wb_length_guess_t *guess, const char *kind, double hint,
+double wb_length_estimate_tokens(const wb_length_estimate_t *guess, const char *kind, double hint,
                               double most) {
     const double *mean = g_hash_table_lookup(guess->means, kind);
     double usual = mean != NULL ? exp(*mean) : FIRST_TOKENS;
--- a/src/dispatch/send_gate.c
+++ b/src/dispatch/send_limiter.c
@@ -1,10 +1,10 @@
 /* How many requests this node may send to an engine in any window of time. */
-#include "wickbridge/send_gate.h"
+#include "wickbridge/send_limiter.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-int64_t wb_send_gate_opens_ms(const wb_send_gate_t *gate, unsigned share, int64_t window_ms,
+int64_t wb_send_limiter_next_ms(const wb_send_limiter_t *gate, unsigned share, int64_t window_ms,
                               unsigned ahead, int64_t now_ms) {
     if (share == 0) {
         return G_MAXINT64;
@@ -19,7 +19,7 @@
     return opens_ms + (int64_t)(ahead / share) * window_ms;
 }
 
-void wb_send_gate_note(wb_send_gate_t *gate, int64_t window_ms, int64_t now_ms) {
+void wb_send_limiter_record(wb_send_limiter_t *gate, int64_t window_ms, int64_t now_ms) {
     if (gate->sent_ms == NULL) {
         gate->sent_ms = g_array_new(FALSE, FALSE, sizeof(int64_t));
     }
@@ -30,14 +30,14 @@
     g_array_append_val(gate->sent_ms, now_ms);
 }
 
-void wb_send_gate_clear(wb_send_gate_t *gate) {
+void wb_send_limiter_clear(wb_send_limiter_t *gate) {
     if (gate->sent_ms != NULL) {
         g_array_unref(gate->sent_ms);
     }
     gate->sent_ms = NULL;
 }
 
-unsigned wb_dealt_share(unsigned units, unsigned nodes, unsigned rank) {
+unsigned wb_rendezvous_share(unsigned units, unsigned nodes, unsigned rank) {
     return nodes > 0 ? units / nodes + (rank < units % nodes) : 0;
 }
 
@@ -45,7 +45,7 @@
     return XXH64(node, strlen(node), seed);
 }
 
-unsigned wb_dealt_rank(const char *subject, const char *own, GHashTable *nodes) {
+unsigned wb_rendezvous_rank(const char *subject, const char *own, GHashTable *nodes) {
     uint64_t seed = XXH64(subject, strlen(subject), 0);
     uint64_t own_weight = weight(own, seed);
     unsigned before = 0;
--- a/src/dispatch/told_state.c
+++ b/src/dispatch/state_headers.c
@@ -1,5 +1,5 @@
 /* Reads what an engine tells of its state at the head of an answer. */
-#include "dispatch/told_state.h"
+#include "dispatch/state_headers.h"
 
 #include <string.h>
 
@@ -30,16 +30,16 @@
     return *end == '\0' && *number <= most;
 }
 
-static void limit_read(const wb_http_head_t *head, const char *name, wb_told_state_t *told) {
+static void limit_read(const wb_http_head_t *head, const char *name, wb_state_headers_t *told) {
     const char *text = NULL;
     unsigned count = header_count(head, name, &text);
-    told->limit_named = count > 0;
-    told->limit_known =
-        count == 1 && number_read(text, WB_TOLD_LIMIT_MOST_PER_S, &told->limit_per_s);
-    told->refused += told->limit_named && !told->limit_known;
+    told->limit_present = count > 0;
+    told->limit_valid =
+        count == 1 && number_read(text, WB_STATE_MAX_LIMIT_PER_S, &told->limit_per_s);
+    told->refused += told->limit_present && !told->limit_valid;
 }
 
-static void leaving_read(const wb_http_head_t *head, const char *name, wb_told_state_t *told) {
+static void leaving_read(const wb_http_head_t *head, const char *name, wb_state_headers_t *told) {
     const char *text = NULL;
     unsigned count = header_count(head, name, &text);
     if (count == 0) {
@@ -49,24 +49,24 @@
     told->refused += count > 1 || (strcmp(text, "1") != 0 && strcmp(text, "0") != 0);
 }
 
-static void rest_read(const wb_http_head_t *head, wb_told_state_t *told) {
+static void rest_read(const wb_http_head_t *head, wb_state_headers_t *told) {
     const char *text = NULL;
     unsigned count = header_count(head, RETRY_AFTER, &text);
     double rest_s;
     if (head->status != SHED_STATUS || count == 0) {
         return;
     }
-    if (count == 1 && number_read(text, (double)WB_TOLD_REST_MOST_MS / 1000, &rest_s)) {
+    if (count == 1 && number_read(text, (double)WB_STATE_MAX_BACKOFF_MS / 1000, &rest_s)) {
         told->rest_ms = (int64_t)(rest_s * 1000);
     } else {
         told->refused++;
     }
 }
 
-wb_told_state_t wb_told_state_read(const wb_http_head_t *head, const wb_dialect_t *dialect) {
-    wb_told_state_t told = {0};
+wb_state_headers_t wb_state_headers_parse(const wb_http_head_t *head, const wb_dialect_t *dialect) {
+    wb_state_headers_t told = {0};
     limit_read(head, dialect->engine_limit, &told);
-    leaving_read(head, dialect->engine_leaving, &told);
+    leaving_read(head, dialect->engine_draining, &told);
     rest_read(head, &told);
     return told;
 }
--- a/src/edge/document_metrics.c
+++ b/src/edge/document_metrics.c
@@ -24,8 +24,8 @@
         if (g_str_has_prefix(*line, "# HELP ") && line[1] != NULL)
             line_document(*line, line[1]);
     printf("\n`wickbridge_request_endings_total` has a label `ending`:");
-    for (int i = 0; i < WB_ENDING_COUNT; i++)
-        printf("%s `%s`", i > 0 ? "," : "", wb_ending_name((wb_ending_t)i));
+    for (int i = 0; i < WB_OUTCOME_COUNT; i++)
+        printf("%s `%s`", i > 0 ? "," : "", wb_outcome_name((wb_outcome_t)i));
     printf(". [OPERATIONS.md](OPERATIONS.md) tells what each means.\n");
     return 0;
 }
--- a/src/edge/edge_metrics.c
+++ b/src/edge/edge_metrics.c
@@ -51,10 +51,10 @@
         {"resends_refused_total", "Sendings beyond the first that the retry budget didn't allow.",
          metrics->resends_refused},
         {"rejections_total", "Sendings that engines turned away.", metrics->rejections},
-        {"broken_sends_total", "Sendings without a whole answer.", metrics->broken_sends},
+        {"broken_sends_total", "Sendings without a whole answer.", metrics->failed_attempts},
         {"sends_withdrawn_total",
          "Sendings ended before their first byte, as the engine had told not to send.",
-         metrics->sends_withdrawn},
+         metrics->attempts_withdrawn},
         {"engine_checks_total", "Looks whether an engine is there that broke a request off.",
          metrics->engine_checks},
         {"engine_crashes_total", "Engines found to have ended under requests.",
@@ -63,13 +63,13 @@
          metrics->engine_restarts},
         {"engine_rows_refused_total", "Rows of the store that name no engine to use.",
          metrics->engine_rows_refused},
-        {"cold_sends_total", "Sendings to engines that were cold.", metrics->cold_sends},
+        {"cold_sends_total", "Sendings to engines that were cold.", metrics->cold_attempts},
         {"evacuations_total", "Evacuations of zones that this node learned of.",
          metrics->evacuations},
         {"directory_wants_total", "Questions to a relay for engines of a model.",
-         metrics->directory_wants},
+         metrics->subscriptions_sent},
         {"directory_answers_total", "Such questions that this node answered as a relay.",
-         metrics->directory_answers},
+         metrics->subscriptions_answered},
         {"waits_total", "Requests that waited for an engine or a model.", metrics->waits},
         {"engine_connections_opened_total", "Connections opened to engines.",
          metrics->connections_opened},
@@ -82,7 +82,7 @@
          metrics->lease_takeovers},
         {"news_of_other_starts_total",
          "News of models at a start of an engine that wasn't the one known.",
-         metrics->news_of_other_starts},
+         metrics->updates_of_other_starts},
         {"orders_total", "Orders given to engines.", metrics->orders},
         {"orders_unknown_total", "Orders without an answer.", metrics->orders_unknown},
         {"store_loads_total", "Loads ordered that read from the weight store.",
@@ -91,18 +91,18 @@
          metrics->local_loads},
         {"unloads_total", "Unloads ordered.", metrics->unloads},
         {"engine_figures_refused_total", "Figures that engines tell of themselves and can't be.",
-         metrics->figures_refused},
+         metrics->invalid_engine_values},
         {"engine_limits_total", "Limits that engines named in answers, or changed.",
          metrics->engine_limits},
         {"engine_leavings_total", "Engines whose answers told that they leave.",
-         metrics->engine_leavings},
+         metrics->engine_drains},
         {"engine_rests_total", "Times that engines asked this node to stay away for some time.",
-         metrics->engine_rests},
+         metrics->engine_backoffs},
         {"late_answers_total", "First events later than their route's target.",
          metrics->late_answers},
         {"long_pauses_total", "Streams that paused longer than their route allows.",
          metrics->long_pauses},
-        {"load_news_total", "Messages told or heard about what engines have.", metrics->load_news},
+        {"load_news_total", "Messages told or heard about what engines have.", metrics->load_updates},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
         figure_write(text, rows[i].name, "counter", rows[i].help, rows[i].value);
@@ -148,10 +148,10 @@
     counters_write(metrics, text);
     g_string_append(text, "# HELP wickbridge_request_endings_total Requests by how they ended.\n"
                           "# TYPE wickbridge_request_endings_total counter\n");
-    for (int i = 0; i < WB_ENDING_COUNT; i++)
+    for (int i = 0; i < WB_OUTCOME_COUNT; i++)
         g_string_append_printf(text, "wickbridge_request_endings_total{ending=\"%s\"} %llu\n",
-                               wb_ending_name((wb_ending_t)i),
-                               (unsigned long long)metrics->endings[i]);
+                               wb_outcome_name((wb_outcome_t)i),
+                               (unsigned long long)metrics->requests_by_outcome[i]);
     wb_store_calls_write(&metrics->store_calls, text);
     histogram_write(text, "answer_seconds", "Arrival to the first bytes of the answer.",
                     &metrics->answer_ms);
--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -33,14 +33,14 @@
     (void)connection;
     (void)context;
     if (request != NULL)
-        wb_exchange_gone(request);
+        wb_exchange_client_gone(request);
 }
 
 static void caller_drained(wb_http_connection_t *connection, void *request, void *context) {
     (void)connection;
     (void)context;
     if (request != NULL)
-        wb_exchange_drained(request);
+        wb_exchange_output_drained(request);
 }
 
 gboolean wb_edge_node_is_ready(const wb_edge_node_t *node) {
@@ -61,7 +61,7 @@
         status = wb_edge_node_is_ready(node) ? 200 : 503;
     wb_http_head_free(head);
     g_byte_array_unref(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status), "", NULL, 0);
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status), "", NULL, 0);
 }
 
 static apr_status_t listeners_open(wb_edge_node_t *node, wb_error_t *error) {
@@ -99,7 +99,7 @@
         node->release_until_ms = now_ms + RELEASE_MS;
         wb_lease_release(node->lease);
     }
-    if (wb_lease_is_owed(node->lease) && now_ms < node->release_until_ms)
+    if (wb_lease_release_is_pending(node->lease) && now_ms < node->release_until_ms)
         return; /* the lease's last write is under way */
     wb_exchanges_refuse_unanswered(&node->edge);
     node->drained = TRUE;
@@ -120,9 +120,9 @@
     node->look_rounds = 0;
     if (!node->resting_closed) {
         node->resting_closed = TRUE;
-        wb_http_listener_close_resting(node->callers);
+        wb_http_listener_close_idle(node->callers);
     }
-    if (wb_http_listener_busy(node->callers) > 0)
+    if (wb_http_listener_active_count(node->callers) > 0)
         return;
     if (node->refusing) {
         stop_finish(node, wb_clock_ms());
@@ -184,13 +184,13 @@
 static void node_sweep(void *context) {
     wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
-    wb_upstreams_sweep(&node->edge, now_ms);
+    wb_upstreams_sweep_idle(&node->edge, now_ms);
     wb_fleet_sweep(node->edge.fleet, now_ms);
-    wb_edge_told_engines_sweep(&node->edge);
-    wb_quota_gate_sweep(node->edge.quota, now_ms);
+    wb_edge_reporting_engines_sweep(&node->edge);
+    wb_quota_limiter_sweep(node->edge.quota, now_ms);
     wb_crash_watch_sweep(node->edge.crashes, now_ms);
-    wb_poison_book_sweep(node->edge.poison, now_ms);
-    wb_pace_book_sweep(node->pace_book, now_ms);
+    wb_poison_registry_sweep(node->edge.poison, now_ms);
+    wb_pace_aggregate_sweep(node->pace_book, now_ms);
 }
 
 static void log_flush(void *context) {
@@ -200,7 +200,7 @@
 
 /* Time in which a usual engine reads a token that was sent. */
 static double token_ms(const wb_edge_settings_t *settings) {
-    return WB_UNREAD_SHARE / settings->prefill_tokens_per_ms;
+    return WB_UNCACHED_SHARE / settings->prefill_tokens_per_ms;
 }
 
 apr_status_t wb_edge_node_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
@@ -215,24 +215,24 @@
     edge->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                           (GDestroyNotify)wb_retry_budget_free);
     edge->expected = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    edge->regions = wb_regions_read(settings->zone_regions);
+    edge->regions = wb_zone_regions_parse(settings->zone_regions);
     edge->demand = wb_demand_create();
-    edge->quota = wb_quota_gate_create();
+    edge->quota = wb_quota_limiter_create();
     wb_poison_options_t poison = {(int64_t)(settings->poison_kept_s * 1000),
                                   (int64_t)(settings->poison_trial_s * 1000)};
-    edge->poison = wb_poison_book_create(&poison);
+    edge->poison = wb_poison_registry_create(&poison);
     edge->served = wb_served_set_create();
-    edge->lengths = wb_length_guess_create();
+    edge->lengths = wb_length_estimate_create();
     edge->wait_scale = wb_wait_scale_create();
     wb_crash_watch_events_t crashes = {wb_edge_engine_crashed, edge};
     edge->crashes = wb_crash_watch_create(loop, &edge->settings, &edge->metrics, &crashes);
-    edge->on_poison = wb_edge_node_poison_changed;
+    edge->on_poison_changed = wb_edge_node_poison_changed;
     wb_list_init(&edge->waiting);
-    wb_list_init(&edge->state_news);
-    edge->told_engines = g_hash_table_new_full(NULL, NULL, (GDestroyNotify)wb_engine_unref, NULL);
+    wb_list_init(&edge->state_updates);
+    edge->reporting_engines = g_hash_table_new_full(NULL, NULL, (GDestroyNotify)wb_engine_unref, NULL);
     edge->open = g_hash_table_new(NULL, NULL);
-    edge->on_need = wb_edge_node_need_arose;
-    edge->need_context = created;
+    edge->on_pending_demand = wb_edge_node_need_arose;
+    edge->node_context = created;
     edge->controller_view = wb_edge_node_controller_view;
     edge->catalog_age_ms = wb_edge_node_catalog_age_ms;
     created->table = table;
@@ -249,9 +249,9 @@
     created->announcements = wb_edge_node_announcements_create();
     created->zones = wb_edge_node_zones_create();
     created->gateways = g_hash_table_new_full(NULL, NULL, NULL, wb_edge_node_gateway_free);
-    created->quota_book = wb_quota_book_create();
+    created->quota_book = wb_quota_ledger_create();
     created->quota_row = g_byte_array_new();
-    created->pace_book = wb_pace_book_create(token_ms(settings));
+    created->pace_book = wb_pace_aggregate_create(token_ms(settings));
     created->news_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
     apr_status_t status = listeners_open(created, error);
     if (status != APR_SUCCESS)
@@ -292,7 +292,7 @@
     own->order_timeout_ms = settings->order_timeout_ms;
     own->adapter_load_ms = settings->adapter_load_ms;
     own->prefill_tokens_per_ms = settings->prefill_tokens_per_ms;
-    wb_pace_book_set_token_ms(node->pace_book, token_ms(settings));
+    wb_pace_aggregate_set_token_ms(node->pace_book, token_ms(settings));
     own->step_ms = settings->step_ms;
     own->read_piece_tokens = settings->read_piece_tokens;
     own->event_tokens = settings->event_tokens;
@@ -303,5 +303,5 @@
     own->load_news_bytes_per_s = settings->load_news_bytes_per_s;
     wb_edge_node_set_paces(node);
     /* What was taken up is the same by now; the rest waits for a start. */
-    return wb_settings_differ(&wb_edge_settings_table, own, settings);
+    return wb_settings_count_changed(&wb_edge_settings_table, own, settings);
 }
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -10,8 +10,8 @@
 
 #include "control/controller.h"
 
-#include "pace/pace_book.h"
-#include "quota/quota_book.h"
+#include "pace/pace_aggregate.h"
+#include "quota/quota_ledger.h"
 
 #include "wickbridge/lease.h"
 #include "wickbridge/link.h"
@@ -81,7 +81,7 @@
     wb_link_listener_t *link_listener;
     wb_link_counters_t link_counters;
     GHashTable *gateways; /* wb_link_t -> wb_gateway_t, when this node is the controller */
-    GArray *placements;   /* of wb_wire_placement_entry, not yet told to gateways: node_tell.c */
+    GArray *placements;   /* of wb_wire_placement_entry, not yet told to gateways: node_broadcast.c */
     GArray *placement_starts;  /* of uint64_t: when their engines started; 0: not told */
     uint64_t placements_token; /* under which they were decided */
     wb_timer_t *placements_timer;
@@ -90,7 +90,7 @@
     int64_t share_looked_ms;   /* when another digest than the own one made it ask the store last */
     int64_t share_ticked_ms;   /* the round before this one; 0: none */
     unsigned share_nodes;      /* among how many nodes the slack is divided; 0: no share now */
-    wb_quota_book_t *quota_book;
+    wb_quota_ledger_t *quota_book;
     uint64_t quota_token;  /* of the lease under which this node keeps the book; 0: it doesn't */
     GByteArray *quota_row; /* the shares that this node told last, as they stand in the store */
     int64_t quota_row_until_ms; /* until when shares read there count; 0: none do */
@@ -98,7 +98,7 @@
     int64_t quota_logged_ms;
     int64_t quota_heard_ms;    /* when it was told shares last */
     int64_t quota_reported_ms; /* when it reported last, by itself or to another node */
-    wb_pace_book_t *pace_book;
+    wb_pace_aggregate_t *pace_book;
     gboolean pace_keeper; /* at the last tick */
     int64_t pace_logged_ms;
     int64_t pace_told_ms;   /* when this node told engines' loads last */
@@ -113,7 +113,7 @@
     gboolean demand_told; /* the last message was not empty */
     int64_t demand_told_ms;
     int64_t link_opened_ms;
-    /* What the holder reads in the store, for gateways: node_news.c. */
+    /* What the holder reads in the store, for gateways: node_store_updates.c. */
     GArray *news_rows; /* of wb_wire_table_row, not yet told */
     gsize news_bytes;
     gboolean news_look; /* too much to tell */
@@ -161,7 +161,7 @@
 
 /* node_directory.c */
 wb_directory_t *wb_edge_node_directory_create(wb_edge_node_t *node);
-/** The table of engines is large: as wb_table_watch_events_t.on_large. @param context the node */
+/** The table of engines is large: as wb_table_watch_events_t.on_row_limit. @param context the node */
 void wb_edge_node_directory_large(void *context);
 /** Decide who reads the table; keep a link to a relay. */
 void wb_edge_node_tick_directory(wb_edge_node_t *node, int64_t now_ms);
@@ -186,7 +186,7 @@
 void wb_edge_node_relay_row(wb_edge_node_t *node, const wb_table_row_t *row);
 /** A gateway asks for engines. */
 void wb_edge_node_relay_want(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
-                             const wb_wire_engines_want *want);
+                             const wb_wire_engine_subscribe *want);
 /** Tell changes, or that there are none. */
 void wb_edge_node_tick_relay(wb_edge_node_t *node, int64_t now_ms);
 
@@ -223,7 +223,7 @@
 /** Renew or take the lease when that is due. */
 void wb_edge_node_tick_lease(wb_edge_node_t *node, int64_t now_ms);
 gboolean wb_edge_node_may_act(void *context);
-/** As wb_lease_ask_order. @param context the node */
+/** As wb_lease_authorize_order. @param context the node */
 int64_t wb_edge_node_ask_order(const char *engine, void *context);
 /** As wb_lease_blocked_ms. @param context the node */
 int64_t wb_edge_node_blocked_ms(const char *engine, void *context);
@@ -293,7 +293,7 @@
 /** Read it back. */
 void wb_edge_node_poison_read(wb_edge_node_t *node, XDR *stream);
 
-/* node_states.c */
+/* node_engine_states.c */
 /** Tell on what engines have told of themselves. */
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms);
 /** Another node has told it. */
@@ -301,7 +301,7 @@
 /** An engine has told the controller of this node something new. @param context the node */
 void wb_edge_node_states_heard(wb_engine_t *engine, void *context);
 
-/* node_tell.c */
+/* node_broadcast.c */
 /** Tell the gateways that read messages of form 2 or later. */
 void wb_edge_node_tell_newer_gateways(wb_edge_node_t *node, const wb_wire_message *message);
 /** Tell all gateways; what is told of models and adapters may be sent some ms later. */
@@ -339,13 +339,13 @@
  * @param context the node */
 wb_controller_view_t wb_edge_node_controller_view(void *context);
 
-/* node_news.c */
+/* node_store_updates.c */
 /* A gateway that has heard nothing for so long asks the store itself. */
 #define WB_NEWS_LIFE_MS 1200
 /** @return the watch of a table, or NULL. @param table a wb_table_name_t, perhaps from a message */
 wb_table_watch_t *wb_edge_node_watch(const wb_edge_node_t *node, unsigned table);
 /** How often this node asks for a table, by whether it holds the lease. */
-wb_table_pace_t wb_edge_node_pace(const wb_edge_node_t *node, wb_table_name_t table);
+wb_table_watch_intervals_t wb_edge_node_pace(const wb_edge_node_t *node, wb_table_name_t table);
 /** Set how often all tables are asked for; when the lease or the settings have changed. */
 void wb_edge_node_set_paces(wb_edge_node_t *node);
 /** Look at engines soon, unless the holder's news come anyway. */
@@ -356,9 +356,9 @@
 void wb_edge_node_news_add(wb_edge_node_t *node, wb_table_name_t table, const wb_table_row_t *row);
 /** Tell gateways what is due, if this node holds the lease. */
 void wb_edge_node_tick_news(wb_edge_node_t *node, int64_t now_ms);
-void wb_edge_node_take_news(wb_edge_node_t *node, const wb_wire_store_news *news);
+void wb_edge_node_take_news(wb_edge_node_t *node, const wb_wire_store_update *news);
 /** Another node holds the lease, and says so on a link of its own. */
-void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *news);
+void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_update *news);
 /** @return TRUE while the holder tells this node what it reads, or this node is the holder */
 gboolean wb_edge_node_hears_news(const wb_edge_node_t *node);
 
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -13,7 +13,7 @@
 
 static void json_answer(wb_http_connection_t *connection, unsigned status, json_t *body) {
     char *text = wb_json_dump(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status),
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status),
                               "Content-Type: application/json\r\n", text, strlen(text));
     free(text);
     json_decref(body);
@@ -29,7 +29,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((const wb_node_row_t *)value)->form != WB_WIRE_FORM;
+        count += ((const wb_node_row_t *)value)->form != WB_WIRE_FORMAT_VERSION;
     }
     return count;
 }
@@ -48,21 +48,21 @@
         .nodes = edge->node_count,
         .share_nodes = node->share_nodes,
         .nodes_of_other_forms = nodes_of_other_forms(node),
-        .evacuated_zones = wb_fleet_closed_zones(edge->fleet),
-        .suspected_requests = wb_poison_book_count(edge->poison, WB_POISON_SUSPECT),
-        .poison_requests = wb_poison_book_count(edge->poison, WB_POISON_REFUSED),
+        .evacuated_zones = wb_fleet_evacuated_zones(edge->fleet),
+        .suspected_requests = wb_poison_registry_count(edge->poison, WB_POISON_SUSPECT),
+        .poison_requests = wb_poison_registry_count(edge->poison, WB_POISON_REFUSED),
         .holds_lease = node->held,
         .lease_token = wb_lease_token(node->lease),
         .log_lines_dropped = wb_event_log_dropped(),
     };
     g_autoptr(GString) text = g_string_new(NULL);
     wb_edge_metrics_write(&edge->metrics, &gauges, text);
-    wb_http_connection_answer(connection, 200, "OK", "Content-Type: text/plain; version=0.0.4\r\n",
+    wb_http_connection_reply(connection, 200, "OK", "Content-Type: text/plain; version=0.0.4\r\n",
                               text->str, text->len);
 }
 
 static json_t *lease_json(const wb_edge_node_t *node) {
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (known == NULL)
         return json_null();
     return json_pack("{s:s, s:s, s:I, s:b, s:b}", "holder", known->holder, "address",
@@ -95,7 +95,7 @@
     static const char *const kinds[] = {"repeatable", "once", "stream"};
     json_t *parts = json_array();
     for (guint i = 0; i < route->parts->len; i++) {
-        const wb_route_part_t *part = &g_array_index(route->parts, wb_route_part_t, i);
+        const wb_route_target_t *part = &g_array_index(route->parts, wb_route_target_t, i);
         json_array_append_new(
             parts, json_pack("{s:s, s:f}", "service", part->service, "weight", part->weight));
     }
@@ -137,8 +137,8 @@
             replicas,
             json_pack("{s:s, s:s, s:i, s:f, s:b, s:b, s:b}", "engine", engine->state->id, "zone",
                       engine->state->zone, "running", (int)engine->running, "window",
-                      (double)engine->state->slots, "leaving", engine->leaving_ms != 0, "evacuated",
-                      engine->closed_from_ms != 0, "avoided", now_ms < engine->avoid_until_ms));
+                      (double)engine->state->slots, "leaving", engine->draining_since_ms != 0, "evacuated",
+                      engine->evacuated_from_ms != 0, "avoided", now_ms < engine->avoid_until_ms));
     }
     return replicas;
 }
@@ -178,7 +178,7 @@
                   tenant->rate_per_s, "burst", tenant->burst);
     wb_quota_state_t state;
     if (node->quota_token == 0 ||
-        !wb_quota_book_state(node->quota_book, tenant->name, wb_clock_ms(), &state))
+        !wb_quota_ledger_state(node->quota_book, tenant->name, wb_clock_ms(), &state))
         return json;
     json_object_set_new(json, "use",
                         json_pack("{s:f, s:f, s:f, s:f, s:f}", "asked_per_s", state.asked_per_s,
@@ -209,7 +209,7 @@
     static const char *const states[] = {"forgiven", "suspected", "refused"};
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES];
     return json_pack(
-        "{s:s, s:s, s:i, s:I, s:I}", "digest", wb_request_digest_write(&entry->digest, digest),
+        "{s:s, s:s, s:i, s:I, s:I}", "digest", wb_request_digest_format(&entry->digest, digest),
         "state", states[wb_poison_entry_state(entry)], "engines",
         (int)wb_poison_entry_engines(entry), "body_bytes", (json_int_t)entry->body_bytes, "left_ms",
         (json_int_t)MAX(entry->until_ms - wb_clock_ms(), 0));
@@ -219,7 +219,7 @@
 static void poison_show(wb_edge_node_t *node, wb_http_connection_t *connection, const char *query) {
     (void)query;
     json_t *requests = json_array();
-    WB_LIST_EACH(item, wb_poison_book_entries(node->edge.poison)) {
+    WB_LIST_EACH(item, wb_poison_registry_entries(node->edge.poison)) {
         json_array_append_new(requests, poison_json(WB_LIST_OF(item, wb_poison_entry_t, item)));
     }
     json_answer(connection, 200, json_pack("{s:o}", "requests", requests));
@@ -231,16 +231,16 @@
     static const char member[] = "digest=";
     wb_request_digest_t digest;
     if (!g_str_has_prefix(query, member) ||
-        !wb_request_digest_read(query + strlen(member), &digest)) {
+        !wb_request_digest_parse(query + strlen(member), &digest)) {
         error_answer(connection, 400, "say ?digest= and 32 hexadecimal digits");
         return;
     }
-    if (!wb_poison_book_forgive(node->edge.poison, &digest)) {
+    if (!wb_poison_registry_clear_crashes(node->edge.poison, &digest)) {
         error_answer(connection, 404, "nothing is held against this request here");
         return;
     }
     wb_event("request-forgiven", ",\"id\":\"\",\"digest\":\"%s\",\"engine\":\"\"",
-             wb_event_text(query + strlen(member)));
+             wb_event_escape(query + strlen(member)));
     wb_edge_node_poison_changed(node);
     json_answer(connection, 200, json_pack("{s:b}", "forgiven", 1));
 }
@@ -273,7 +273,7 @@
 /* What the controller believes and would do, told by the node that holds the lease only. */
 static json_t *decisions_json(wb_edge_node_t *node, const wb_service_t *service,
                               const char *model) {
-    const wb_model_use_t *use = wb_controller_use(node->controller, service->name, model);
+    const wb_model_use_t *use = wb_controller_model_use(node->controller, service->name, model);
     const wb_model_spec_t *spec = g_hash_table_lookup(service->models, model);
     json_t *engines = json_array();
     const GPtrArray *fleet = wb_fleet_service(node->edge.fleet, service->name);
@@ -286,7 +286,7 @@
                                         engine->state->id, "machine", engine->state->address,
                                         "slot", held, "model", held ? "loaded" : "not loaded",
                                         "free_bytes", (json_int_t)(free_mb * BYTES_PER_MB),
-                                        "usable", wb_engine_stays(engine)));
+                                        "usable", wb_engine_is_available(engine)));
     }
     return json_pack(
         "{s:i, s:i, s:i, s:f, s:I, s:o}", "slots", use != NULL ? (int)use->replicas : 0, "waiting",
@@ -303,7 +303,7 @@
         error_answer(connection, 404, "no service of the configuration has this model");
         return;
     }
-    const wb_lease_row_t *lease = wb_lease_known(node->lease);
+    const wb_lease_row_t *lease = wb_lease_known_row(node->lease);
     json_t *replicas = replicas_json(edge, service->name, model);
     int waiting = 0;
     int running = 0;
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -44,12 +44,12 @@
 static void link_open(wb_link_t *link, void *context) {
     const wb_announcement_t *announcement = context;
     const wb_edge_node_t *node = announcement->node;
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (!node->held || known == NULL) {
         return;
     }
-    wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
-    wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
+    wb_wire_message message = {.kind = WB_WIRE_STORE_UPDATE};
+    wb_wire_store_update *news = &message.wb_wire_message_u.store_update;
     wb_lease_row_t in_short = wb_edge_node_lease_in_short(known);
     news->lease = wb_edge_node_lease_to_wire(&in_short);
     news->lease_version = (uint64_t)wb_lease_version(node->lease);
@@ -79,11 +79,11 @@
     announcement->next_ms = now_ms + announcement->pause_ms;
     if (wb_link_connect(node->edge.loop, address, &events, &node->link_counters,
                         &announcement->link, &error) != APR_SUCCESS) {
-        wb_event("announce-failed", ",\"to\":\"%s\",\"reason\":\"%s\"", wb_event_text(id),
-                 wb_event_text(error.message));
+        wb_event("announce-failed", ",\"to\":\"%s\",\"reason\":\"%s\"", wb_event_escape(id),
+                 wb_event_escape(error.message));
         return;
     }
-    wb_event("announced", ",\"to\":\"%s\",\"address\":\"%s\"", wb_event_text(id), address);
+    wb_event("announced", ",\"to\":\"%s\",\"address\":\"%s\"", wb_event_escape(id), address);
 }
 
 /* Returns the names of nodes that report to this one. */
--- a/src/edge/node_tell.c
+++ b/src/edge/node_broadcast.c
@@ -24,11 +24,11 @@
     gpointer gateway;
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, &link, &gateway)) {
-        const GByteArray *form = wb_link_form(link) >= 2 ? with_parts : frame;
+        const GByteArray *form = wb_link_format_version(link) >= 2 ? with_parts : frame;
         if (((const wb_gateway_t *)gateway)->subscription != NULL || form == NULL)
             continue; /* a link for rows of engines only: its gateway has another for news */
         if (wb_link_unsent(link) > BACKLOG_LIMIT_BYTES)
-            wb_link_break(link, "it doesn't read what it is told");
+            wb_link_close_later(link, "it doesn't read what it is told");
         else
             wb_link_send_frame(link, form);
     }
@@ -39,7 +39,7 @@
     wb_error_t error;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
-                 wb_message_kind_name(message->kind), wb_event_text(error.message));
+                 wb_message_kind_name(message->kind), wb_event_escape(error.message));
         return;
     }
     frame_send(node, NULL, frame);
@@ -47,7 +47,7 @@
 
 /* @param parts NULL: none */
 static void message_send(wb_edge_node_t *node, const wb_wire_message *message,
-                         const wb_wire_parts *parts) {
+                         const wb_wire_extensions *parts) {
     g_autoptr(GByteArray) frame = g_byte_array_new();
     g_autoptr(GByteArray) with_parts = g_byte_array_new();
     wb_error_t error;
@@ -55,9 +55,9 @@
         return;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS ||
         (parts != NULL &&
-         wb_message_encode_parts(message, parts, with_parts, &error) != APR_SUCCESS)) {
+         wb_message_encode_with_extensions(message, parts, with_parts, &error) != APR_SUCCESS)) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
-                 wb_message_kind_name(message->kind), wb_event_text(error.message));
+                 wb_message_kind_name(message->kind), wb_event_escape(error.message));
         return;
     }
     frame_send(node, frame, parts != NULL ? with_parts : frame);
@@ -81,12 +81,12 @@
     placement->token = node->placements_token;
     placement->entries.entries_len = node->placements->len;
     placement->entries.entries_val = (wb_wire_placement_entry *)(void *)node->placements->data;
-    wb_wire_parts parts = {0};
-    wb_wire_starts starts = {
+    wb_wire_extensions parts = {0};
+    wb_wire_start_times starts = {
         {node->placement_starts->len, (uint64_t *)(void *)node->placement_starts->data}};
-    wb_parts_add(&parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+    wb_extensions_add(&parts, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times, &starts);
     message_send(node, &message, &parts);
-    wb_parts_clear(&parts);
+    wb_extensions_clear(&parts);
     g_array_set_size(node->placement_starts, 0);
     g_array_set_size(node->placements, 0);
 }
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -154,7 +154,7 @@
 /* Reads the table after all. */
 static void whole_begin(wb_directory_t *directory, const char *why) {
     state_set(directory, WB_DIRECTORY_WHOLE, why);
-    wb_table_watch_go_on(directory->node->engines_watch);
+    wb_table_watch_read_all(directory->node->engines_watch);
 }
 
 /* What was read before the table was large would not be kept up to date. */
@@ -163,7 +163,7 @@
     for (GList *item = ids; item != NULL; item = item->next) {
         g_autofree char *id = g_strdup(item->data);
         wb_engine_t *engine = wb_fleet_find(node->edge.fleet, id);
-        wb_upstreams_drop(engine);
+        wb_upstreams_close_idle(engine);
         wb_fleet_remove(node->edge.fleet, id, 0);
     }
 }
@@ -182,7 +182,7 @@
         return;
     }
     state_set(directory, WB_DIRECTORY_PART, "weaker");
-    wb_table_watch_follow_part(node->engines_watch);
+    wb_table_watch_follow_subset(node->engines_watch);
     engines_forget(node);
     directory->lost_since_ms = now_ms;
 }
@@ -190,27 +190,27 @@
 /* What is asked and told. */
 
 static void want_send(wb_directory_t *directory, GPtrArray *wanted, GArray *known) {
-    wb_wire_message message = {.kind = WB_WIRE_ENGINES_WANT};
-    wb_wire_engines_want *want = &message.wb_wire_message_u.engines_want;
-    g_autofree wb_wire_engine_want *wants = g_new0(wb_wire_engine_want, MAX(wanted->len, 1));
+    wb_wire_message message = {.kind = WB_WIRE_ENGINE_SUBSCRIBE};
+    wb_wire_engine_subscribe *want = &message.wb_wire_message_u.engine_subscribe;
+    g_autofree wb_wire_engine_selector *wants = g_new0(wb_wire_engine_selector, MAX(wanted->len, 1));
     for (guint i = 0; i < wanted->len; i++) {
         wb_wanted_t *one = g_ptr_array_index(wanted, i);
-        wants[i] = (wb_wire_engine_want){one->service, one->model};
+        wants[i] = (wb_wire_engine_selector){one->service, one->model};
         one->asked_ms = wb_clock_ms();
     }
     want->zone = (char *)directory->node->edge.settings.zone;
     want->wants.wants_len = wanted->len;
     want->wants.wants_val = wants;
     want->known.known_len = known != NULL ? known->len : 0;
-    want->known.known_val = known != NULL ? (wb_wire_known_row *)(void *)known->data : NULL;
-    directory->node->edge.metrics.directory_wants++;
+    want->known.known_val = known != NULL ? (wb_wire_row_version *)(void *)known->data : NULL;
+    directory->node->edge.metrics.subscriptions_sent++;
     wb_link_send(directory->link, &message);
 }
 
 /* Another relay is there: it is told all that is known here, and asked for what has changed. */
 static void all_ask(wb_directory_t *directory) {
     g_autoptr(GPtrArray) wanted = g_ptr_array_new();
-    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
+    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_row_version));
     GHashTableIter iter;
     gpointer key;
     gpointer value;
@@ -220,7 +220,7 @@
     }
     g_hash_table_iter_init(&iter, directory->versions);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        wb_wire_known_row row = {key, (uint64_t) * (const int64_t *)value};
+        wb_wire_row_version row = {key, (uint64_t) * (const int64_t *)value};
         g_array_append_val(known, row);
     }
     want_send(directory, wanted, known);
@@ -239,7 +239,7 @@
     }
 }
 
-static void answered_note(wb_directory_t *directory, const wb_wire_engine_want *want,
+static void answered_note(wb_directory_t *directory, const wb_wire_engine_selector *want,
                           int64_t now_ms) {
     g_autofree char *key = g_strjoin("/", want->service, want->model, NULL);
     wb_wanted_t *wanted = g_hash_table_lookup(directory->wanted, key);
@@ -248,7 +248,7 @@
     }
 }
 
-static void rows_take(wb_directory_t *directory, const wb_wire_engines_show *show) {
+static void rows_take(wb_directory_t *directory, const wb_wire_engine_update *show) {
     wb_edge_node_t *node = directory->node;
     for (guint i = 0; i < show->rows.rows_len; i++) {
         const wb_wire_table_row *wire = &show->rows.rows_val[i];
@@ -257,7 +257,7 @@
                               wire->value.value_len, version};
         g_hash_table_replace(directory->versions, g_strdup(wire->key),
                              g_memdup2(&version, sizeof(version)));
-        wb_table_watch_take(node->engines_watch, &row);
+        wb_table_watch_apply_row(node->engines_watch, &row);
     }
     for (guint i = 0; i < show->holds.holds_len; i++) {
         const wb_wire_placement_entry *entry = &show->holds.holds_val[i];
@@ -270,7 +270,7 @@
 
 /* What a relay tells before it knows all engines is true, but nothing may be missed in it: all is
  * asked again once it does. */
-static void show_take(wb_directory_t *directory, const wb_wire_engines_show *show) {
+static void show_take(wb_directory_t *directory, const wb_wire_engine_update *show) {
     wb_edge_node_t *node = directory->node;
     int64_t now_ms = wb_clock_ms();
     gboolean ask_again = show->whole && directory->early_answers;
@@ -290,7 +290,7 @@
     for (guint i = 0; i < show->answered.answered_len; i++) {
         answered_note(directory, &show->answered.answered_val[i], now_ms);
     }
-    wb_table_watch_vouch(node->engines_watch, 0, now_ms - (int64_t)show->age_ms);
+    wb_table_watch_note_peer_read(node->engines_watch, 0, now_ms - (int64_t)show->age_ms);
     early_apply(directory, now_ms);
     if (show->answered.answered_len > 0 || show->rows.rows_len > 0) {
         wb_exchanges_retry_waiting(&node->edge);
@@ -309,12 +309,12 @@
     wb_directory_t *directory = context;
     if (message->kind == WB_WIRE_HELLO) {
         wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
-        if (!directory->greeted && wb_link_form(link) >= 2) {
+        if (!directory->greeted && wb_link_format_version(link) >= 2) {
             directory->greeted = TRUE;
             all_ask(directory);
         }
-    } else if (message->kind == WB_WIRE_ENGINES_SHOW) {
-        show_take(directory, &message->wb_wire_message_u.engines_show);
+    } else if (message->kind == WB_WIRE_ENGINE_UPDATE) {
+        show_take(directory, &message->wb_wire_message_u.engine_update);
     }
 }
 
@@ -322,8 +322,8 @@
     int64_t now_ms = wb_clock_ms();
     GHashTableIter iter;
     gpointer value;
-    wb_event("relay-lost", ",\"of\":\"%s\",\"reason\":\"%s\"", wb_event_text(directory->relay),
-             wb_event_text(reason));
+    wb_event("relay-lost", ",\"of\":\"%s\",\"reason\":\"%s\"", wb_event_escape(directory->relay),
+             wb_event_escape(reason));
     g_hash_table_replace(directory->failed, g_strdup(directory->relay),
                          g_memdup2(&now_ms, sizeof(now_ms)));
     directory->link = NULL;
@@ -351,7 +351,7 @@
     wb_edge_node_t *node = directory->node;
     g_autoptr(GArray) readers = readers_find(node);
     g_hash_table_foreach_remove(directory->failed, failed_long_ago, &now_ms);
-    const char *relay = wb_table_readers_relay(readers, node->edge.settings.id, directory->failed);
+    const char *relay = wb_table_readers_choose_relay(readers, node->edge.settings.id, directory->failed);
     const wb_node_row_t *row = relay != NULL ? g_hash_table_lookup(node->nodes, relay) : NULL;
     wb_link_events_t events = {link_open, link_message, link_close, directory, NULL, NULL};
     wb_error_t error;
@@ -372,7 +372,7 @@
         relay_lost(directory, error.message);
         return;
     }
-    wb_event("relay-linked", ",\"of\":\"%s\",\"readers\":%u", wb_event_text(directory->relay),
+    wb_event("relay-linked", ",\"of\":\"%s\",\"readers\":%u", wb_event_escape(directory->relay),
              readers->len);
 }
 
@@ -462,7 +462,7 @@
     }
     /* Whoever waits here for the model needs this engine; others ask when they use it. */
     if (!entry->held || directory->link == NULL || !directory->greeted ||
-        !wb_exchanges_wait_for(&node->edge, entry->model)) {
+        !wb_exchanges_any_waiting_for(&node->edge, entry->model)) {
         return TRUE;
     }
     wb_early_news_t *news = g_new0(wb_early_news_t, 1);
@@ -471,8 +471,8 @@
                                             g_strdup(entry->adapter), TRUE, 0};
     g_ptr_array_add(directory->early, news);
     g_autoptr(GPtrArray) none = g_ptr_array_new();
-    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
-    wb_wire_known_row row = {entry->engine, 0};
+    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_row_version));
+    wb_wire_row_version row = {entry->engine, 0};
     g_array_append_val(known, row);
     want_send(directory, none, known);
     return TRUE;
