--- a/src/edge/node_states.c
+++ b/src/edge/node_engine_states.c
@@ -5,7 +5,7 @@
  * which are late on their way look newer than they are, by a link's delay at most. */
 #include "edge/edge_node_types.h"
 
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 
 /* Bytes of an engine in a message. */
 #define ENTRY_BYTES 48
@@ -18,25 +18,25 @@
     const wb_engine_limit_t *limit = &engine->limit;
     *wire = (wb_wire_engine_state){.engine = engine->state->id,
                                    .born_ms = (uint64_t)engine->state->born_ms,
-                                   .leaving = engine->told_leaving};
+                                   .leaving = engine->drain_reported};
     if (limit->named) {
-        wire->limit = WB_WIRE_LIMIT_NAMED;
+        wire->limit = WB_WIRE_LIMIT_SET;
         wire->limit_milli = (u_int)(limit->per_s * LIMIT_MILLI);
-        wire->limit_age_ms = (u_int)(now_ms - limit->named_ms);
+        wire->limit_age_ms = (u_int)(now_ms - limit->limit_reported_ms);
     } else if (limit->ended_ms != 0) {
         wire->limit = WB_WIRE_LIMIT_ENDED;
         wire->limit_age_ms = (u_int)(now_ms - limit->ended_ms);
     }
-    engine->state_told_ms = now_ms;
+    engine->state_sent_ms = now_ms;
 }
 
 /* Takes engines out of those that there is something to tell of. @return of wb_wire_engine_state;
  * names are the engines' */
 static GArray *states_take(wb_edge_node_t *node, guint most, int64_t now_ms) {
     GArray *states = g_array_new(FALSE, FALSE, sizeof(wb_wire_engine_state));
-    wb_list_t *news = &node->edge.state_news;
+    wb_list_t *news = &node->edge.state_updates;
     while (news->len > 0 && states->len < most) {
-        wb_engine_t *engine = WB_LIST_OF(wb_list_pop(news), wb_engine_t, state_news);
+        wb_engine_t *engine = WB_LIST_OF(wb_list_pop(news), wb_engine_t, state_updates);
         wb_wire_engine_state wire;
         state_write(engine, &wire, now_ms);
         g_array_append_val(states, wire);
@@ -58,7 +58,7 @@
     g_autoptr(GArray) states = g_array_new(FALSE, FALSE, sizeof(wb_wire_engine_state));
     GHashTableIter iter;
     gpointer engine;
-    g_hash_table_iter_init(&iter, node->edge.told_engines);
+    g_hash_table_iter_init(&iter, node->edge.reporting_engines);
     while (states->len < WB_WIRE_LIST_MAX && g_hash_table_iter_next(&iter, &engine, NULL)) {
         wb_wire_engine_state wire;
         state_write(engine, &wire, now_ms);
@@ -83,7 +83,7 @@
     g_hash_table_iter_init(&iter, node->gateways);
     while (g_hash_table_iter_next(&iter, &link, &value)) {
         wb_gateway_t *gateway = value;
-        if (!gateway->states_told && wb_link_form(link) >= 2) {
+        if (!gateway->states_told && wb_link_format_version(link) >= 2) {
             gateway->states_told = TRUE;
             all_tell(node, link, now_ms);
         }
@@ -111,7 +111,7 @@
 void wb_edge_node_tick_states(wb_edge_node_t *node, int64_t now_ms) {
     if (wb_edge_node_is_reported_to(node)) {
         gateways_tell(node, now_ms);
-    } else if (node->controller_link_open && wb_link_form(node->controller_link) >= 2) {
+    } else if (node->controller_link_open && wb_link_format_version(node->controller_link) >= 2) {
         controller_tell(node, now_ms);
     }
 }
@@ -121,13 +121,13 @@
     wb_engine_limit_t *limit = &engine->limit;
     int64_t as_of_ms = now_ms - (int64_t)wire->limit_age_ms;
     gboolean changed = FALSE;
-    if (wire->limit == WB_WIRE_LIMIT_NAMED) {
-        gboolean newer = as_of_ms > limit->named_ms;
+    if (wire->limit == WB_WIRE_LIMIT_SET) {
+        gboolean newer = as_of_ms > limit->limit_reported_ms;
         changed =
-            wb_engine_limit_name(limit, wire->limit_milli / LIMIT_MILLI, as_of_ms, as_of_ms) ||
-            (newer && now_ms - engine->state_told_ms >= WB_STATE_CONFIRM_MS);
-    } else if (wire->limit == WB_WIRE_LIMIT_ENDED && as_of_ms > limit->named_ms + DELAY_MOST_MS) {
-        changed = wb_engine_limit_unname(limit, as_of_ms);
+            wb_engine_limit_set(limit, wire->limit_milli / LIMIT_MILLI, as_of_ms, as_of_ms) ||
+            (newer && now_ms - engine->state_sent_ms >= WB_STATE_RESEND_MS);
+    } else if (wire->limit == WB_WIRE_LIMIT_ENDED && as_of_ms > limit->limit_reported_ms + DELAY_MOST_MS) {
+        changed = wb_engine_limit_end(limit, as_of_ms);
     }
     return changed;
 }
@@ -142,23 +142,23 @@
             continue; /* it isn't needed here, or another start of it is known */
         }
         gboolean leaves =
-            wire->leaving && wb_engine_tell_leaving(engine, node->edge.settings.drain_ms, now_ms);
+            wire->leaving && wb_engine_set_draining(engine, node->edge.settings.drain_ms, now_ms);
         if (!limit_merge(engine, wire, now_ms) && !leaves) {
             continue;
         }
         wb_event("engine-state-news",
                  ",\"engine\":\"%s\",\"limited\":%s,\"per_s\":%g,\"leaving\":%s",
-                 wb_event_text(engine->state->id), engine->limit.named ? "true" : "false",
-                 engine->limit.per_s, engine->told_leaving ? "true" : "false");
-        wb_edge_note_told(&node->edge, engine);
+                 wb_event_escape(engine->state->id), engine->limit.named ? "true" : "false",
+                 engine->limit.per_s, engine->drain_reported ? "true" : "false");
+        wb_edge_track_reporting_engine(&node->edge, engine);
         if (tells) {
-            wb_edge_queue_state(&node->edge, engine);
+            wb_edge_queue_state_update(&node->edge, engine);
         }
     }
 }
 
 void wb_edge_node_states_heard(wb_engine_t *engine, void *context) {
     wb_edge_t *edge = &((wb_edge_node_t *)context)->edge;
-    wb_edge_note_told(edge, engine);
-    wb_edge_queue_state(edge, engine);
+    wb_edge_track_reporting_engine(edge, engine);
+    wb_edge_queue_state_update(edge, engine);
 }
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -21,7 +21,7 @@
     wb_edge_node_tell_gateways(node, &message);
     wb_event("holding-differs",
              ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
-             wb_event_text(engine), wb_event_text(names[0]), wb_event_text(names[1]),
+             wb_event_escape(engine), wb_event_escape(names[0]), wb_event_escape(names[1]),
              held ? "true" : "false");
 }
 
@@ -51,28 +51,28 @@
     int64_t now_ms = wb_clock_ms();
     gboolean may_differ =
         node->held && known != NULL &&
-        (wb_engine_has_news(known) || !wb_engine_state_holds_same(known->state, state));
+        (wb_engine_has_placement_updates(known) || !wb_engine_state_holds_same(known->state, state));
     if (!may_differ) {
         return wb_fleet_announce(node->edge.fleet, state);
     }
-    g_autoptr(GHashTable) before = wb_engine_holdings(known, now_ms);
+    g_autoptr(GHashTable) before = wb_engine_held_models(known, now_ms);
     wb_engine_t *engine = wb_fleet_announce(node->edge.fleet, state);
     if (engine == NULL) {
         return NULL;
     }
-    g_autoptr(GHashTable) after = wb_engine_holdings(engine, now_ms);
+    g_autoptr(GHashTable) after = wb_engine_held_models(engine, now_ms);
     holdings_compare(node, state->id, before, after);
     return engine;
 }
 
 /* The engine of a row that names none any more, or whose row is gone. */
-static void engine_take_out(wb_edge_node_t *node, wb_engine_t *engine, int64_t use_until_ms) {
+static void engine_take_out(wb_edge_node_t *node, wb_engine_t *engine, int64_t grace_until_ms) {
     wb_edge_t *edge = &node->edge;
     g_autofree char *id = g_strdup(engine->state->id);
-    if (engine->leaving_ms == 0) {
-        wb_crash_watch_row_gone(edge->crashes, engine->state->incarnation);
+    if (engine->draining_since_ms == 0) {
+        wb_crash_watch_row_removed(edge->crashes, engine->state->incarnation);
     }
-    wb_fleet_remove(edge->fleet, id, use_until_ms);
+    wb_fleet_remove(edge->fleet, id, grace_until_ms);
     wb_controller_engine_changed(node->controller, id);
 }
 
@@ -83,13 +83,13 @@
     wb_event("engine-restarted",
              ",\"engine\":\"%s\",\"born_ms\":%lld,\"before_ms\":%lld,\"running\":%u,"
              "\"models\":%u",
-             wb_event_text(state->id), (long long)state->born_ms, (long long)engine->state->born_ms,
+             wb_event_escape(state->id), (long long)state->born_ms, (long long)engine->state->born_ms,
              engine->running, g_hash_table_size(engine->state->models));
     wb_engine_ref(engine);
-    wb_upstreams_drop(engine);
+    wb_upstreams_close_idle(engine);
     wb_controller_engine_restarted(node->controller, state->id);
     engine_take_out(node, engine, 0);
-    wb_pace_book_forget(node->pace_book, state->id);
+    wb_pace_aggregate_remove(node->pace_book, state->id);
     wb_exchanges_engine_ended(&node->edge, engine);
     wb_engine_unref(engine);
 }
@@ -103,7 +103,7 @@
     }
     wb_event("engine-row-refused",
              ",\"engine\":\"%s\",\"row_version\":%lld,\"reason\":\"%s\",\"rows\":%u",
-             wb_event_text(row->key), (long long)row->version, wb_event_text(reason),
+             wb_event_escape(row->key), (long long)row->version, wb_event_escape(reason),
              node->rows_refused);
     node->rows_refused_ms = now_ms;
     node->rows_refused = 0;
@@ -129,10 +129,10 @@
 
 static void row_gone(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
     if (known != NULL) {
-        wb_event("engine-gone", ",\"engine\":\"%s\",\"row_version\":%lld", wb_event_text(row->key),
+        wb_event("engine-gone", ",\"engine\":\"%s\",\"row_version\":%lld", wb_event_escape(row->key),
                  (long long)row->version);
         engine_take_out(node, known,
-                        wb_fleet_use_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
+                        wb_fleet_grace_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
                                               node->edge.settings.drain_ms, wb_clock_ms()));
     }
     wb_edge_node_news_add(node, WB_TABLE_ENGINES, row);
@@ -171,7 +171,7 @@
         return;
     }
     gboolean restarted = known != NULL && wb_engine_state_is_later(known->state, state);
-    gboolean was_leaving = known != NULL && known->leaving_ms != 0;
+    gboolean was_leaving = known != NULL && known->draining_since_ms != 0;
     gboolean was_cold = known != NULL && known->state->cold_ms > 0;
     wb_engine_t *before = known != NULL ? wb_engine_ref(known) : NULL;
     if (restarted) {
@@ -189,7 +189,7 @@
                                      engine->state->address);
     }
     gboolean turned_cold = !was_cold && engine->state->cold_ms > 0;
-    if (known == NULL || restarted || turned_cold || was_leaving != (engine->leaving_ms != 0)) {
+    if (known == NULL || restarted || turned_cold || was_leaving != (engine->draining_since_ms != 0)) {
         engine_seen(node, engine, row);
     }
     wb_controller_engine_changed(node->controller, row->key);
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -22,27 +22,27 @@
 void wb_edge_node_check_lease(wb_edge_node_t *node) {
     gboolean held = wb_lease_is_held(node->lease, wb_clock_ms());
     uint64_t token = wb_lease_token(node->lease);
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (held != node->held) {
         node->held = held;
         wb_edge_node_set_paces(node);
         wb_event(held ? "lease-held" : "lease-not-held",
                  ",\"token\":%llu,\"known_holder\":\"%s\",\"known_token\":%llu",
-                 (unsigned long long)token, known != NULL ? wb_event_text(known->holder) : "",
+                 (unsigned long long)token, known != NULL ? wb_event_escape(known->holder) : "",
                  known != NULL ? (unsigned long long)known->token : 0ULL);
         if (held) {
             node->edge.metrics.lease_takeovers++;
             /* Others' readings were enough until now; decisions need this node's own. */
-            wb_table_watch_look(node->engines_watch);
-            wb_table_watch_look(node->catalog_watch);
+            wb_table_watch_poll_soon(node->engines_watch);
+            wb_table_watch_poll_soon(node->catalog_watch);
         }
     }
     /* A lapse stops orders at once; what is believed of engines stays good while nobody else held
      * it. */
     if (held)
-        wb_controller_set_token(node->controller, token, wb_lease_predecessor(node->lease));
+        wb_controller_set_lease(node->controller, token, wb_lease_predecessor(node->lease));
     else if (known != NULL && known->token != token)
-        wb_controller_set_token(node->controller, 0, NULL);
+        wb_controller_set_lease(node->controller, 0, NULL);
 }
 
 static void lease_answered(const wb_table_answer_t *answer, void *context) {
@@ -53,7 +53,7 @@
         wb_lease_on_written(node->lease, answer->version, now_ms);
         break;
     case WB_TABLE_UNKNOWN:
-        wb_lease_on_unknown(node->lease, now_ms);
+        wb_lease_on_write_unknown(node->lease, now_ms);
         break;
     default:
         wb_lease_on_not_written(node->lease, now_ms);
@@ -73,8 +73,8 @@
                            .beat = row->beat,
                            .released = row->released,
                            .recent_loads = row->recent_loads,
-                           .grants_known = row->grants_known,
-                           .any_granted = row->any_granted,
+                           .has_grants = row->has_grants,
+                           .grants_unlisted = row->grants_unlisted,
                            .granted = {row->granted_count, row->granted},
                            .inherited = {row->inherited_count, row->inherited}};
 }
@@ -86,8 +86,8 @@
                             .beat = wire->beat,
                             .released = wire->released,
                             .recent_loads = wire->recent_loads,
-                            .grants_known = wire->grants_known,
-                            .any_granted = wire->any_granted,
+                            .has_grants = wire->has_grants,
+                            .grants_unlisted = wire->grants_unlisted,
                             .granted = wire->granted.granted_val,
                             .granted_count = wire->granted.granted_len,
                             .inherited = wire->inherited.inherited_val,
@@ -96,7 +96,7 @@
 
 wb_lease_row_t wb_edge_node_lease_in_short(const wb_lease_row_t *row) {
     wb_lease_row_t in_short = *row;
-    in_short.grants_known = FALSE;
+    in_short.has_grants = FALSE;
     in_short.granted_count = 0;
     in_short.inherited_count = 0;
     return in_short;
@@ -104,15 +104,15 @@
 
 /* Says of which build the row is. Returns bytes written, 0 when there is no room. */
 static u_int parts_write(char *bytes, u_int room) {
-    wb_wire_parts parts = {0};
-    wb_wire_writer writer = {WB_WIRE_FORM};
+    wb_wire_extensions parts = {0};
+    wb_wire_writer writer = {WB_WIRE_FORMAT_VERSION};
     XDR stream;
-    wb_parts_add(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+    wb_extensions_add(&parts, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
-    gboolean whole = xdr_wb_wire_parts(&stream, &parts);
+    gboolean whole = xdr_wb_wire_extensions(&stream, &parts);
     u_int length = whole ? xdr_getpos(&stream) : 0;
     xdr_destroy(&stream);
-    wb_parts_clear(&parts);
+    wb_extensions_clear(&parts);
     return length;
 }
 
@@ -154,7 +154,7 @@
 /* Nobody takes over from a holder before the store has answered since its last news: if it is away,
  * the holder lost it as well. */
 static gboolean store_answered(const wb_edge_node_t *node) {
-    return wb_lease_is_own(node->lease) || wb_lease_known(node->lease) == NULL ||
+    return wb_lease_is_own(node->lease) || wb_lease_known_row(node->lease) == NULL ||
            wb_table_watch_known_ms(node->nodes_watch) >= node->news_heard_ms;
 }
 
@@ -175,7 +175,7 @@
     }
     gboolean strong = own >= STRONG_SHARE * strongest;
     int64_t rivals = strong ? strong_count : (int64_t)node->edge.node_count;
-    wb_lease_set_spread(node->lease, strong ? 0 : TAKEOVER_WEAK_MS,
+    wb_lease_set_takeover_delay(node->lease, strong ? 0 : TAKEOVER_WEAK_MS,
                         MAX(TAKEOVER_SPREAD_MS, TAKEOVER_GAP_MS * rivals));
 }
 
@@ -199,7 +199,7 @@
 int64_t wb_edge_node_ask_order(const char *engine, void *context) {
     wb_edge_node_t *node = context;
     int64_t now_ms = wb_clock_ms();
-    int64_t wait_ms = wb_lease_ask_order(node->lease, engine, now_ms);
+    int64_t wait_ms = wb_lease_authorize_order(node->lease, engine, now_ms);
     if (wait_ms < 0) {
         /* The row that names the engine is written now, not at the next tick. */
         wb_edge_node_tick_lease(node, now_ms);
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -10,7 +10,7 @@
 /* Whether news are of the start of an engine that is known here. Those of a later one will count
  * once its row is read, which is done now; those of an earlier one are over. */
 static gboolean start_is_known(wb_edge_node_t *node, const wb_engine_t *engine,
-                               const wb_wire_starts *starts, guint i) {
+                               const wb_wire_start_times *starts, guint i) {
     if (i >= starts->born_ms.born_ms_len || starts->born_ms.born_ms_val[i] == 0) {
         return TRUE; /* not told */
     }
@@ -18,9 +18,9 @@
     if (born_ms == engine->state->born_ms) {
         return TRUE;
     }
-    node->edge.metrics.news_of_other_starts++;
+    node->edge.metrics.updates_of_other_starts++;
     if (born_ms > engine->state->born_ms) {
-        wb_table_watch_look(node->engines_watch);
+        wb_table_watch_poll_soon(node->engines_watch);
     }
     return FALSE;
 }
@@ -30,32 +30,32 @@
     wb_edge_t *edge = &node->edge;
     int64_t row_after_ms = 2 * edge->settings.engine_heartbeat_ms;
     if (entry->ready_in_ms > 0) {
-        wb_exchanges_expect(edge, engine->state->service, entry->model, entry->ready_in_ms);
+        wb_exchanges_expect_model(edge, engine->state->service, entry->model, entry->ready_in_ms);
         return;
     }
     if (entry->held)
-        wb_exchanges_no_longer_expect(edge, engine->state->service, entry->model);
-    wb_engine_note(engine, entry->model, entry->adapter, entry->held, wb_clock_ms(), row_after_ms,
+        wb_exchanges_model_loaded(edge, engine->state->service, entry->model);
+    wb_engine_apply_placement(engine, entry->model, entry->adapter, entry->held, wb_clock_ms(), row_after_ms,
                    row_after_ms + (int64_t)(edge->settings.store_look_s * 1000));
     wb_event("placement-news", ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
-             wb_event_text(entry->engine), wb_event_text(entry->model),
-             wb_event_text(entry->adapter), entry->held ? "true" : "false");
+             wb_event_escape(entry->engine), wb_event_escape(entry->model),
+             wb_event_escape(entry->adapter), entry->held ? "true" : "false");
 }
 
 /* Takes news of models. @param parts of their message; NULL: they are this node's own */
 static void news_take(wb_edge_node_t *node, const wb_wire_placement *news,
-                      const wb_wire_parts *parts) {
+                      const wb_wire_extensions *parts) {
     wb_edge_t *edge = &node->edge;
-    wb_wire_starts starts = {{0, NULL}};
+    wb_wire_start_times starts = {{0, NULL}};
     if (parts != NULL) {
-        wb_parts_read(parts, WB_WIRE_PART_STARTS, (xdrproc_t)xdr_wb_wire_starts, &starts);
+        wb_extensions_read(parts, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times, &starts);
     }
     for (guint i = 0; i < news->entries.entries_len; i++) {
         const wb_wire_placement_entry *entry = &news->entries.entries_val[i];
         wb_engine_t *engine = wb_fleet_find(edge->fleet, entry->engine);
         if (engine == NULL) {
             if (!wb_edge_node_directory_news(node, entry)) {
-                wb_table_watch_look(node->engines_watch);
+                wb_table_watch_poll_soon(node->engines_watch);
             }
             continue;
         }
@@ -63,7 +63,7 @@
             wb_edge_node_placement_take(node, engine, entry);
         }
     }
-    xdr_free((xdrproc_t)xdr_wb_wire_starts, &starts);
+    xdr_free((xdrproc_t)xdr_wb_wire_start_times, &starts);
     wb_exchanges_retry_waiting(edge);
 }
 
@@ -71,7 +71,7 @@
 static void plan_take(wb_edge_node_t *node, const wb_wire_load_plan *plan) {
     for (guint i = 0; i < plan->entries.entries_len; i++) {
         const wb_wire_load_plan_entry *entry = &plan->entries.entries_val[i];
-        wb_exchanges_expect(&node->edge, plan->service, entry->model, entry->ready_in_ms);
+        wb_exchanges_expect_model(&node->edge, plan->service, entry->model, entry->ready_in_ms);
     }
 }
 
@@ -96,7 +96,7 @@
     wb_wire_message message = {.kind = WB_WIRE_HELLO};
     message.wb_wire_message_u.hello = (wb_wire_hello){.cluster = EDGE_CLUSTER,
                                                       .node = (char *)node->edge.settings.id,
-                                                      .incarnation = WB_WIRE_FORM,
+                                                      .incarnation = WB_WIRE_FORMAT_VERSION,
                                                       .address = "",
                                                       .zone = ""};
     wb_link_send(link, &message);
@@ -104,7 +104,7 @@
 
 void wb_edge_node_hello_take(wb_link_t *link, const wb_wire_hello *hello) {
     if (strcmp(hello->cluster, EDGE_CLUSTER) == 0) {
-        wb_link_set_form(link, (unsigned)CLAMP(hello->incarnation, 1, WB_WIRE_FORM));
+        wb_link_set_format_version(link, (unsigned)CLAMP(hello->incarnation, 1, WB_WIRE_FORMAT_VERSION));
     }
 }
 
@@ -121,11 +121,11 @@
     wb_edge_node_t *node = context;
     if (message->kind == WB_WIRE_HELLO)
         wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
-    if (message->kind == WB_WIRE_ENGINES_WANT)
+    if (message->kind == WB_WIRE_ENGINE_SUBSCRIBE)
         wb_edge_node_relay_want(node, link, g_hash_table_lookup(node->gateways, link),
-                                &message->wb_wire_message_u.engines_want);
-    if (message->kind == WB_WIRE_STORE_NEWS)
-        wb_edge_node_take_announcement(node, &message->wb_wire_message_u.store_news);
+                                &message->wb_wire_message_u.engine_subscribe);
+    if (message->kind == WB_WIRE_STORE_UPDATE)
+        wb_edge_node_take_announcement(node, &message->wb_wire_message_u.store_update);
     if (message->kind == WB_WIRE_POISON)
         wb_edge_node_poison_take(node, &message->wb_wire_message_u.poison);
     if (message->kind == WB_WIRE_ENGINE_STATES)
@@ -138,7 +138,7 @@
         gateway->name = g_strdup(demand->node);
     gateway->heard_ms = wb_clock_ms();
     gateway->lost = FALSE;
-    wb_controller_take_demand(node->controller, demand);
+    wb_controller_on_demand(node->controller, demand);
     wb_edge_node_quota_take_report(node, demand);
     wb_edge_node_pace_take_report(node, demand);
 }
@@ -159,7 +159,7 @@
     if (!to_self && !node->controller_link_open)
         return;
     wb_wire_message message;
-    wb_demand_message(node->edge.demand, node->edge.fleet, node->edge.settings.id, &message);
+    wb_demand_build_message(node->edge.demand, node->edge.fleet, node->edge.settings.id, &message);
     wb_wire_demand *demand = &message.wb_wire_message_u.demand;
     gboolean report_due = wb_edge_node_quota_report_due(node, wb_clock_ms());
     wb_edge_node_quota_report(node, demand);
@@ -174,7 +174,7 @@
     node->demand_told = !empty;
     node->quota_reported_ms = node->demand_told_ms;
     if (to_self) {
-        wb_controller_take_demand(node->controller, demand);
+        wb_controller_on_demand(node->controller, demand);
         wb_edge_node_quota_take_report(node, demand);
         wb_edge_node_pace_take_report(node, demand);
     } else
@@ -203,7 +203,7 @@
     node->demand_told = TRUE;
     node->states_told = FALSE;
     node->link_opened_ms = wb_clock_ms();
-    wb_quota_gate_set_reached(node->edge.quota, TRUE);
+    wb_quota_limiter_set_connected(node->edge.quota, TRUE);
     wb_event("controller-reached", ",\"address\":\"%s\"", node->controller_address);
     wb_edge_node_pace_link_open(node);
     wb_edge_node_tell_demand(node);
@@ -214,7 +214,7 @@
     if (message->kind == WB_WIRE_HELLO)
         wb_edge_node_hello_take(link, &message->wb_wire_message_u.hello);
     else if (message->kind == WB_WIRE_PLACEMENT)
-        news_take(context, &message->wb_wire_message_u.placement, wb_link_parts(link));
+        news_take(context, &message->wb_wire_message_u.placement, wb_link_extensions(link));
     else if (message->kind == WB_WIRE_LOAD_PLAN)
         plan_take(context, &message->wb_wire_message_u.load_plan);
     else if (message->kind == WB_WIRE_POISON)
@@ -225,8 +225,8 @@
         wb_edge_node_pace_take(context, &message->wb_wire_message_u.engine_loads);
     else if (message->kind == WB_WIRE_ENGINE_STATES)
         wb_edge_node_states_take(context, &message->wb_wire_message_u.engine_states);
-    else if (message->kind == WB_WIRE_STORE_NEWS)
-        wb_edge_node_take_news(context, &message->wb_wire_message_u.store_news);
+    else if (message->kind == WB_WIRE_STORE_UPDATE)
+        wb_edge_node_take_news(context, &message->wb_wire_message_u.store_update);
 }
 
 static void controller_close(wb_link_t *link, const char *reason, void *context) {
@@ -237,7 +237,7 @@
     node->controller_link = NULL;
     /* Its last word on the lease may not have come. */
     if (node->controller_link_open)
-        wb_table_watch_look(node->nodes_watch);
+        wb_table_watch_poll_soon(node->nodes_watch);
     node->controller_link_open = FALSE;
     node->link_retry_ms = wb_clock_ms() + LINK_RETRY_MS;
 }
@@ -255,7 +255,7 @@
 
 /* Keeps one link to whoever holds the lease, unless it is this node. */
 void wb_edge_node_tick_link(wb_edge_node_t *node, int64_t now_ms) {
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     gboolean wanted =
         known != NULL && !known->released && strcmp(known->holder, node->edge.settings.id) != 0;
     if (node->controller_link != NULL &&
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -19,13 +19,13 @@
 #define LOG_INTERVAL_MS 1000
 
 /* What there is to tell of an engine, or FALSE. */
-static gboolean use_take(wb_engine_t *engine, wb_wire_engine_use *use) {
-    if (engine->tokens_sent <= 0 && engine->pace_heard == 0) {
+static gboolean use_take(wb_engine_t *engine, wb_wire_engine_usage *use) {
+    if (engine->tokens_sent <= 0 && engine->pace_min_percent == 0) {
         return FALSE;
     }
-    *use = (wb_wire_engine_use){strdup(engine->state->id), engine->pace_heard,
+    *use = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
                                 (u_int)engine->tokens_sent};
-    engine->pace_heard = 0;
+    engine->pace_min_percent = 0;
     engine->tokens_sent = 0;
     return TRUE;
 }
@@ -37,7 +37,7 @@
     g_hash_table_iter_init(&iter, wb_fleet_all(node->edge.fleet));
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_engine_t *engine = value;
-        engine->pace_heard = wb_engine_pace_heard(&engine->pace, now_ms);
+        engine->pace_min_percent = wb_engine_pace_recent_min(&engine->pace, now_ms);
         /* What was sent while nobody was told is read by now, or its callers have left. */
         engine->tokens_sent = 0;
     }
@@ -47,7 +47,7 @@
     GHashTable *engines = wb_fleet_all(node->edge.fleet);
     demand->engines.engines_len = 0;
     demand->engines.engines_val =
-        calloc(MAX(g_hash_table_size(engines), 1), sizeof(wb_wire_engine_use));
+        calloc(MAX(g_hash_table_size(engines), 1), sizeof(wb_wire_engine_usage));
     if (!node->edge.settings.engine_pace) {
         return;
     }
@@ -66,15 +66,15 @@
     guint count = demand->engines.engines_len;
     g_autofree wb_pace_report_t *reports = g_new0(wb_pace_report_t, MAX(count, 1));
     for (guint i = 0; i < count; i++) {
-        const wb_wire_engine_use *use = &demand->engines.engines_val[i];
+        const wb_wire_engine_usage *use = &demand->engines.engines_val[i];
         reports[i] = (wb_pace_report_t){use->engine, use->pace_percent, use->tokens};
     }
-    wb_pace_book_report(node->pace_book, reports, count, wb_clock_ms());
+    wb_pace_aggregate_report(node->pace_book, reports, count, wb_clock_ms());
 }
 
 void wb_edge_node_pace_take(wb_edge_node_t *node, const wb_wire_engine_loads *told) {
     node->pace_heard_ms = wb_clock_ms();
-    node->edge.metrics.load_news++;
+    node->edge.metrics.load_updates++;
     g_autoptr(GHashTable) by_key = g_hash_table_new(NULL, NULL);
     for (guint i = 0; i < told->engines.engines_len; i++) {
         const wb_wire_engine_load *load = &told->engines.engines_val[i];
@@ -90,10 +90,10 @@
         if (load == NULL) {
             continue;
         }
-        wb_engine_pace_share(&engine->pace, load->pace_percent);
-        engine->shared_tokens_per_s = load->tokens_per_s;
-        engine->shared_backlog_ms = load->backlog_ms;
-        engine->shared_ms = node->pace_heard_ms;
+        wb_engine_pace_set_shared(&engine->pace, load->pace_percent);
+        engine->total_tokens_per_s = load->tokens_per_s;
+        engine->total_backlog_ms = load->backlog_ms;
+        engine->shared_received_ms = node->pace_heard_ms;
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 void wb_edge_node_pace_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
-    g_autoptr(GArray) loads = wb_pace_book_told(node->pace_book);
+    g_autoptr(GArray) loads = wb_pace_aggregate_snapshot(node->pace_book);
     if (wb_edge_node_is_reported_to(node) && loads->len > 0) {
         loads_tell(node, link, loads);
     }
@@ -138,24 +138,24 @@
         return;
     }
     double backlog_ms;
-    const char *engine = wb_pace_book_furthest_behind(node->pace_book, now_ms, &backlog_ms);
+    const char *engine = wb_pace_aggregate_max_backlog(node->pace_book, now_ms, &backlog_ms);
     if (engine == NULL || backlog_ms < BEHIND_MS) {
         return;
     }
     node->pace_logged_ms = now_ms;
     wb_event("engine-behind", ",\"engine\":\"%s\",\"backlog_ms\":%.0f,\"pace_percent\":%u",
-             wb_event_text(engine), backlog_ms, wb_pace_book_pace(node->pace_book, engine, now_ms));
+             wb_event_escape(engine), backlog_ms, wb_pace_aggregate_pace(node->pace_book, engine, now_ms));
 }
 
 void wb_edge_node_tick_pace(wb_edge_node_t *node, int64_t now_ms) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     gboolean keeper = wb_edge_node_is_reported_to(node);
     if (keeper && !node->pace_keeper) {
-        wb_pace_book_tell_all(node->pace_book);
+        wb_pace_aggregate_resend_all(node->pace_book);
         wb_edge_node_pace_link_open(node);
     }
     node->pace_keeper = keeper;
-    node->edge.loads_known = loads_are_known(node, now_ms);
+    node->edge.shared_loads_valid = loads_are_known(node, now_ms);
     if (!keeper || settings->engine_pace == 0 || settings->load_news_ms == 0 ||
         now_ms - node->pace_told_ms < settings->load_news_ms) {
         return;
@@ -166,7 +166,7 @@
     size_t gateways = MAX(g_hash_table_size(node->gateways), 1);
     size_t most = MAX((size_t)(bytes / ENTRY_BYTES) / gateways, 1);
     g_autoptr(GArray) loads =
-        wb_pace_book_changes(node->pace_book, MIN(most, WB_WIRE_LIST_MAX), now_ms);
+        wb_pace_aggregate_changes(node->pace_book, MIN(most, WB_WIRE_LIST_MAX), now_ms);
     if (loads->len > 0) {
         loads_tell(node, NULL, loads);
     }
--- a/src/edge/node_poison.c
+++ b/src/edge/node_poison.c
@@ -41,7 +41,7 @@
  * freed with xdr_free. */
 static wb_wire_poison entries_collect(const wb_edge_node_t *node, uint64_t since, guint engines) {
     int64_t now_ms = wb_clock_ms();
-    const wb_list_t *entries = wb_poison_book_entries(node->edge.poison);
+    const wb_list_t *entries = wb_poison_registry_entries(node->edge.poison);
     wb_wire_poison wire = {{0, calloc(MAX(entries->len, 1), sizeof(wb_wire_poison_entry))}};
     WB_LIST_EACH(item, entries) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
@@ -67,9 +67,9 @@
 
 /* Tells what has changed since this was done last: to gateways, or to the node that keeps count. */
 static void changes_tell(wb_edge_node_t *node) {
-    uint64_t version = wb_poison_book_version(node->edge.poison);
+    uint64_t version = wb_poison_registry_version(node->edge.poison);
     if (wb_edge_node_is_reported_to(node)) {
-        message_tell(node, NULL, node->poison_told, WB_POISON_TOLD_ENGINES);
+        message_tell(node, NULL, node->poison_told, WB_POISON_SYNC_ENGINES);
     } else if (node->controller_link_open) {
         message_tell(node, node->controller_link, node->poison_told, 1);
     } else {
@@ -89,7 +89,7 @@
 
 void wb_edge_node_poison_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
     if (wb_edge_node_is_reported_to(node)) {
-        message_tell(node, link, 0, WB_POISON_TOLD_ENGINES);
+        message_tell(node, link, 0, WB_POISON_SYNC_ENGINES);
     }
 }
 
@@ -100,7 +100,7 @@
         changes_tell(node);
     }
     node->poison_keeper = keeper;
-    node->edge.tries_poison = keeper;
+    node->edge.runs_poison_trials = keeper;
 }
 
 /* Takes what was told. Returns TRUE when it wasn't known. */
@@ -108,7 +108,7 @@
     gboolean news = FALSE;
     for (guint i = 0; i < told->entries.entries_len; i++) {
         wb_poison_entry_t entry = entry_from_wire(&told->entries.entries_val[i], now_ms);
-        news = wb_poison_book_merge(node->edge.poison, &entry) || news;
+        news = wb_poison_registry_merge(node->edge.poison, &entry) || news;
     }
     return news;
 }
@@ -116,10 +116,10 @@
 /* Forgives what was lately served here. Returns TRUE when there was such a request. */
 static gboolean served_forgive(wb_edge_node_t *node, int64_t now_ms) {
     gboolean forgiven = FALSE;
-    WB_LIST_EACH(item, wb_poison_book_entries(node->edge.poison)) {
+    WB_LIST_EACH(item, wb_poison_registry_entries(node->edge.poison)) {
         const wb_poison_entry_t *entry = WB_LIST_OF(item, wb_poison_entry_t, item);
         if (wb_served_set_has(node->edge.served, &entry->digest, now_ms)) {
-            forgiven = wb_poison_book_forgive(node->edge.poison, &entry->digest) || forgiven;
+            forgiven = wb_poison_registry_clear_crashes(node->edge.poison, &entry->digest) || forgiven;
         }
     }
     return forgiven;
@@ -134,13 +134,13 @@
     if (forgiven || wb_edge_node_is_reported_to(node)) {
         changes_tell(node);
     } else if (node->controller_link_open) {
-        node->poison_told = wb_poison_book_version(node->edge.poison); /* it comes from there */
+        node->poison_told = wb_poison_registry_version(node->edge.poison); /* it comes from there */
     }
     wb_exchanges_refuse_poison(&node->edge);
 }
 
 u_int wb_edge_node_poison_write(const wb_edge_node_t *node, char *bytes, u_int room) {
-    wb_wire_poison wire = entries_collect(node, 0, WB_POISON_TOLD_ENGINES);
+    wb_wire_poison wire = entries_collect(node, 0, WB_POISON_SYNC_ENGINES);
     XDR stream;
     xdrmem_create(&stream, bytes, room, XDR_ENCODE);
     gboolean whole = xdr_wb_wire_poison(&stream, &wire);
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -22,7 +22,7 @@
 
 /* Returns the token of the lease that names this node, or 0. */
 static uint64_t own_token(const wb_edge_node_t *node) {
-    const wb_lease_row_t *known = wb_lease_known(node->lease);
+    const wb_lease_row_t *known = wb_lease_known_row(node->lease);
     if (known == NULL || known->released || strcmp(known->holder, node->edge.settings.id) != 0) {
         return 0;
     }
@@ -30,17 +30,17 @@
 }
 
 void wb_edge_node_quota_limits(wb_edge_node_t *node) {
-    wb_quota_book_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
+    wb_quota_ledger_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
 }
 
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand) {
-    GArray *uses = wb_quota_gate_take_uses(node->edge.quota);
+    GArray *uses = wb_quota_limiter_take_usage(node->edge.quota);
     demand->tenants.tenants_len = uses->len;
-    demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_use));
+    demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_usage));
     for (guint i = 0; i < uses->len; i++) {
-        const wb_quota_use_t *use = &g_array_index(uses, wb_quota_use_t, i);
+        const wb_quota_usage_t *use = &g_array_index(uses, wb_quota_usage_t, i);
         demand->tenants.tenants_val[i] =
-            (wb_wire_tenant_use){strdup(use->tenant), use->kind, (u_int)use->requests,
+            (wb_wire_tenant_usage){strdup(use->tenant), use->kind, (u_int)use->requests,
                                  (uint64_t)use->asked, (int64_t)use->admitted};
     }
     g_array_unref(uses);
@@ -48,18 +48,18 @@
 
 void wb_edge_node_quota_take_report(wb_edge_node_t *node, const wb_wire_demand *demand) {
     int64_t now_ms = wb_clock_ms();
-    wb_quota_book_node_reached(node->quota_book, demand->node);
+    wb_quota_ledger_node_connected(node->quota_book, demand->node);
     for (guint i = 0; i < demand->tenants.tenants_len; i++) {
-        const wb_wire_tenant_use *wire = &demand->tenants.tenants_val[i];
-        wb_quota_use_t use = {wire->tenant, wire->kind, (double)wire->asked, (double)wire->requests,
+        const wb_wire_tenant_usage *wire = &demand->tenants.tenants_val[i];
+        wb_quota_usage_t use = {wire->tenant, wire->kind, (double)wire->asked, (double)wire->requests,
                               (double)wire->admitted};
-        wb_quota_book_report(node->quota_book, demand->node, &use, now_ms);
+        wb_quota_ledger_report(node->quota_book, demand->node, &use, now_ms);
     }
 }
 
 void wb_edge_node_quota_lost(wb_edge_node_t *node, const wb_gateway_t *gateway) {
     if (gateway != NULL && gateway->name != NULL) {
-        wb_quota_book_node_lost(node->quota_book, gateway->name, wb_clock_ms());
+        wb_quota_ledger_node_lost(node->quota_book, gateway->name, wb_clock_ms());
     }
 }
 
@@ -93,7 +93,7 @@
         shares[i] = (wb_quota_share_t){entry->tenant, entry->kind, entry->share_ppm / PPM};
     }
     node->quota_heard_ms = wb_clock_ms();
-    wb_quota_gate_tell(node->edge.quota, shares, told->tenants.tenants_len, node->quota_heard_ms);
+    wb_quota_limiter_set_shares(node->edge.quota, shares, told->tenants.tenants_len, node->quota_heard_ms);
 }
 
 /* Writes what decided the shares, once a second while a tenant is short. */
@@ -104,13 +104,13 @@
     for (guint i = 0; i < shares->len; i++) {
         const wb_quota_share_t *share = &g_array_index(shares, wb_quota_share_t, i);
         wb_quota_state_t state = {0};
-        wb_quota_book_state(node->quota_book, share->tenant, now_ms, &state);
+        wb_quota_ledger_state(node->quota_book, share->tenant, now_ms, &state);
         node->quota_logged_ms = now_ms;
         wb_event("quota-share",
                  ",\"tenant\":\"%s\",\"kind\":\"%08x\",\"share\":%.3f,\"level\":%.0f,\"asked_per_"
                  "s\":%.0f,"
                  "\"admitted_per_s\":%.0f,\"assumed_per_s\":%.0f",
-                 wb_event_text(share->tenant), share->kind, share->share, state.level,
+                 wb_event_escape(share->tenant), share->kind, share->share, state.level,
                  state.asked_per_s, state.admitted_per_s, state.assumed_per_s);
     }
 }
@@ -166,7 +166,7 @@
     node->quota_row_until_ms = 0;
     if (!told_since) {
         g_byte_array_set_size(node->quota_row, 0);
-        wb_quota_gate_tell(node->edge.quota, NULL, 0, now_ms);
+        wb_quota_limiter_set_shares(node->edge.quota, NULL, 0, now_ms);
     }
 }
 
@@ -197,10 +197,10 @@
 static void book_begin(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer id;
-    wb_quota_book_clear(node->quota_book, now_ms);
+    wb_quota_ledger_clear(node->quota_book, now_ms);
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        wb_quota_book_expect(node->quota_book, id, now_ms);
+        wb_quota_ledger_expect_node(node->quota_book, id, now_ms);
     }
 }
 
@@ -211,14 +211,14 @@
         node->quota_token = token;
         book_begin(node, now_ms);
     }
-    wb_quota_gate_set_reached(node->edge.quota, book_is_reached(node, now_ms));
+    wb_quota_limiter_set_connected(node->edge.quota, book_is_reached(node, now_ms));
     if (token == 0 || !has_tenants(node)) {
         return;
     }
     silent_check(node, now_ms);
-    wb_quota_book_set_sole(node->quota_book, node->held);
+    wb_quota_ledger_set_sole(node->quota_book, node->held);
     gboolean changed;
-    const GArray *shares = wb_quota_book_shares(node->quota_book, now_ms, &changed);
+    const GArray *shares = wb_quota_ledger_shares(node->quota_book, now_ms, &changed);
     /* While it may give orders, its other news show that it is there. */
     gboolean due = !node->held && now_ms - node->quota_told_ms >= TELL_MOST_MS;
     if (changed || due) {
--- a/src/edge/node_reach.c
+++ b/src/edge/node_reach.c
@@ -29,7 +29,7 @@
  * link was lost may be read a little later. */
 static gboolean holder_renews_unheard(const wb_edge_node_t *node) {
     int64_t renewal_ms = node->edge.settings.lease_renew_ms;
-    return wb_lease_changed_ms(node->lease) >
+    return wb_lease_row_changed_ms(node->lease) >
            node->unheard_since_ms + UNHEARD_GRACE_MS + renewal_ms;
 }
 
@@ -50,20 +50,20 @@
     int64_t now_ms = wb_clock_ms();
     if (wb_edge_node_hears_news(node) || node->unheard_since_ms == 0 ||
         now_ms - node->unheard_since_ms < UNHEARD_GRACE_MS) {
-        return (wb_controller_view_t){WB_CONTROLLER_REACHED, 0};
+        return (wb_controller_view_t){WB_CONTROLLER_REACHABLE, 0};
     }
     /* The holder is there but may not act: the store is away for it, too, so no other node is
      * better. */
     gboolean store_unheard = store_is_unheard(node);
     if (node->controller_link_open && store_unheard) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, STORE_AWAY_MS};
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHABLE, STORE_AWAY_MS};
     }
     int64_t takeover_ms = wb_lease_takeover_at_ms(node->lease);
     gboolean overdue = takeover_ms != 0 && now_ms > takeover_ms + TAKEOVER_LATE_MS;
     if (store_unheard || overdue || holder_renews_unheard(node)) {
-        return (wb_controller_view_t){WB_CONTROLLER_UNREACHED, ELSEWHERE_MS};
+        return (wb_controller_view_t){WB_CONTROLLER_UNREACHABLE, ELSEWHERE_MS};
     }
-    return (wb_controller_view_t){WB_CONTROLLER_AWAITED,
+    return (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING,
                                   MAX(takeover_ms - now_ms, 0) + TAKEOVER_SLACK_MS};
 }
 
@@ -75,7 +75,7 @@
         return;
     }
     node->late_news_ms = node->news_heard_ms;
-    wb_table_watch_look(node->nodes_watch);
+    wb_table_watch_poll_soon(node->nodes_watch);
 }
 
 void wb_edge_node_tick_hearing(wb_edge_node_t *node, int64_t now_ms) {
@@ -84,10 +84,10 @@
         node->controller_link_open && now_ms - node->link_opened_ms < WB_NEWS_LIFE_MS;
     if (wb_edge_node_hears_news(node) || just_opened) {
         node->unheard_since_ms = 0;
-        node->reach_told = WB_CONTROLLER_REACHED;
+        node->reach_told = WB_CONTROLLER_REACHABLE;
         return;
     }
-    const wb_lease_row_t *lease = wb_lease_known(node->lease);
+    const wb_lease_row_t *lease = wb_lease_known_row(node->lease);
     uint64_t token = lease != NULL ? lease->token : 0;
     if (node->unheard_since_ms == 0 || node->unheard_token != token) {
         /* Another holder than the one that was lost has its own time to be heard. */
@@ -99,11 +99,11 @@
         return;
     }
     node->reach_told = view.reach;
-    wb_exchanges_reconsider(&node->edge);
-    if (view.reach == WB_CONTROLLER_REACHED) {
+    wb_exchanges_update_waits(&node->edge);
+    if (view.reach == WB_CONTROLLER_REACHABLE) {
         return; /* another holder was found: it may be heard soon */
     }
     wb_event("controller-missing", ",\"for_ms\":%lld,\"reach\":\"%s\",\"expected_in_ms\":%lld",
              (long long)(now_ms - node->unheard_since_ms), reach_name(view.reach),
-             (long long)view.back_in_ms);
+             (long long)view.available_in_ms);
 }
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -68,10 +68,10 @@
 }
 
 static void show_send(wb_edge_node_t *node, wb_link_t *link, wb_subscription_t *subscription,
-                      const wb_wire_engines_want *want, const GArray *holds) {
+                      const wb_wire_engine_subscribe *want, const GArray *holds) {
     int64_t now_ms = wb_clock_ms();
-    wb_wire_message message = {.kind = WB_WIRE_ENGINES_SHOW};
-    wb_wire_engines_show *show = &message.wb_wire_message_u.engines_show;
+    wb_wire_message message = {.kind = WB_WIRE_ENGINE_UPDATE};
+    wb_wire_engine_update *show = &message.wb_wire_message_u.engine_update;
     show->whole = wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->engines_watch);
     show->age_ms = table_age_ms(node, now_ms);
     if (want != NULL) {
@@ -92,7 +92,7 @@
 /* Tells a row that was asked for by name, if it is newer than the other end's; from now on its
  * changes, too. One that isn't in the table any more went while another relay told of it. */
 static void known_show(wb_edge_node_t *node, wb_subscription_t *subscription,
-                       const wb_wire_known_row *known) {
+                       const wb_wire_row_version *known) {
     const wb_table_row_t *row = g_hash_table_lookup(node->engine_rows, known->key);
     wb_table_row_t gone = {known->key, NULL, 0, wb_table_watch_newest_row(node->engines_watch)};
     gboolean may_be_gone = known->row_version > 0 && wb_edge_node_knows_engines(node);
@@ -125,7 +125,7 @@
 }
 
 void wb_edge_node_relay_want(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
-                             const wb_wire_engines_want *want) {
+                             const wb_wire_engine_subscribe *want) {
     int64_t now_ms = wb_clock_ms();
     g_autoptr(GArray) holds = g_array_new(FALSE, FALSE, sizeof(wb_wire_placement_entry));
     if (gateway->subscription == NULL) {
@@ -136,7 +136,7 @@
         known_show(node, subscription, &want->known.known_val[i]);
     }
     for (guint i = 0; i < want->wants.wants_len; i++) {
-        const wb_wire_engine_want *one = &want->wants.wants_val[i];
+        const wb_wire_engine_selector *one = &want->wants.wants_val[i];
         g_autoptr(GPtrArray) engines =
             wb_engine_subset(wb_fleet_service(node->edge.fleet, one->service), one->model,
                              subscription->zone, now_ms);
@@ -146,7 +146,7 @@
             holds_append(holds, engine, one->model);
         }
     }
-    node->edge.metrics.directory_answers++;
+    node->edge.metrics.subscriptions_answered++;
     show_send(node, link, subscription, want, holds);
 }
 
--- a/src/edge/node_share.c
+++ b/src/edge/node_share.c
@@ -21,11 +21,11 @@
 
 void wb_edge_node_share_hear(wb_edge_node_t *node, const wb_wire_table_view *view, int64_t now_ms) {
     if (view->newest == wb_equal_share_digest(node->edge.share)) {
-        wb_equal_share_known(node->edge.share, now_ms - (int64_t)view->age_ms);
-    } else if (now_ms - node->share_looked_ms >= WB_SHARE_TRUST_MS) {
+        wb_equal_share_set_as_of(node->edge.share, now_ms - (int64_t)view->age_ms);
+    } else if (now_ms - node->share_looked_ms >= WB_SHARE_VALID_MS) {
         /* Either side has missed a node: ask the store, but not with each digest. */
         node->share_looked_ms = now_ms;
-        wb_table_watch_look(node->nodes_watch);
+        wb_table_watch_poll_soon(node->nodes_watch);
     }
 }
 
@@ -34,7 +34,7 @@
 static void begin_first(wb_edge_node_t *node, int64_t now_ms) {
     if (node->node_row_created && g_hash_table_contains(node->nodes, node->edge.settings.id)) {
         node->node_row_created = FALSE;
-        wb_equal_share_begin_first(node->edge.share, now_ms);
+        wb_equal_share_set_first_process(node->edge.share, now_ms);
     }
 }
 
@@ -54,10 +54,10 @@
     if (node->share_ticked_ms != 0 && now_ms - node->share_ticked_ms > SUSPENDED_MS) {
         wb_event("share-restarted", ",\"after_ms\":%lld",
                  (long long)(now_ms - node->share_ticked_ms));
-        wb_equal_share_restart(share, now_ms);
+        wb_equal_share_after_pause(share, now_ms);
     }
     node->share_ticked_ms = now_ms;
-    wb_equal_share_known(share, wb_table_watch_known_ms(node->nodes_watch));
+    wb_equal_share_set_as_of(share, wb_table_watch_known_ms(node->nodes_watch));
     begin_first(node, now_ms);
     wb_equal_share_sweep(share, now_ms);
     nodes_log(node, now_ms);
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -14,9 +14,9 @@
 
 /* One table answers again: so should the others, which are asked rarely while they fail. */
 static void tables_wake(wb_edge_node_t *node) {
-    wb_table_watch_wake(node->catalog_watch);
-    wb_table_watch_wake(node->engines_watch);
-    wb_table_watch_wake(node->nodes_watch);
+    wb_table_watch_retry_now(node->catalog_watch);
+    wb_table_watch_retry_now(node->engines_watch);
+    wb_table_watch_retry_now(node->nodes_watch);
     if (!node->node_row_written)
         node->node_row_due_ms = 0;
 }
@@ -35,7 +35,7 @@
     if (table == WB_TABLE_NODES) {
         wb_edge_node_set_paces(node);
         if (good)
-            wb_lease_store_back(node->lease, wb_clock_ms());
+            wb_lease_on_store_recovered(node->lease, wb_clock_ms());
     }
     if (good)
         tables_wake(node);
@@ -70,7 +70,7 @@
     wb_edge_node_t *node = context;
     if (catalog == NULL) {
         wb_event("catalog-refused", ",\"row_version\":%lld,\"reason\":\"%s\"",
-                 (long long)row_version, wb_event_text(error->message));
+                 (long long)row_version, wb_event_escape(error->message));
         return;
     }
     if (node->edge.catalog != NULL && catalog->version <= node->edge.catalog->version) {
@@ -78,7 +78,7 @@
         return;
     }
     catalog_take(node, catalog);
-    wb_exchanges_check_keys(&node->edge);
+    wb_exchanges_recheck_keys(&node->edge);
     wb_exchanges_retry_waiting(&node->edge);
 }
 
@@ -99,18 +99,18 @@
 
 /* What builds since the first of form 2 add to the lease's row. */
 static void lease_parts_read(wb_edge_node_t *node, XDR *stream) {
-    wb_wire_parts parts = {0};
+    wb_wire_extensions parts = {0};
     wb_wire_writer writer = {1};
-    if (!xdr_wb_wire_parts(stream, &parts)) {
+    if (!xdr_wb_wire_extensions(stream, &parts)) {
         wb_event("lease-parts-refused", "%s", "");
     } else {
-        wb_parts_read(&parts, WB_WIRE_PART_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
+        wb_extensions_read(&parts, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer, &writer);
     }
     if (writer.form != node->lease_form) {
-        wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORM);
+        wb_event("lease-form", ",\"form\":%u,\"own\":%d", writer.form, WB_WIRE_FORMAT_VERSION);
     }
     node->lease_form = writer.form;
-    wb_parts_clear(&parts);
+    wb_extensions_clear(&parts);
 }
 
 void wb_edge_node_take_lease_row(wb_edge_node_t *node, const wb_table_row_t *row) {
@@ -224,7 +224,7 @@
     if (answer->outcome == WB_TABLE_DONE) {
         if (node->node_row_creating) {
             node->node_row_created = TRUE;
-            wb_table_watch_hurry(node->nodes_watch);
+            wb_table_watch_expedite(node->nodes_watch);
         }
         node->node_row_written = TRUE;
         node->node_row_retry_ms = 0;
@@ -247,7 +247,7 @@
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, node->edge.settings.id, NULL);
     g_autofree char *value = g_strdup_printf("%s %llu %.3f %d", wb_edge_node_address(node),
                                              (unsigned long long)++node->node_row_beat,
-                                             node->edge.settings.processor_share, WB_WIRE_FORM);
+                                             node->edge.settings.processor_share, WB_WIRE_FORMAT_VERSION);
     node->node_row_writing = TRUE;
     node->node_row_creating = known == NULL;
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
@@ -264,7 +264,7 @@
  * removes them. */
 static void node_row_remove(wb_edge_node_t *node, const char *id, const wb_node_row_t *row) {
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, id, NULL);
-    wb_event("node-forgotten", ",\"of\":\"%s\",\"row_version\":%lld", wb_event_text(id),
+    wb_event("node-forgotten", ",\"of\":\"%s\",\"row_version\":%lld", wb_event_escape(id),
              (long long)row->version);
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
     node->table->write(node->table, key, row->version, NULL, 0, row_removed, node);
@@ -306,15 +306,15 @@
                                        .on_batch = wb_edge_node_engine_batch,
                                        .on_call = store_called,
                                        .context = node,
-                                       .on_large = wb_edge_node_directory_large};
+                                       .on_row_limit = wb_edge_node_directory_large};
     wb_table_watch_events_t nodes = {nodes_row, nodes_batch, store_called, node};
-    wb_table_pace_t pace = wb_edge_node_pace(node, WB_TABLE_CATALOG);
+    wb_table_watch_intervals_t pace = wb_edge_node_pace(node, WB_TABLE_CATALOG);
     node->catalog_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_CATALOG, &pace, &catalog);
     pace = wb_edge_node_pace(node, WB_TABLE_ENGINES);
     node->engines_watch =
         wb_table_watch_create(loop, node->table, WB_TABLE_ENGINES, &pace, &engines);
-    wb_table_watch_limit(node->engines_watch, (unsigned)node->edge.settings.engine_rows_most);
+    wb_table_watch_set_row_limit(node->engines_watch, (unsigned)node->edge.settings.engine_rows_most);
     pace = wb_edge_node_pace(node, WB_TABLE_NODES);
     node->nodes_watch = wb_table_watch_create(loop, node->table, WB_TABLE_NODES, &pace, &nodes);
 }
--- a/src/edge/node_news.c
+++ b/src/edge/node_store_updates.c
@@ -56,45 +56,45 @@
     }
 }
 
-wb_table_pace_t wb_edge_node_pace(const wb_edge_node_t *node, wb_table_name_t table) {
+wb_table_watch_intervals_t wb_edge_node_pace(const wb_edge_node_t *node, wb_table_name_t table) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     int64_t safety_ms = (int64_t)(settings->store_look_s * 1000);
     int64_t seldom_ms = SELDOM_TIMES * safety_ms;
     int64_t node_life_ms = (int64_t)(settings->node_life_s * 1000);
     int64_t node_ms = (int64_t)(NODE_LOOK_SHARE * (double)node_life_ms);
-    int64_t trust_ms;
+    int64_t peer_read_valid_ms;
     int64_t hold_ms;
     int64_t pause_ms;
     int64_t retry_ms = node->store_lost[WB_TABLE_NODES] ? RETRY_WOKEN_MS : RETRY_RARELY_MS;
     switch (table) {
     case WB_TABLE_CATALOG:
-        trust_ms = (int64_t)(TRUST_SHARE * (double)settings->catalog_ms);
-        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : settings->catalog_ms;
+        peer_read_valid_ms = (int64_t)(TRUST_SHARE * (double)settings->catalog_ms);
+        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)peer_read_valid_ms) : settings->catalog_ms;
         pause_ms = node->held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_LOOKS;
-        return (wb_table_pace_t){.wait_ms = hold_ms,
+        return (wb_table_watch_intervals_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
-                                 .trust_ms = trust_ms,
+                                 .peer_read_valid_ms = peer_read_valid_ms,
                                  .look_ms = pause_ms,
                                  .safety_ms = seldom_ms,
                                  .retry_ms = retry_ms,
-                                 .read_trust_ms = (int64_t)(READ_SHARE * (double)trust_ms)};
+                                 .full_read_valid_ms = (int64_t)(READ_SHARE * (double)peer_read_valid_ms)};
     case WB_TABLE_ENGINES:
-        trust_ms = (int64_t)(TRUST_SHARE * (double)settings->drain_ms);
-        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)trust_ms) : ENGINES_WAIT_MS;
+        peer_read_valid_ms = (int64_t)(TRUST_SHARE * (double)settings->drain_ms);
+        hold_ms = node->held ? (int64_t)(HOLDER_SHARE * (double)peer_read_valid_ms) : ENGINES_WAIT_MS;
         pause_ms =
             node->held ? hold_ms : MAX(settings->engine_poll_ms, settings->drain_ms / DRAIN_LOOKS);
-        return (wb_table_pace_t){.wait_ms = hold_ms,
+        return (wb_table_watch_intervals_t){.wait_ms = hold_ms,
                                  .pause_ms = pause_ms,
-                                 .trust_ms = trust_ms,
+                                 .peer_read_valid_ms = peer_read_valid_ms,
                                  .look_ms = settings->drain_ms / DRAIN_LOOKS,
                                  .safety_ms = safety_ms,
                                  .retry_ms = retry_ms,
-                                 .read_trust_ms = (int64_t)(READ_SHARE * (double)trust_ms)};
+                                 .full_read_valid_ms = (int64_t)(READ_SHARE * (double)peer_read_valid_ms)};
     default:
         /* Who holds the lease shows in this table only, so it is followed at once. */
-        return (wb_table_pace_t){.wait_ms = MIN(NODES_WAIT_MS, node_ms),
+        return (wb_table_watch_intervals_t){.wait_ms = MIN(NODES_WAIT_MS, node_ms),
                                  .pause_ms = MIN(NODES_PAUSE_MS, node_ms),
-                                 .trust_ms = NODES_TRUST_MS,
+                                 .peer_read_valid_ms = NODES_TRUST_MS,
                                  .look_ms = NODES_LOOK_MS,
                                  .safety_ms = MIN(seldom_ms, node_life_ms),
                                  .retry_ms = RETRY_OFTEN_MS};
@@ -143,7 +143,7 @@
 /* Engines' and nodes' rows change all the time in ways that gateways need not know at once, so
  * only the catalog's newest row is told. */
 static void news_tell(wb_edge_node_t *node, int64_t now_ms) {
-    const wb_lease_row_t *lease = wb_lease_known(node->lease);
+    const wb_lease_row_t *lease = wb_lease_known_row(node->lease);
     if (lease == NULL)
         return;
     wb_wire_table_view views[] = {
@@ -155,8 +155,8 @@
         {WB_NEWS_NODE_IDS, wb_equal_share_digest(node->edge.share),
          age_of(node->nodes_watch, now_ms)}, /* the last: left out while it isn't due */
     };
-    wb_wire_message message = {.kind = WB_WIRE_STORE_NEWS};
-    wb_wire_store_news *news = &message.wb_wire_message_u.store_news;
+    wb_wire_message message = {.kind = WB_WIRE_STORE_UPDATE};
+    wb_wire_store_update *news = &message.wb_wire_message_u.store_update;
     news->views.views_len = G_N_ELEMENTS(views) - !wb_edge_node_share_digest_is_due(node, now_ms);
     news->views.views_val = views;
     wb_lease_row_t in_short = wb_edge_node_lease_in_short(lease);
@@ -174,8 +174,8 @@
 
 void wb_edge_node_set_paces(wb_edge_node_t *node) {
     for (unsigned table = WB_TABLE_CATALOG; table <= WB_TABLE_NODES; table++) {
-        wb_table_pace_t pace = wb_edge_node_pace(node, table);
-        wb_table_watch_set_pace(wb_edge_node_watch(node, table), &pace);
+        wb_table_watch_intervals_t pace = wb_edge_node_pace(node, table);
+        wb_table_watch_set_intervals(wb_edge_node_watch(node, table), &pace);
     }
 }
 
@@ -212,9 +212,9 @@
         return; /* the relay tells how old its rows are */
     int64_t known_ms = now_ms - (int64_t)view->age_ms;
     if (view->table != WB_TABLE_ENGINES)
-        wb_table_watch_vouch(watch, (int64_t)view->newest, known_ms);
+        wb_table_watch_note_peer_read(watch, (int64_t)view->newest, known_ms);
     else if (engines_are_complete(node, view->newest))
-        wb_table_watch_vouch(watch, 0, known_ms);
+        wb_table_watch_note_peer_read(watch, 0, known_ms);
 }
 
 static void row_take(wb_edge_node_t *node, const wb_wire_table_row *wire) {
@@ -229,22 +229,22 @@
         wb_fleet_find(node->edge.fleet, wire->key) == NULL)
         return; /* none that callers here need */
     if (watch != NULL)
-        wb_table_watch_take(watch, &row);
+        wb_table_watch_apply_row(watch, &row);
 }
 
-void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_news *news) {
+void wb_edge_node_take_announcement(wb_edge_node_t *node, const wb_wire_store_update *news) {
     wb_lease_row_t lease = wb_edge_node_lease_from_wire(&news->lease);
     wb_lease_on_row(node->lease, &lease, (int64_t)news->lease_version, wb_clock_ms());
 }
 
-void wb_edge_node_take_news(wb_edge_node_t *node, const wb_wire_store_news *news) {
+void wb_edge_node_take_news(wb_edge_node_t *node, const wb_wire_store_update *news) {
     int64_t now_ms = wb_clock_ms();
     node->news_heard_ms = now_ms;
     wb_edge_node_take_announcement(node, news);
     for (guint i = 0; i < news->rows.rows_len; i++)
         row_take(node, &news->rows.rows_val[i]);
     if (news->look)
-        wb_table_watch_look(node->engines_watch);
+        wb_table_watch_poll_soon(node->engines_watch);
     for (guint i = 0; i < news->views.views_len; i++)
         view_take(node, &news->views.views_val[i], now_ms);
 }
@@ -256,6 +256,6 @@
 
 void wb_edge_node_hurry(wb_edge_node_t *node) {
     if (!wb_edge_node_hears_news(node)) {
-        wb_table_watch_hurry(node->engines_watch);
+        wb_table_watch_expedite(node->engines_watch);
     }
 }
--- a/src/edge/node_zones.c
+++ b/src/edge/node_zones.c
@@ -35,14 +35,14 @@
 
 static void zone_evacuate(wb_edge_node_t *node, const char *zone) {
     int64_t now_ms = wb_clock_ms();
-    if (wb_fleet_zone_is_closed(node->edge.fleet, zone)) {
+    if (wb_fleet_zone_is_evacuated(node->edge.fleet, zone)) {
         return;
     }
     int64_t closed_ms = now_ms + grace_ms(node);
-    unsigned engines = wb_fleet_close_zone(node->edge.fleet, zone, closed_ms);
+    unsigned engines = wb_fleet_evacuate_zone(node->edge.fleet, zone, closed_ms);
     node->edge.metrics.evacuations++;
     wb_event("zone-evacuated", ",\"of\":\"%s\",\"engines\":%u,\"closed_in_ms\":%lld",
-             wb_event_text(zone), engines, (long long)(closed_ms - now_ms));
+             wb_event_escape(zone), engines, (long long)(closed_ms - now_ms));
 }
 
 /* Engines of a zone that is taken back may have turned cold just before, and their rows, a
@@ -65,19 +65,19 @@
 }
 
 static void zone_take_back(wb_edge_node_t *node, const char *zone) {
-    if (!wb_fleet_zone_is_closed(node->edge.fleet, zone)) {
+    if (!wb_fleet_zone_is_evacuated(node->edge.fleet, zone)) {
         return;
     }
-    unsigned engines = wb_fleet_open_zone(node->edge.fleet, zone);
+    unsigned engines = wb_fleet_end_evacuation(node->edge.fleet, zone);
     zone_is_cold(node, zone);
-    wb_event("zone-taken-back", ",\"of\":\"%s\",\"engines\":%u", wb_event_text(zone), engines);
+    wb_event("zone-taken-back", ",\"of\":\"%s\",\"engines\":%u", wb_event_escape(zone), engines);
     wb_exchanges_retry_waiting(&node->edge);
 }
 
 static void zone_note(wb_edge_node_t *node, const char *zone, int64_t version, gboolean evacuated) {
     wb_zone_row_t *known = g_hash_table_lookup(node->zones, zone);
     if (known == NULL && g_hash_table_size(node->zones) >= ZONES_MOST) {
-        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_text(zone), ZONES_MOST);
+        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_escape(zone), ZONES_MOST);
         return;
     }
     if (known == NULL) {
--- a/src/edge/store_calls.c
+++ b/src/edge/store_calls.c
@@ -47,9 +47,9 @@
         return;
     }
     wb_event("store-calls", ",\"for_ms\":%lld,\"failed\":%llu%s", (long long)passed_ms,
-             (unsigned long long)(calls->failed - calls->failed_told), text->str);
+             (unsigned long long)(calls->failed - calls->failed_logged), text->str);
     memcpy(calls->told, calls->made, sizeof(calls->told));
-    calls->failed_told = calls->failed;
+    calls->failed_logged = calls->failed;
 }
 
 void wb_store_calls_write(const wb_store_calls_t *calls, GString *text) {
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -87,22 +87,22 @@
 
 static wb_order_outcome_t order_outcome(const wb_http_result_t *result, uint64_t fence,
                                         const wb_inventory_t *inventory) {
-    if (result->outcome != WB_HTTP_ANSWERED || inventory == NULL)
-        return WB_ORDER_LOST;
+    if (result->outcome != WB_HTTP_COMPLETED || inventory == NULL)
+        return WB_ORDER_NO_RESPONSE;
     if (result->status == 200 || result->status == 202)
-        return WB_ORDER_TAKEN;
+        return WB_ORDER_ACCEPTED;
     return inventory->fence > fence || result->status == 409 ? WB_ORDER_STALE : WB_ORDER_REFUSED;
 }
 
 static void order_done(const wb_http_result_t *result, void *context) {
     order_call_t *call = context;
     wb_engine_client_t *client = call->client;
-    wb_inventory_t *inventory = result->outcome == WB_HTTP_ANSWERED ? inventory_read(result) : NULL;
+    wb_inventory_t *inventory = result->outcome == WB_HTTP_COMPLETED ? inventory_read(result) : NULL;
     wb_order_outcome_t outcome = order_outcome(result, call->fence, inventory);
     if (inventory != NULL && inventory->fence == call->fence && outcome == WB_ORDER_STALE)
         outcome = WB_ORDER_REFUSED; /* 409 for the order itself: it was unloading */
-    if (outcome != WB_ORDER_TAKEN)
-        wb_log_info(WB_PART_ENGINE, "Engine %s did not take order %" G_GUINT64_FORMAT ": %u %s.",
+    if (outcome != WB_ORDER_ACCEPTED)
+        wb_log_info(WB_LOG_ENGINE, "Engine %s did not take order %" G_GUINT64_FORMAT ": %u %s.",
                     call->engine, (guint64)call->fence, result->status, result->reason);
     if (!client->closed)
         client->events.on_order_done(call->engine, call->fence, outcome, inventory,
@@ -169,7 +169,7 @@
 static void follow_failed(follow_t *follow) {
     wb_engine_client_t *client = follow->client;
     if (++follow->failures == LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s doesn't answer.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s doesn't answer.", follow->engine);
         client->events.on_reachable(follow->engine, FALSE, client->events.context);
     }
     follow->calling = TRUE;
@@ -180,7 +180,7 @@
 static void follow_succeeded(follow_t *follow, wb_inventory_t *inventory) {
     wb_engine_client_t *client = follow->client;
     if (follow->failures >= LOST_AFTER_FAILURES) {
-        wb_log_message(WB_PART_ENGINE, "Engine %s answers again.", follow->engine);
+        wb_log_message(WB_LOG_ENGINE, "Engine %s answers again.", follow->engine);
         client->events.on_reachable(follow->engine, TRUE, client->events.context);
     }
     follow->failures = 0;
@@ -192,7 +192,7 @@
     follow_t *follow = context;
     wb_engine_client_t *client = follow->client;
     follow->calling = FALSE;
-    wb_inventory_t *inventory = result->outcome == WB_HTTP_ANSWERED && result->status == 200
+    wb_inventory_t *inventory = result->outcome == WB_HTTP_COMPLETED && result->status == 200
                                     ? inventory_read(result)
                                     : NULL;
     if (follow->stopped) {
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -24,7 +24,7 @@
 typedef struct wb_kept_state_t {
     gboolean leaving;
     wb_engine_limit_t limit; /* without what was sent */
-    int64_t rest_until_ms;
+    int64_t backoff_until_ms;
 } wb_kept_state_t;
 
 struct wb_fleet_t {
@@ -32,7 +32,7 @@
     GHashTable *services; /* name -> GPtrArray of wb_engine_t, with those just gone */
     GHashTable *told;     /* incarnation of an engine that was forgotten -> wb_kept_state_t */
     GQueue told_order;    /* their keys, oldest first; borrowed */
-    GHashTable *closed;   /* zone that is being evacuated -> int64_t *, as closed_from_ms */
+    GHashTable *closed;   /* zone that is being evacuated -> int64_t *, as evacuated_from_ms */
 };
 
 wb_engine_t *wb_engine_ref(wb_engine_t *engine) {
@@ -46,7 +46,7 @@
     wb_engine_state_free(engine->state);
     g_hash_table_unref(engine->overlay);
     g_hash_table_unref(engine->prefixes);
-    wb_send_gate_clear(&engine->cold_gate);
+    wb_send_limiter_clear(&engine->cold_limiter);
     wb_engine_limit_clear(&engine->limit);
     g_free(engine);
 }
@@ -77,13 +77,13 @@
     const int64_t *from_ms = engine->state->zone != NULL
                                  ? g_hash_table_lookup(fleet->closed, engine->state->zone)
                                  : NULL;
-    engine->closed_from_ms = from_ms != NULL ? *from_ms : 0;
+    engine->evacuated_from_ms = from_ms != NULL ? *from_ms : 0;
 }
 
 /* What an engine told holds for its start, however often its row goes and comes back. */
 static void told_keep(wb_fleet_t *fleet, const wb_engine_t *engine) {
     const char *incarnation = engine->state->incarnation;
-    gboolean told = engine->told_leaving || engine->limit.named || engine->rest_until_ms != 0;
+    gboolean told = engine->drain_reported || engine->limit.named || engine->backoff_until_ms != 0;
     wb_kept_state_t *kept = g_hash_table_lookup(fleet->told, incarnation);
     if (kept == NULL && !told) {
         return;
@@ -97,16 +97,16 @@
         g_hash_table_insert(fleet->told, key, kept);
         g_queue_push_tail(&fleet->told_order, key);
     }
-    *kept = (wb_kept_state_t){engine->told_leaving, engine->limit, engine->rest_until_ms};
-    kept->limit.gate = (wb_send_gate_t){NULL};
+    *kept = (wb_kept_state_t){engine->drain_reported, engine->limit, engine->backoff_until_ms};
+    kept->limit.gate = (wb_send_limiter_t){NULL};
 }
 
 static void told_restore(const wb_fleet_t *fleet, wb_engine_t *engine) {
     const wb_kept_state_t *kept = g_hash_table_lookup(fleet->told, engine->state->incarnation);
     if (kept != NULL) {
-        engine->told_leaving = kept->leaving;
+        engine->drain_reported = kept->leaving;
         engine->limit = kept->limit;
-        engine->rest_until_ms = kept->rest_until_ms;
+        engine->backoff_until_ms = kept->backoff_until_ms;
     }
 }
 
@@ -183,54 +183,54 @@
     int64_t now_ms = wb_clock_ms();
     engine->cold_until_ms = state->cold_ms > 0 ? now_ms + state->cold_ms : 0;
     g_hash_table_foreach_remove(engine->overlay, note_is_settled, &now_ms);
-    if (!state->leaving && !engine->told_leaving)
-        engine->leaving_ms = 0;
-    else if (engine->leaving_ms == 0)
-        engine->leaving_ms = now_ms;
+    if (!state->leaving && !engine->drain_reported)
+        engine->draining_since_ms = 0;
+    else if (engine->draining_since_ms == 0)
+        engine->draining_since_ms = now_ms;
     if (state->leaving)
-        engine->use_until_ms = 0;
+        engine->grace_until_ms = 0;
     return engine;
 }
 
-gboolean wb_engine_tell_leaving(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms) {
-    if (engine->told_leaving) {
+gboolean wb_engine_set_draining(wb_engine_t *engine, int64_t drain_ms, int64_t now_ms) {
+    if (engine->drain_reported) {
         return FALSE;
     }
-    engine->told_leaving = TRUE;
-    if (engine->leaving_ms == 0) {
-        engine->leaving_ms = now_ms;
-        engine->use_until_ms = now_ms + (int64_t)(GONE_USE_SHARE * (double)drain_ms);
+    engine->drain_reported = TRUE;
+    if (engine->draining_since_ms == 0) {
+        engine->draining_since_ms = now_ms;
+        engine->grace_until_ms = now_ms + (int64_t)(GONE_USE_SHARE * (double)drain_ms);
     }
     return TRUE;
 }
 
-int64_t wb_fleet_use_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms) {
+int64_t wb_fleet_grace_until_ms(int64_t known_ms, int64_t drain_ms, int64_t now_ms) {
     if (now_ms - known_ms >= drain_ms) {
         return now_ms + (int64_t)(LAPSED_USE_SHARE * (double)drain_ms);
     }
     return known_ms + (int64_t)(GONE_USE_SHARE * (double)drain_ms);
 }
 
-gboolean wb_engine_is_open(const wb_engine_t *engine, int64_t now_ms) {
-    if (engine->closed_from_ms != 0 && now_ms >= engine->closed_from_ms) {
+gboolean wb_engine_is_usable(const wb_engine_t *engine, int64_t now_ms) {
+    if (engine->evacuated_from_ms != 0 && now_ms >= engine->evacuated_from_ms) {
         return FALSE;
     }
-    return engine->leaving_ms == 0 ||
-           ((engine->gone || engine->told_leaving) && now_ms < engine->use_until_ms);
+    return engine->draining_since_ms == 0 ||
+           ((engine->gone || engine->drain_reported) && now_ms < engine->grace_until_ms);
 }
 
-gboolean wb_engine_stays(const wb_engine_t *engine) {
-    return engine->leaving_ms == 0 && engine->closed_from_ms == 0;
+gboolean wb_engine_is_available(const wb_engine_t *engine) {
+    return engine->draining_since_ms == 0 && engine->evacuated_from_ms == 0;
 }
 
-void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t use_until_ms) {
+void wb_fleet_remove(wb_fleet_t *fleet, const char *id, int64_t grace_until_ms) {
     wb_engine_t *engine = wb_fleet_find(fleet, id);
     if (engine == NULL)
         return;
     engine->gone = TRUE;
-    engine->use_until_ms = engine->leaving_ms == 0 ? use_until_ms : 0;
-    if (engine->leaving_ms == 0)
-        engine->leaving_ms = wb_clock_ms();
+    engine->grace_until_ms = engine->draining_since_ms == 0 ? grace_until_ms : 0;
+    if (engine->draining_since_ms == 0)
+        engine->draining_since_ms = wb_clock_ms();
     g_hash_table_remove(fleet->engines, id);
 }
 
@@ -265,21 +265,21 @@
     return count;
 }
 
-unsigned wb_fleet_close_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms) {
+unsigned wb_fleet_evacuate_zone(wb_fleet_t *fleet, const char *zone, int64_t from_ms) {
     g_hash_table_replace(fleet->closed, g_strdup(zone), g_memdup2(&from_ms, sizeof(from_ms)));
     return zone_apply_to_all(fleet, zone);
 }
 
-unsigned wb_fleet_open_zone(wb_fleet_t *fleet, const char *zone) {
+unsigned wb_fleet_end_evacuation(wb_fleet_t *fleet, const char *zone) {
     g_hash_table_remove(fleet->closed, zone);
     return zone_apply_to_all(fleet, zone);
 }
 
-gboolean wb_fleet_zone_is_closed(const wb_fleet_t *fleet, const char *zone) {
+gboolean wb_fleet_zone_is_evacuated(const wb_fleet_t *fleet, const char *zone) {
     return g_hash_table_contains(fleet->closed, zone);
 }
 
-unsigned wb_fleet_closed_zones(const wb_fleet_t *fleet) {
+unsigned wb_fleet_evacuated_zones(const wb_fleet_t *fleet) {
     return g_hash_table_size(fleet->closed);
 }
 
@@ -291,7 +291,7 @@
         GPtrArray *engines = value;
         for (guint i = engines->len; i > 0; i--) {
             const wb_engine_t *engine = g_ptr_array_index(engines, i - 1);
-            if (engine->gone && now_ms - engine->leaving_ms > GONE_KEPT_MS) {
+            if (engine->gone && now_ms - engine->draining_since_ms > GONE_KEPT_MS) {
                 told_keep(fleet, engine);
                 g_ptr_array_remove_index_fast(engines, i - 1);
             }
@@ -303,7 +303,7 @@
     return g_strconcat(model, "/", adapter != NULL ? adapter : "", NULL);
 }
 
-void wb_engine_note(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
+void wb_engine_apply_placement(wb_engine_t *engine, const char *model, const char *adapter, gboolean held,
                     int64_t now_ms, int64_t row_after_ms, int64_t valid_ms) {
     wb_note_t *note = g_new(wb_note_t, 1);
     note->row_from_ms = now_ms + row_after_ms;
@@ -383,11 +383,11 @@
     return digest;
 }
 
-gboolean wb_engine_has_news(const wb_engine_t *engine) {
+gboolean wb_engine_has_placement_updates(const wb_engine_t *engine) {
     return g_hash_table_size(engine->overlay) > 0;
 }
 
-GHashTable *wb_engine_holdings(const wb_engine_t *engine, int64_t now_ms) {
+GHashTable *wb_engine_held_models(const wb_engine_t *engine, int64_t now_ms) {
     GHashTable *held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GHashTableIter iter;
     gpointer value;
@@ -423,7 +423,7 @@
     const GPtrArray *engines = wb_fleet_service(fleet, service);
     for (guint i = 0; engines != NULL && i < engines->len; i++) {
         const wb_engine_t *engine = g_ptr_array_index(engines, i);
-        if (wb_engine_stays(engine) && wb_engine_holds(engine, model, adapter, now_ms)) {
+        if (wb_engine_is_available(engine) && wb_engine_holds(engine, model, adapter, now_ms)) {
             return TRUE;
         }
     }
--- a/src/membership/member.c
+++ b/src/membership/member.c
@@ -19,7 +19,7 @@
     wb_member_t *member = data;
     g_free(member->node);
     g_free(member->address);
-    g_free(member->caller_address);
+    g_free(member->client_address);
     g_free(member->zone);
     g_free(member);
 }
@@ -66,7 +66,7 @@
         known = g_new0(wb_member_t, 1);
         known->node = g_strdup(update->node);
         known->address = g_strdup(update->address);
-        known->caller_address = g_strdup(update->caller_address);
+        known->client_address = g_strdup(update->client_address);
         known->zone = g_strdup(update->zone);
         g_hash_table_insert(table->by_node, known->node, known);
     } else {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -59,7 +59,7 @@
 static void member_learnt(wb_membership_t *membership, const char *node) {
     g_hash_table_add(membership->fresh_members, g_strdup(node));
     const wb_member_t *member = wb_member_table_find(membership->table, node);
-    wb_log_info(WB_PART_MEMBERSHIP, "Member %s is %s.", node, wb_member_state_name(member->state));
+    wb_log_info(WB_LOG_MEMBERSHIP, "Member %s is %s.", node, wb_member_state_name(member->state));
     membership->events.on_member(member, membership->events.context);
 }
 
@@ -115,7 +115,7 @@
 static void member_to_wire(const wb_member_t *member, wb_wire_member *wire) {
     wire->node = member->node;
     wire->address = member->address;
-    wire->caller_address = member->caller_address;
+    wire->client_address = member->client_address;
     wire->zone = member->zone;
     wire->incarnation = member->incarnation;
     wire->state = member->state;
@@ -160,7 +160,7 @@
         wire->epoch = owner->epoch;
     }
     for (guint i = 0; i < targets->len; i++)
-        wb_peers_send_open(membership->peers, targets->pdata[i], &message);
+        wb_peers_send_if_connected(membership->peers, targets->pdata[i], &message);
 }
 
 static void gossip_send_since(wb_membership_t *membership, const char *node, int64_t since_ms) {
@@ -192,12 +192,12 @@
     if (g_hash_table_size(membership->fresh_members) == 0 &&
         g_hash_table_size(membership->fresh_cells) == 0)
         return;
-    g_autoptr(GPtrArray) targets = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) targets = wb_peers_overlay_nodes(membership->peers);
     if (targets->len < OVERLAY_LEAST) {
         /* Who joins needs neighbours at once; later the next heartbeat is early enough. */
         overlay_maintain(membership);
         g_ptr_array_unref(targets);
-        targets = wb_peers_overlay(membership->peers);
+        targets = wb_peers_overlay_nodes(membership->peers);
     }
     gossip_choice_t choice = {membership->fresh_members, membership->fresh_cells, INT64_MIN};
     gossip_send(membership, targets, &choice);
@@ -210,7 +210,7 @@
         const wb_wire_member *wire = &gossip->members.members_val[i];
         if (wire->state > WB_MEMBER_GONE)
             continue;
-        wb_member_t update = {wire->node, wire->address,     wire->caller_address,
+        wb_member_t update = {wire->node, wire->address,     wire->client_address,
                               wire->zone, wire->incarnation, (wb_member_state_t)wire->state,
                               0};
         member_merge(membership, &update);
@@ -295,12 +295,12 @@
     int64_t now_ms = wb_clock_ms();
     for (guint i = 0; i < overlay->len; i++) {
         const char *node = overlay->pdata[i];
-        int64_t silence_ms = now_ms - wb_peers_heard_ms(membership->peers, node);
+        int64_t silence_ms = now_ms - wb_peers_last_received_ms(membership->peers, node);
         if (silence_ms <= membership->suspect_after_ms)
             continue;
         member_set_state(membership, node, WB_MEMBER_SUSPECT);
         if (silence_ms > 2 * membership->suspect_after_ms)
-            wb_peers_drop(membership->peers, node, "it is silent");
+            wb_peers_disconnect(membership->peers, node, "it is silent");
     }
 }
 
@@ -317,7 +317,7 @@
 
 /* Connects to our neighbours and lets go of former ones. */
 static void overlay_maintain(wb_membership_t *membership) {
-    g_autoptr(GPtrArray) overlay = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) overlay = wb_peers_overlay_nodes(membership->peers);
     g_autoptr(GPtrArray) neighbours =
         wb_member_table_neighbours(membership->table, membership->self.node);
     for (guint i = 0; i < neighbours->len; i++)
@@ -362,12 +362,12 @@
     heartbeat->member_digest = wb_member_table_digest(membership->table);
     heartbeat->owner_digest = membership->owner_digest;
     for (guint i = 0; i < overlay->len; i++)
-        wb_peers_send_open(membership->peers, overlay->pdata[i], &message);
+        wb_peers_send_if_connected(membership->peers, overlay->pdata[i], &message);
 }
 
 static void heartbeat_tick(void *context) {
     wb_membership_t *membership = context;
-    g_autoptr(GPtrArray) overlay = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) overlay = wb_peers_overlay_nodes(membership->peers);
     neighbours_check(membership, overlay);
     suspects_check(membership);
     overlay_maintain(membership);
@@ -396,7 +396,7 @@
             g_ptr_array_add(membership->seeds, g_strdup(*seed));
     membership->self.node = g_strdup(options->node);
     membership->self.address = g_strdup(options->address);
-    membership->self.caller_address = g_strdup(options->caller_address);
+    membership->self.client_address = g_strdup(options->client_address);
     membership->self.zone = g_strdup(options->zone);
     membership->self.incarnation = 1;
     membership->interval_ms = options->heartbeat_interval_ms;
@@ -422,7 +422,7 @@
     g_ptr_array_unref(membership->seeds);
     g_free(membership->self.node);
     g_free(membership->self.address);
-    g_free(membership->self.caller_address);
+    g_free(membership->self.client_address);
     g_free(membership->self.zone);
     g_free(membership);
 }
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -38,7 +38,7 @@
     char *break_reason;
     wb_tls_session_t *tls; /* NULL: plain */
     unsigned form;         /* of messages that the other end reads */
-    wb_wire_parts parts;   /* of the message that is being delivered */
+    wb_wire_extensions parts;   /* of the message that is being delivered */
     void *data;
 };
 
@@ -74,7 +74,7 @@
     link_fail(link, link->break_reason);
 }
 
-void wb_link_break(wb_link_t *link, const char *reason) {
+void wb_link_close_later(wb_link_t *link, const char *reason) {
     if (link->break_timer != NULL)
         return;
     link->break_reason = g_strdup(reason);
@@ -138,7 +138,7 @@
     int16_t events = APR_POLLIN;
     if (link->unsent->len > 0)
         events |= APR_POLLOUT;
-    wb_watch_change(link->watch, events);
+    wb_watch_set_events(link->watch, events);
     return TRUE;
 }
 
@@ -146,33 +146,33 @@
 static void message_queued(wb_link_t *link) {
     link->counters->messages_sent++;
     if (link->unsent->len > UNSENT_LIMIT_BYTES)
-        wb_link_break(link, "the peer doesn't read");
+        wb_link_close_later(link, "the peer doesn't read");
     else if (link->open && !link_flush(link))
-        wb_link_break(link, "sending failed");
+        wb_link_close_later(link, "sending failed");
 }
 
 void wb_link_send(wb_link_t *link, const wb_wire_message *message) {
-    wb_link_send_parts(link, message, NULL);
+    wb_link_send_with_extensions(link, message, NULL);
 }
 
-const wb_wire_parts *wb_link_parts(const wb_link_t *link) {
+const wb_wire_extensions *wb_link_extensions(const wb_link_t *link) {
     return &link->parts;
 }
 
-void wb_link_set_form(wb_link_t *link, unsigned form) {
+void wb_link_set_format_version(wb_link_t *link, unsigned form) {
     link->form = form;
 }
 
-unsigned wb_link_form(const wb_link_t *link) {
+unsigned wb_link_format_version(const wb_link_t *link) {
     return link->form;
 }
 
-void wb_link_send_parts(wb_link_t *link, const wb_wire_message *message,
-                        const wb_wire_parts *parts) {
+void wb_link_send_with_extensions(wb_link_t *link, const wb_wire_message *message,
+                        const wb_wire_extensions *parts) {
     wb_error_t error;
-    const wb_wire_parts *readable = link->form >= 2 ? parts : NULL;
-    if (wb_message_encode_parts(message, readable, link->unsent, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "A message was not sent: %s.", error.message);
+    const wb_wire_extensions *readable = link->form >= 2 ? parts : NULL;
+    if (wb_message_encode_with_extensions(message, readable, link->unsent, &error) != APR_SUCCESS) {
+        wb_log_warning(WB_LOG_LINK, "A message was not sent: %s.", error.message);
         return;
     }
     message_queued(link);
@@ -202,7 +202,7 @@
     if (left < sizeof(head) + length)
         return FALSE;
     wb_wire_message message;
-    wb_wire_parts parts;
+    wb_wire_extensions parts;
     wb_error_t error;
     const void *data = link->received->data + *used + sizeof(head);
     if (wb_message_is_unknown(data, length)) {
@@ -210,8 +210,8 @@
         link->counters->messages_unknown++;
         return TRUE;
     }
-    if (wb_message_decode_parts(data, length, &message, &parts, &error) != APR_SUCCESS) {
-        wb_log_warning(WB_PART_LINK, "A link sent something odd: %s.", error.message);
+    if (wb_message_decode_with_extensions(data, length, &message, &parts, &error) != APR_SUCCESS) {
+        wb_log_warning(WB_LOG_LINK, "A link sent something odd: %s.", error.message);
         *bad = TRUE;
         return FALSE;
     }
@@ -220,7 +220,7 @@
     link->parts = parts;
     link->events.on_message(link, &message, link->events.context);
     wb_message_clear(&message);
-    wb_parts_clear(&link->parts);
+    wb_extensions_clear(&link->parts);
     return TRUE;
 }
 
@@ -282,7 +282,7 @@
     if (link->events.on_open != NULL)
         link->events.on_open(link, link->events.context);
     if (!link_flush(link))
-        wb_link_break(link, "sending failed");
+        wb_link_close_later(link, "sending failed");
 }
 
 static void handshake_ready(int16_t events, void *context) {
@@ -295,13 +295,13 @@
         link_opened(link);
         break;
     case WB_TLS_WANTS_READ:
-        wb_watch_change(link->watch, APR_POLLIN);
+        wb_watch_set_events(link->watch, APR_POLLIN);
         break;
     case WB_TLS_WANTS_WRITE:
-        wb_watch_change(link->watch, APR_POLLOUT);
+        wb_watch_set_events(link->watch, APR_POLLOUT);
         break;
     default:
-        wb_log_warning(WB_PART_LINK, "A link was refused: %s.", wb_tls_session_failure(link->tls));
+        wb_log_warning(WB_LOG_LINK, "A link was refused: %s.", wb_tls_session_error(link->tls));
         link_fail(link, "the TLS handshake failed");
     }
 }
@@ -361,7 +361,7 @@
         return;
     if (apr_sockaddr_info_get(&own, host, APR_INET, 0, 0, pool) != APR_SUCCESS ||
         apr_socket_bind(socket, own) != APR_SUCCESS)
-        wb_log_warning(WB_PART_LINK, "Links can't be made from %s.", host);
+        wb_log_warning(WB_LOG_LINK, "Links can't be made from %s.", host);
 }
 
 apr_status_t wb_link_connect(wb_loop_t *loop, const char *address, const wb_link_events_t *events,
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -225,11 +225,11 @@
     watch->callback = callback;
     watch->context = context;
     if (apr_pollset_add(loop->pollset, &watch->descriptor) != APR_SUCCESS)
-        wb_log_warning(WB_PART_LINK, "The loop %s can't watch another socket.", loop->name);
+        wb_log_warning(WB_LOG_LINK, "The loop %s can't watch another socket.", loop->name);
     return watch;
 }
 
-void wb_watch_change(wb_watch_t *watch, int16_t events) {
+void wb_watch_set_events(wb_watch_t *watch, int16_t events) {
     if (watch->descriptor.reqevents == events)
         return;
     apr_pollset_remove(watch->loop->pollset, &watch->descriptor);
--- a/src/node/main.c
+++ b/src/node/main.c
@@ -177,11 +177,11 @@
     wb_loop_start(daemon.loop);
     if (servers_start(&daemon, &error) != APR_SUCCESS)
         return fail(&error);
-    wb_log_message(WB_PART_NODE, "Node %s serves callers on %s.", wb_node_name(daemon.node),
+    wb_log_message(WB_LOG_NODE, "Node %s serves callers on %s.", wb_node_name(daemon.node),
                    daemon.settings.listen_callers);
     int received;
     sigwait(&signals, &received);
     drain_wait(&daemon);
-    wb_log_message(WB_PART_NODE, "Node %s has stopped.", wb_node_name(daemon.node));
+    wb_log_message(WB_LOG_NODE, "Node %s has stopped.", wb_node_name(daemon.node));
     return 0;
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -30,11 +30,11 @@
 
 static void message_deliver(wb_node_t *node, const char *from, const wb_wire_message *message) {
     if (wb_membership_message(node->membership, from, message) ||
-        wb_config_store_message(node->config_store, from, message) ||
-        wb_cell_host_message(node->cell_host, from, message) ||
-        wb_gateway_message(node->gateway, from, message))
+        wb_config_store_handle_message(node->config_store, from, message) ||
+        wb_cell_host_on_message(node->cell_host, from, message) ||
+        wb_gateway_on_message(node->gateway, from, message))
         return;
-    wb_log_info(WB_PART_NODE, "A %s message from %s was not expected.",
+    wb_log_info(WB_LOG_NODE, "A %s message from %s was not expected.",
                 wb_message_kind_name(message->kind), from);
 }
 
@@ -88,7 +88,7 @@
 }
 
 static void peer_down(const char *name, const char *reason, void *context) {
-    wb_log_info(WB_PART_LINK, "The link to %s ended: %s.", name, reason);
+    wb_log_info(WB_LOG_LINK, "The link to %s ended: %s.", name, reason);
     wb_membership_link_down(((wb_node_t *)context)->membership, name);
 }
 
@@ -104,30 +104,30 @@
 static void member_changed(const wb_member_t *member, void *context) {
     wb_node_t *node = context;
     if (node->cell_host != NULL)
-        wb_cell_host_member(node->cell_host, member);
+        wb_cell_host_on_member(node->cell_host, member);
 }
 
 static void owner_changed(const char *cell, const char *owner, uint64_t epoch, void *context) {
     (void)context;
-    wb_log_info(WB_PART_CELL, "Cell %s is owned by %s at epoch %" G_GUINT64_FORMAT ".", cell, owner,
+    wb_log_info(WB_LOG_CELL, "Cell %s is owned by %s at epoch %" G_GUINT64_FORMAT ".", cell, owner,
                 (guint64)epoch);
 }
 
 static void config_version_heard(const char *name, uint64_t version, void *context) {
     wb_node_t *node = context;
     if (node->config_store != NULL)
-        wb_config_store_heard(node->config_store, name, version);
+        wb_config_store_on_peer_version(node->config_store, name, version);
 }
 
 static void config_changed(wb_config_t *config, void *context) {
     wb_node_t *node = context;
     wb_membership_set_config_version(node->membership, config->version);
     wb_gateway_set_config(node->gateway, config);
-    wb_cell_host_config(node->cell_host, config);
+    wb_cell_host_set_config(node->cell_host, config);
 }
 
 static void ready_check(void *context) {
-    wb_node_is_ready(context);
+    wb_node_update_ready(context);
 }
 
 /* A name of its own for each start: who restarts has lost what it knew. */
@@ -255,14 +255,14 @@
 
 void wb_node_drain(wb_node_t *node) {
     if (!node->draining)
-        wb_log_message(WB_PART_NODE, "This node stops: it finishes what is open.");
+        wb_log_message(WB_LOG_NODE, "This node stops: it finishes what is open.");
     node->draining = TRUE;
     wb_gateway_drain(node->gateway);
     wb_cell_host_hand_over(node->cell_host);
 }
 
 gboolean wb_node_is_drained(wb_node_t *node) {
-    return wb_cell_host_hand_over(node->cell_host) && wb_gateway_open(node->gateway) == 0;
+    return wb_cell_host_hand_over(node->cell_host) && wb_gateway_open_requests(node->gateway) == 0;
 }
 
 void wb_node_leave(wb_node_t *node) {
@@ -297,7 +297,7 @@
     return node->platform;
 }
 
-gboolean wb_node_is_ready(wb_node_t *node) {
+gboolean wb_node_update_ready(wb_node_t *node) {
     gboolean ready = !node->draining && wb_config_store_is_ready(node->config_store);
     wb_gateway_set_ready(node->gateway, ready);
     return ready;
--- a/src/pace/engine_pace.c
+++ b/src/pace/engine_pace.c
@@ -7,12 +7,12 @@
  * average when a figure is told. */
 #define MOMENT_MS 300.0
 
-unsigned wb_engine_pace_read(const char *text) {
+unsigned wb_engine_pace_parse(const char *text) {
     if (text == NULL || !g_ascii_isdigit(*text)) {
         return 0;
     }
     guint64 percent = g_ascii_strtoull(text, NULL, 10);
-    gboolean possible = percent >= WB_PACE_LEAST_PERCENT && percent <= WB_PACE_MOST_PERCENT;
+    gboolean possible = percent >= WB_PACE_MIN_PERCENT && percent <= WB_PACE_MAX_PERCENT;
     return possible ? (unsigned)percent : 0;
 }
 
@@ -22,57 +22,57 @@
     if (passed_ms < WB_PACE_WINDOW_MS) {
         return;
     }
-    pace->least_before_percent = passed_ms < 2 * WB_PACE_WINDOW_MS ? pace->least_percent : 0;
-    pace->least_percent = 0;
+    pace->previous_min_percent = passed_ms < 2 * WB_PACE_WINDOW_MS ? pace->current_min_percent : 0;
+    pace->current_min_percent = 0;
     pace->window_began_ms = now_ms;
 }
 
-void wb_engine_pace_told(wb_engine_pace_t *pace, unsigned percent, int64_t now_ms) {
+void wb_engine_pace_add(wb_engine_pace_t *pace, unsigned percent, int64_t now_ms) {
     if (percent == 0) {
         return;
     }
     window_turn(pace, now_ms);
-    pace->told_percent = percent;
+    pace->last_percent = percent;
     pace->told_ms = now_ms;
-    if (pace->least_percent == 0 || percent < pace->least_percent) {
-        pace->least_percent = percent;
+    if (pace->current_min_percent == 0 || percent < pace->current_min_percent) {
+        pace->current_min_percent = percent;
     }
 }
 
-void wb_engine_pace_share(wb_engine_pace_t *pace, unsigned percent) {
+void wb_engine_pace_set_shared(wb_engine_pace_t *pace, unsigned percent) {
     pace->shared_percent = percent;
 }
 
-unsigned wb_engine_pace_heard(const wb_engine_pace_t *pace, int64_t now_ms) {
-    if (pace->told_percent == 0 || now_ms - pace->told_ms >= 2 * WB_PACE_WINDOW_MS) {
+unsigned wb_engine_pace_recent_min(const wb_engine_pace_t *pace, int64_t now_ms) {
+    if (pace->last_percent == 0 || now_ms - pace->told_ms >= 2 * WB_PACE_WINDOW_MS) {
         return 0;
     }
-    unsigned least = pace->least_percent;
-    if (pace->least_before_percent != 0 && pace->least_before_percent < least) {
-        least = pace->least_before_percent;
+    unsigned least = pace->current_min_percent;
+    if (pace->previous_min_percent != 0 && pace->previous_min_percent < least) {
+        least = pace->previous_min_percent;
     }
     return least;
 }
 
-unsigned wb_engine_pace_own(const wb_engine_pace_t *pace, int64_t now_ms) {
-    unsigned heard = wb_engine_pace_heard(pace, now_ms);
+unsigned wb_engine_pace_intrinsic(const wb_engine_pace_t *pace, int64_t now_ms) {
+    unsigned heard = wb_engine_pace_recent_min(pace, now_ms);
     if (heard == 0) {
-        return pace->shared_percent != 0 ? pace->shared_percent : pace->told_percent;
+        return pace->shared_percent != 0 ? pace->shared_percent : pace->last_percent;
     }
     /* What others heard is lower while a neighbour is at work each time that this node hears. */
     return pace->shared_percent != 0 ? MIN(heard, pace->shared_percent) : heard;
 }
 
-double wb_engine_pace_usual(const wb_engine_pace_t *pace, int64_t now_ms) {
-    unsigned percent = wb_engine_pace_own(pace, now_ms);
+double wb_engine_pace_intrinsic_factor(const wb_engine_pace_t *pace, int64_t now_ms) {
+    unsigned percent = wb_engine_pace_intrinsic(pace, now_ms);
     return percent != 0 ? percent / 100.0 : 1;
 }
 
-double wb_engine_pace_now(const wb_engine_pace_t *pace, int64_t now_ms) {
-    double usual = wb_engine_pace_usual(pace, now_ms);
-    if (pace->told_percent == 0) {
+double wb_engine_pace_current_factor(const wb_engine_pace_t *pace, int64_t now_ms) {
+    double usual = wb_engine_pace_intrinsic_factor(pace, now_ms);
+    if (pace->last_percent == 0) {
         return usual;
     }
-    double beyond = MAX(pace->told_percent / 100.0 - usual, 0);
+    double beyond = MAX(pace->last_percent / 100.0 - usual, 0);
     return usual + beyond * exp(-(double)(now_ms - pace->told_ms) / MOMENT_MS);
 }
--- a/src/pace/pace_book.c
+++ b/src/pace/pace_aggregate.c
@@ -1,5 +1,5 @@
 /* What all gateways together know of engines. */
-#include "pace/pace_book.h"
+#include "pace/pace_aggregate.h"
 
 #include "wickbridge/engine_pace.h"
 #include "quota/token_bucket.h"
@@ -34,7 +34,7 @@
     int64_t used_ms;
 } wb_book_engine_t;
 
-struct wb_pace_book_t {
+struct wb_pace_aggregate_t {
     double token_ms;
     GHashTable *engines; /* id -> wb_book_engine_t */
 };
@@ -49,18 +49,18 @@
     g_free(engine);
 }
 
-wb_pace_book_t *wb_pace_book_create(double token_ms) {
-    wb_pace_book_t *book = g_new0(wb_pace_book_t, 1);
+wb_pace_aggregate_t *wb_pace_aggregate_create(double token_ms) {
+    wb_pace_aggregate_t *book = g_new0(wb_pace_aggregate_t, 1);
     book->token_ms = token_ms;
     book->engines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, engine_free);
     return book;
 }
 
-void wb_pace_book_set_token_ms(wb_pace_book_t *book, double token_ms) {
+void wb_pace_aggregate_set_token_ms(wb_pace_aggregate_t *book, double token_ms) {
     book->token_ms = token_ms;
 }
 
-void wb_pace_book_free(wb_pace_book_t *book) {
+void wb_pace_aggregate_free(wb_pace_aggregate_t *book) {
     g_hash_table_unref(book->engines);
     g_free(book);
 }
@@ -70,14 +70,14 @@
     return MAX(engine->backlog_ms - (double)(now_ms - engine->backlog_at_ms), 0);
 }
 
-static void backlog_add(const wb_pace_book_t *book, wb_book_engine_t *engine, double tokens,
+static void backlog_add(const wb_pace_aggregate_t *book, wb_book_engine_t *engine, double tokens,
                         int64_t now_ms) {
-    double read_ms = tokens * book->token_ms * wb_engine_pace_usual(&engine->pace, now_ms);
+    double read_ms = tokens * book->token_ms * wb_engine_pace_intrinsic_factor(&engine->pace, now_ms);
     engine->backlog_ms = MIN(backlog_now(engine, now_ms) + read_ms, BACKLOG_MOST_MS);
     engine->backlog_at_ms = now_ms;
 }
 
-static wb_book_engine_t *engine_get(wb_pace_book_t *book, const char *id) {
+static wb_book_engine_t *engine_get(wb_pace_aggregate_t *book, const char *id) {
     wb_book_engine_t *engine = g_hash_table_lookup(book->engines, id);
     if (engine == NULL) {
         engine = g_new0(wb_book_engine_t, 1);
@@ -88,13 +88,13 @@
     return engine;
 }
 
-void wb_pace_book_report(wb_pace_book_t *book, const wb_pace_report_t *reports, size_t count,
+void wb_pace_aggregate_report(wb_pace_aggregate_t *book, const wb_pace_report_t *reports, size_t count,
                          int64_t now_ms) {
     for (size_t i = 0; i < count; i++) {
         const wb_pace_report_t *report = &reports[i];
         wb_book_engine_t *engine = engine_get(book, report->engine);
         engine->used_ms = now_ms;
-        wb_engine_pace_told(&engine->pace, report->pace_percent, now_ms);
+        wb_engine_pace_add(&engine->pace, report->pace_percent, now_ms);
         if (report->tokens > 0) {
             wb_decayed_rate_add(&engine->tokens, report->tokens, TOKENS_TIME_S, now_ms);
             backlog_add(book, engine, report->tokens, now_ms);
@@ -102,14 +102,14 @@
     }
 }
 
-unsigned wb_pace_book_pace(const wb_pace_book_t *book, const char *id, int64_t now_ms) {
+unsigned wb_pace_aggregate_pace(const wb_pace_aggregate_t *book, const char *id, int64_t now_ms) {
     const wb_book_engine_t *engine = g_hash_table_lookup(book->engines, id);
-    return engine != NULL ? wb_engine_pace_own(&engine->pace, now_ms) : 0;
+    return engine != NULL ? wb_engine_pace_intrinsic(&engine->pace, now_ms) : 0;
 }
 
 static wb_engine_load_t load_of(const wb_book_engine_t *engine, int64_t now_ms) {
     wb_engine_load_t load = engine->told;
-    load.pace_percent = wb_engine_pace_own(&engine->pace, now_ms);
+    load.pace_percent = wb_engine_pace_intrinsic(&engine->pace, now_ms);
     load.backlog_ms = (unsigned)backlog_now(engine, now_ms);
     load.tokens_per_s = (unsigned)wb_decayed_rate_read(&engine->tokens, TOKENS_TIME_S, now_ms);
     return load;
@@ -139,7 +139,7 @@
     return a->steps > b->steps ? -1 : a->steps < b->steps;
 }
 
-GArray *wb_pace_book_changes(wb_pace_book_t *book, size_t most, int64_t now_ms) {
+GArray *wb_pace_aggregate_changes(wb_pace_aggregate_t *book, size_t most, int64_t now_ms) {
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(wb_change_t));
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(wb_engine_load_t));
     GHashTableIter iter;
@@ -162,7 +162,7 @@
     return loads;
 }
 
-const char *wb_pace_book_furthest_behind(const wb_pace_book_t *book, int64_t now_ms,
+const char *wb_pace_aggregate_max_backlog(const wb_pace_aggregate_t *book, int64_t now_ms,
                                          double *backlog_ms) {
     const char *furthest = NULL;
     *backlog_ms = 0;
@@ -180,7 +180,7 @@
     return furthest;
 }
 
-GArray *wb_pace_book_told(const wb_pace_book_t *book) {
+GArray *wb_pace_aggregate_snapshot(const wb_pace_aggregate_t *book) {
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(wb_engine_load_t));
     GHashTableIter iter;
     gpointer value;
@@ -194,7 +194,7 @@
     return loads;
 }
 
-void wb_pace_book_tell_all(wb_pace_book_t *book) {
+void wb_pace_aggregate_resend_all(wb_pace_aggregate_t *book) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, book->engines);
@@ -208,10 +208,10 @@
     return *(const int64_t *)context - ((const wb_book_engine_t *)value)->used_ms > ENGINE_LIFE_MS;
 }
 
-void wb_pace_book_forget(wb_pace_book_t *book, const char *engine) {
+void wb_pace_aggregate_remove(wb_pace_aggregate_t *book, const char *engine) {
     g_hash_table_remove(book->engines, engine);
 }
 
-void wb_pace_book_sweep(wb_pace_book_t *book, int64_t now_ms) {
+void wb_pace_aggregate_sweep(wb_pace_aggregate_t *book, int64_t now_ms) {
     g_hash_table_foreach_remove(book->engines, engine_is_old, &now_ms);
 }
--- a/src/pace/pace_book.h
+++ b/src/pace/pace_aggregate.h
@@ -1,5 +1,5 @@
 /**
- * @file pace_book.h
+ * @file pace_aggregate.h
  * @brief What all gateways together know of engines: their own pace, and what is sent there.
  *
  * The node that gateways report to keeps the book. It tells them what has changed: an engine's own
@@ -14,13 +14,13 @@
  *
  * Pure: the time is passed in.
  */
-#ifndef WICKBRIDGE_PACE_BOOK_H
-#define WICKBRIDGE_PACE_BOOK_H
+#ifndef WICKBRIDGE_PACE_AGGREGATE_H
+#define WICKBRIDGE_PACE_AGGREGATE_H
 
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct wb_pace_book_t wb_pace_book_t;
+typedef struct wb_pace_aggregate_t wb_pace_aggregate_t;
 
 /** What a gateway knows of an engine, since its last report. */
 typedef struct wb_pace_report_t {
@@ -42,34 +42,34 @@
 
 /** @param token_ms time in which a usual engine reads a prompt token that was sent, those that it
  * keeps among them */
-wb_pace_book_t *wb_pace_book_create(double token_ms);
+wb_pace_aggregate_t *wb_pace_aggregate_create(double token_ms);
 /** Other figures of engines are in force. */
-void wb_pace_book_set_token_ms(wb_pace_book_t *book, double token_ms);
-void wb_pace_book_free(wb_pace_book_t *book);
+void wb_pace_aggregate_set_token_ms(wb_pace_aggregate_t *book, double token_ms);
+void wb_pace_aggregate_free(wb_pace_aggregate_t *book);
 /** A gateway's report of the engines that it heard from or sent to. */
-void wb_pace_book_report(wb_pace_book_t *book, const wb_pace_report_t *reports, size_t count,
+void wb_pace_aggregate_report(wb_pace_aggregate_t *book, const wb_pace_report_t *reports, size_t count,
                          int64_t now_ms);
 /** @return an engine's own pace in percent, by what all gateways heard; 0: nothing */
-unsigned wb_pace_book_pace(const wb_pace_book_t *book, const char *engine, int64_t now_ms);
+unsigned wb_pace_aggregate_pace(const wb_pace_aggregate_t *book, const char *engine, int64_t now_ms);
 /**
  * @param most entries at most
  * @return wb_engine_load_t of engines whose figures have changed since they were told, those that
  * changed most first; to be unreffed. They count as told.
  */
-GArray *wb_pace_book_changes(wb_pace_book_t *book, size_t most, int64_t now_ms);
+GArray *wb_pace_aggregate_changes(wb_pace_aggregate_t *book, size_t most, int64_t now_ms);
 /** @param backlog_ms out: how far it is behind
  * @return id of the engine that is furthest behind with reading, or NULL when none is; owned by the
  * book */
-const char *wb_pace_book_furthest_behind(const wb_pace_book_t *book, int64_t now_ms,
+const char *wb_pace_aggregate_max_backlog(const wb_pace_aggregate_t *book, int64_t now_ms,
                                          double *backlog_ms);
 /** @return wb_engine_load_t of all engines as they were told last, for a gateway that has just
  * come; to be unreffed */
-GArray *wb_pace_book_told(const wb_pace_book_t *book);
+GArray *wb_pace_aggregate_snapshot(const wb_pace_aggregate_t *book);
 /** Nobody was told anything by this node yet: another one kept the book. */
-void wb_pace_book_tell_all(wb_pace_book_t *book);
+void wb_pace_aggregate_resend_all(wb_pace_aggregate_t *book);
 /** The engine has started again: what was heard of it and sent there before counts no more. */
-void wb_pace_book_forget(wb_pace_book_t *book, const char *engine);
+void wb_pace_aggregate_remove(wb_pace_aggregate_t *book, const char *engine);
 /** Forget engines that weren't reported for long. */
-void wb_pace_book_sweep(wb_pace_book_t *book, int64_t now_ms);
+void wb_pace_aggregate_sweep(wb_pace_aggregate_t *book, int64_t now_ms);
 
 #endif
--- a/src/poison/poison_book.c
+++ b/src/poison/poison_registry.c
@@ -1,5 +1,5 @@
 /* Which requests crash the engines that run them. */
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -7,16 +7,16 @@
 /* Pauses don't grow further: 4^8 minutes are 45 days. */
 #define TRIALS_COUNTED 8
 
-struct wb_poison_book_t {
+struct wb_poison_registry_t {
     wb_poison_options_t options;
     wb_list_t entries; /* of wb_poison_entry_t, newest first */
     uint64_t version;
     int64_t next_trial_ms;
 };
 
-wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options) {
-    wb_poison_book_t *book = g_new0(wb_poison_book_t, 1);
-    book->options.kept_ms = options->kept_ms > 0 ? options->kept_ms : WB_POISON_KEPT_MS;
+wb_poison_registry_t *wb_poison_registry_create(const wb_poison_options_t *options) {
+    wb_poison_registry_t *book = g_new0(wb_poison_registry_t, 1);
+    book->options.kept_ms = options->kept_ms > 0 ? options->kept_ms : WB_POISON_RETENTION_MS;
     book->options.trial_ms = options->trial_ms > 0 ? options->trial_ms : WB_POISON_TRIAL_MS;
     wb_list_init(&book->entries);
     book->version = 1;
@@ -27,12 +27,12 @@
     return WB_LIST_OF(item, wb_poison_entry_t, item);
 }
 
-static void entry_remove(wb_poison_book_t *book, wb_poison_entry_t *entry) {
+static void entry_remove(wb_poison_registry_t *book, wb_poison_entry_t *entry) {
     wb_list_remove(&book->entries, &entry->item);
     g_free(entry);
 }
 
-void wb_poison_book_free(wb_poison_book_t *book) {
+void wb_poison_registry_free(wb_poison_registry_t *book) {
     wb_list_item_t *item;
     while ((item = wb_list_pop(&book->entries)) != NULL) {
         g_free(entry_of(item));
@@ -52,11 +52,11 @@
     return count;
 }
 
-static void entry_changed(wb_poison_book_t *book, wb_poison_entry_t *entry) {
+static void entry_changed(wb_poison_registry_t *book, wb_poison_entry_t *entry) {
     entry->changed = ++book->version;
 }
 
-static wb_poison_entry_t *entry_find(const wb_poison_book_t *book,
+static wb_poison_entry_t *entry_find(const wb_poison_registry_t *book,
                                      const wb_request_digest_t *digest) {
     WB_LIST_EACH(item, &book->entries) {
         wb_poison_entry_t *entry = entry_of(item);
@@ -68,7 +68,7 @@
 }
 
 /* Returns the entry that can best be done without: few engines, and long ago. */
-static wb_poison_entry_t *entry_least(const wb_poison_book_t *book) {
+static wb_poison_entry_t *entry_least(const wb_poison_registry_t *book) {
     wb_poison_entry_t *least = NULL;
     WB_LIST_EACH(item, &book->entries) {
         wb_poison_entry_t *entry = entry_of(item);
@@ -81,7 +81,7 @@
     return least;
 }
 
-static wb_poison_entry_t *entry_add(wb_poison_book_t *book, const wb_request_digest_t *digest,
+static wb_poison_entry_t *entry_add(wb_poison_registry_t *book, const wb_request_digest_t *digest,
                                     uint32_t body_bytes) {
     if (book->entries.len >= WB_POISON_ENTRIES) {
         entry_remove(book, entry_least(book));
@@ -139,7 +139,7 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_note(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_registry_add_crash(wb_poison_registry_t *book, const wb_request_digest_t *digest,
                              uint32_t body_bytes, uint64_t engine, int64_t now_ms) {
     wb_poison_entry_t *entry = entry_find(book, digest);
     if (entry == NULL) {
@@ -153,7 +153,7 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_forgive(wb_poison_book_t *book, const wb_request_digest_t *digest) {
+gboolean wb_poison_registry_clear_crashes(wb_poison_registry_t *book, const wb_request_digest_t *digest) {
     wb_poison_entry_t *entry = entry_find(book, digest);
     if (entry == NULL || wb_poison_entry_engines(entry) == 0) {
         return FALSE;
@@ -163,7 +163,7 @@
     return TRUE;
 }
 
-gboolean wb_poison_book_merge(wb_poison_book_t *book, const wb_poison_entry_t *told) {
+gboolean wb_poison_registry_merge(wb_poison_registry_t *book, const wb_poison_entry_t *told) {
     wb_poison_entry_t *entry = entry_find(book, &told->digest);
     if (entry == NULL) {
         entry = entry_add(book, &told->digest, told->body_bytes);
@@ -180,7 +180,7 @@
     return news;
 }
 
-gboolean wb_poison_book_has_length(const wb_poison_book_t *book, uint32_t body_bytes) {
+gboolean wb_poison_registry_has_length(const wb_poison_registry_t *book, uint32_t body_bytes) {
     WB_LIST_EACH(item, &book->entries) {
         if (entry_of(item)->body_bytes == body_bytes) {
             return TRUE;
@@ -189,7 +189,7 @@
     return FALSE;
 }
 
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *book,
+const wb_poison_entry_t *wb_poison_registry_find(const wb_poison_registry_t *book,
                                              const wb_request_digest_t *digest) {
     return entry_find(book, digest);
 }
@@ -202,7 +202,7 @@
     return engines >= WB_POISON_ENGINES ? WB_POISON_REFUSED : WB_POISON_SUSPECT;
 }
 
-unsigned wb_poison_book_count(const wb_poison_book_t *book, wb_poison_state_t state) {
+unsigned wb_poison_registry_count(const wb_poison_registry_t *book, wb_poison_state_t state) {
     unsigned count = 0;
     WB_LIST_EACH(item, &book->entries) {
         count += wb_poison_entry_state(entry_of(item)) == state;
@@ -210,11 +210,11 @@
     return count;
 }
 
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *book) {
+const wb_list_t *wb_poison_registry_entries(const wb_poison_registry_t *book) {
     return &book->entries;
 }
 
-uint64_t wb_poison_book_version(const wb_poison_book_t *book) {
+uint64_t wb_poison_registry_version(const wb_poison_registry_t *book) {
     return book->version;
 }
 
@@ -231,7 +231,7 @@
 }
 
 /* Returns TRUE when another refused request may explain why engines ended under this one. */
-static gboolean entry_is_tied(const wb_poison_book_t *book, const wb_poison_entry_t *entry) {
+static gboolean entry_is_tied(const wb_poison_registry_t *book, const wb_poison_entry_t *entry) {
     WB_LIST_EACH(item, &book->entries) {
         const wb_poison_entry_t *other = entry_of(item);
         if (other != entry && wb_poison_entry_state(other) == WB_POISON_REFUSED &&
@@ -243,21 +243,21 @@
 }
 
 /* Returns the steady time from which the request may be tried. */
-static int64_t trial_due_ms(const wb_poison_book_t *book, const wb_poison_entry_t *entry) {
+static int64_t trial_due_ms(const wb_poison_registry_t *book, const wb_poison_entry_t *entry) {
     int64_t pause_ms = book->options.trial_ms;
     if (entry->trials == 0) {
-        gboolean soon = pause_ms > WB_POISON_TIED_TRIAL_MS && entry_is_tied(book, entry);
+        gboolean soon = pause_ms > WB_POISON_OVERLAP_TRIAL_MS && entry_is_tied(book, entry);
         /* Neither lies before the last crash; what other nodes told late makes that look newer. */
         int64_t crashed_ms = entry->until_ms - book->options.kept_ms;
-        return MIN(crashed_ms, entry->asked_ms) + (soon ? WB_POISON_TIED_TRIAL_MS : pause_ms);
+        return MIN(crashed_ms, entry->asked_ms) + (soon ? WB_POISON_OVERLAP_TRIAL_MS : pause_ms);
     }
     for (guint i = 0; i < entry->trials; i++) {
-        pause_ms *= WB_POISON_TRIAL_TIMES;
+        pause_ms *= WB_POISON_TRIAL_FACTOR;
     }
     return entry->tried_ms + pause_ms;
 }
 
-gboolean wb_poison_book_take_trial(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_registry_take_trial(wb_poison_registry_t *book, const wb_request_digest_t *digest,
                                    int64_t now_ms) {
     wb_poison_entry_t *entry = entry_find(book, digest);
     if (wb_poison_entry_state(entry) != WB_POISON_REFUSED) {
@@ -271,7 +271,7 @@
     }
     entry->tried_ms = now_ms;
     entry->trials = MIN(entry->trials + 1, TRIALS_COUNTED);
-    book->next_trial_ms = now_ms + WB_POISON_TRIAL_APART_MS;
+    book->next_trial_ms = now_ms + WB_POISON_TRIAL_SPACING_MS;
     return TRUE;
 }
 
@@ -292,7 +292,7 @@
     entry->until_ms += kept_ms;
 }
 
-void wb_poison_book_sweep(wb_poison_book_t *book, int64_t now_ms) {
+void wb_poison_registry_sweep(wb_poison_registry_t *book, int64_t now_ms) {
     WB_LIST_EACH_SAFE(item, &book->entries) {
         wb_poison_entry_t *entry = entry_of(item);
         if (now_ms < entry->until_ms) {
--- a/src/poison/poison_book.h
+++ b/src/poison/poison_registry.h
@@ -1,5 +1,5 @@
 /**
- * @file poison_book.h
+ * @file poison_registry.h
  * @brief Which requests crash the engines that run them.
  *
  * A poison request (elsewhere: query of death) ends each engine that begins to run it, and all that
@@ -19,8 +19,8 @@
  *
  * Pure: the time is passed in. What it doesn't do: finding out which engines ended, and sending.
  */
-#ifndef WICKBRIDGE_POISON_BOOK_H
-#define WICKBRIDGE_POISON_BOOK_H
+#ifndef WICKBRIDGE_POISON_REGISTRY_H
+#define WICKBRIDGE_POISON_REGISTRY_H
 
 #include "poison/request_digest.h"
 
@@ -33,24 +33,24 @@
 #define WB_POISON_ENGINES 3
 /** Requests are told to other nodes from so many engines on: with one, each crash of an engine
  * would be told of all that ran there, and only a repeat matters to others. */
-#define WB_POISON_TOLD_ENGINES 2
+#define WB_POISON_SYNC_ENGINES 2
 /** Engines kept of a request; more say nothing new. */
 #define WB_POISON_ENGINES_KEPT 8
 /** Requests in a book: two engines full of bystanders (64 places each) beside those that matter. */
 #define WB_POISON_ENTRIES 128
 /** Ten minutes: an engine's crash costs its callers seconds, so one each ten minutes is borne to
  * find out whether the request still crashes engines. */
-#define WB_POISON_KEPT_MS (10 * 60 * 1000)
+#define WB_POISON_RETENTION_MS (10 * 60 * 1000)
 /** One node tries a refused request so long after its last crash, after so many times that the next
  * time, and so on. A minute is what a bystander pays for being taken for poison; poison crashes one
  * engine more a minute after it became known, then one in four minutes, in sixteen. */
 #define WB_POISON_TRIAL_MS (60 * 1000)
-#define WB_POISON_TRIAL_TIMES 4
+#define WB_POISON_TRIAL_FACTOR 4
 /** Two refused requests that share most of their engines: one is likely a bystander, and may be
  * what many ask for. It is worth an engine to find out soon. */
-#define WB_POISON_TIED_TRIAL_MS (5 * 1000)
+#define WB_POISON_OVERLAP_TRIAL_MS (5 * 1000)
 /** Trials are so far apart that the engine of one isn't crashed by the next: a load and a run. */
-#define WB_POISON_TRIAL_APART_MS (2 * 1000)
+#define WB_POISON_TRIAL_SPACING_MS (2 * 1000)
 
 /** A request under which engines ended. */
 typedef struct wb_poison_entry_t {
@@ -74,50 +74,50 @@
     WB_POISON_REFUSED
 } wb_poison_state_t;
 
-typedef struct wb_poison_book_t wb_poison_book_t;
+typedef struct wb_poison_registry_t wb_poison_registry_t;
 
 /** Zero values are the usual ones. */
 typedef struct wb_poison_options_t {
-    int64_t kept_ms;  /**< 0: WB_POISON_KEPT_MS */
+    int64_t kept_ms;  /**< 0: WB_POISON_RETENTION_MS */
     int64_t trial_ms; /**< 0: WB_POISON_TRIAL_MS */
 } wb_poison_options_t;
 
-wb_poison_book_t *wb_poison_book_create(const wb_poison_options_t *options);
-void wb_poison_book_free(wb_poison_book_t *book);
+wb_poison_registry_t *wb_poison_registry_create(const wb_poison_options_t *options);
+void wb_poison_registry_free(wb_poison_registry_t *book);
 
 /** @return what stands for an engine in books; the same at every node */
 uint64_t wb_poison_engine_hash(const char *engine_id);
 
 /** An engine ended while it had a request. @return TRUE when that wasn't known */
-gboolean wb_poison_book_note(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_registry_add_crash(wb_poison_registry_t *book, const wb_request_digest_t *digest,
                              uint32_t body_bytes, uint64_t engine, int64_t now_ms);
 /** An engine ran a request to a good end. @return TRUE when something was held against it */
-gboolean wb_poison_book_forgive(wb_poison_book_t *book, const wb_request_digest_t *digest);
+gboolean wb_poison_registry_clear_crashes(wb_poison_registry_t *book, const wb_request_digest_t *digest);
 /** Take what another node knows of a request. @return TRUE when something of it wasn't known */
-gboolean wb_poison_book_merge(wb_poison_book_t *book, const wb_poison_entry_t *entry);
+gboolean wb_poison_registry_merge(wb_poison_registry_t *book, const wb_poison_entry_t *entry);
 
 /** @return TRUE when something is held against a request with a body of this length: only then its
  * digest need be known */
-gboolean wb_poison_book_has_length(const wb_poison_book_t *book, uint32_t body_bytes);
+gboolean wb_poison_registry_has_length(const wb_poison_registry_t *book, uint32_t body_bytes);
 /** @return the request's entry, or NULL; valid until the book changes */
-const wb_poison_entry_t *wb_poison_book_find(const wb_poison_book_t *book,
+const wb_poison_entry_t *wb_poison_registry_find(const wb_poison_registry_t *book,
                                              const wb_request_digest_t *digest);
 /** @return engines that are held against a request */
 guint wb_poison_entry_engines(const wb_poison_entry_t *entry);
 /** @return a request's state; NULL: it has no entry */
 wb_poison_state_t wb_poison_entry_state(const wb_poison_entry_t *entry);
 /** @return all entries, of wb_poison_entry_t by its `item`; owned by the book */
-const wb_list_t *wb_poison_book_entries(const wb_poison_book_t *book);
+const wb_list_t *wb_poison_registry_entries(const wb_poison_registry_t *book);
 /** @return how many requests are in a state */
-unsigned wb_poison_book_count(const wb_poison_book_t *book, wb_poison_state_t state);
+unsigned wb_poison_registry_count(const wb_poison_registry_t *book, wb_poison_state_t state);
 /** @return a number that grows with each change */
-uint64_t wb_poison_book_version(const wb_poison_book_t *book);
+uint64_t wb_poison_registry_version(const wb_poison_registry_t *book);
 
 /** The one node that tries refused requests asks for a request that has come. @return TRUE: send it
  * to an engine, once */
-gboolean wb_poison_book_take_trial(wb_poison_book_t *book, const wb_request_digest_t *digest,
+gboolean wb_poison_registry_take_trial(wb_poison_registry_t *book, const wb_request_digest_t *digest,
                                    int64_t now_ms);
 /** Forget what is too old, and let refused requests through once when their time is over. */
-void wb_poison_book_sweep(wb_poison_book_t *book, int64_t now_ms);
+void wb_poison_registry_sweep(wb_poison_registry_t *book, int64_t now_ms);
 
 #endif
--- a/src/poison/request_digest.c
+++ b/src/poison/request_digest.c
@@ -31,7 +31,7 @@
     return digest;
 }
 
-const char *wb_request_digest_write(const wb_request_digest_t *digest,
+const char *wb_request_digest_format(const wb_request_digest_t *digest,
                                     char text[WB_REQUEST_DIGEST_TEXT_BYTES]) {
     for (gsize i = 0; i < WB_REQUEST_DIGEST_BYTES; i++) {
         g_snprintf(text + 2 * i, 3, "%02x", digest->bytes[i]);
@@ -39,7 +39,7 @@
     return text;
 }
 
-gboolean wb_request_digest_read(const char *text, wb_request_digest_t *digest) {
+gboolean wb_request_digest_parse(const char *text, wb_request_digest_t *digest) {
     if (strlen(text) != 2 * WB_REQUEST_DIGEST_BYTES) {
         return FALSE;
     }
--- a/src/poison/request_digest.h
+++ b/src/poison/request_digest.h
@@ -34,10 +34,10 @@
 wb_request_digest_t wb_request_digest(const wb_request_content_t *content);
 
 /** @param text out: hexadecimal digits. @return text */
-const char *wb_request_digest_write(const wb_request_digest_t *digest,
+const char *wb_request_digest_format(const wb_request_digest_t *digest,
                                     char text[WB_REQUEST_DIGEST_TEXT_BYTES]);
-/** Read what wb_request_digest_write wrote. @return FALSE when the text is no digest */
-gboolean wb_request_digest_read(const char *text, wb_request_digest_t *digest);
+/** Read what wb_request_digest_format wrote. @return FALSE when the text is no digest */
+gboolean wb_request_digest_parse(const char *text, wb_request_digest_t *digest);
 gboolean wb_request_digest_equal(const wb_request_digest_t *left, const wb_request_digest_t *right);
 
 #endif
--- a/src/poison/served_set.c
+++ b/src/poison/served_set.c
@@ -9,7 +9,7 @@
 } wb_served_place_t;
 
 struct wb_served_set_t {
-    wb_served_place_t places[WB_SERVED_PLACES];
+    wb_served_place_t places[WB_SERVED_SLOTS];
 };
 
 wb_served_set_t *wb_served_set_create(void) {
@@ -29,12 +29,12 @@
 
 void wb_served_set_add(wb_served_set_t *set, const wb_request_digest_t *digest, int64_t now_ms) {
     uint64_t tag = tag_of(digest);
-    set->places[tag % WB_SERVED_PLACES] = (wb_served_place_t){tag, now_ms};
+    set->places[tag % WB_SERVED_SLOTS] = (wb_served_place_t){tag, now_ms};
 }
 
 gboolean wb_served_set_has(const wb_served_set_t *set, const wb_request_digest_t *digest,
                            int64_t now_ms) {
     uint64_t tag = tag_of(digest);
-    const wb_served_place_t *place = &set->places[tag % WB_SERVED_PLACES];
+    const wb_served_place_t *place = &set->places[tag % WB_SERVED_SLOTS];
     return place->tag == tag && place->at_ms != 0 && now_ms - place->at_ms < WB_SERVED_MS;
 }
--- a/src/poison/served_set.h
+++ b/src/poison/served_set.h
@@ -6,7 +6,7 @@
  * that crashes, and would soon look like a request that crashes engines. But such a request ends
  * well all the time, and poison never does: so nothing is held against what was lately served.
  *
- * Bounded: WB_SERVED_PLACES of 16 bytes; a later request takes an earlier one's place.
+ * Bounded: WB_SERVED_SLOTS of 16 bytes; a later request takes an earlier one's place.
  */
 #ifndef WICKBRIDGE_SERVED_SET_H
 #define WICKBRIDGE_SERVED_SET_H
@@ -16,7 +16,7 @@
 #include <stdint.h>
 
 /** What is asked for alike comes often, so it keeps its place among some hundred others. */
-#define WB_SERVED_PLACES 1024
+#define WB_SERVED_SLOTS 1024
 /** A minute: requests that come more rarely are few among those that run at an engine, and one that
  * newly crashes engines, after a change of theirs, is known a minute later. */
 #define WB_SERVED_MS 60000
--- a/src/quota/equal_share.c
+++ b/src/quota/equal_share.c
@@ -6,7 +6,7 @@
 
 /* Longest time between that a node is listed, or no longer, and that nobody spends as if it weren't
  * so. */
-#define SETTLES_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS)
+#define SETTLES_MS (WB_SHARE_VALID_MS + WB_SHARE_DELAY_MS)
 
 /* A node, by its id. */
 typedef struct wb_shared_node_t {
@@ -68,18 +68,18 @@
     share->digest -= id_digest(id);
 }
 
-void wb_equal_share_known(wb_equal_share_t *share, int64_t as_of_ms) {
+void wb_equal_share_set_as_of(wb_equal_share_t *share, int64_t as_of_ms) {
     share->as_of_ms = MAX(share->as_of_ms, as_of_ms);
 }
 
-void wb_equal_share_restart(wb_equal_share_t *share, int64_t now_ms) {
+void wb_equal_share_after_pause(wb_equal_share_t *share, int64_t now_ms) {
     wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
     if (own != NULL) {
         own->since_ms = now_ms;
     }
 }
 
-void wb_equal_share_begin_first(wb_equal_share_t *share, int64_t now_ms) {
+void wb_equal_share_set_first_process(wb_equal_share_t *share, int64_t now_ms) {
     wb_shared_node_t *own = g_hash_table_lookup(share->nodes, share->own_id);
     share->is_first = TRUE;
     if (own != NULL && own->listed && g_hash_table_size(share->nodes) == 1) {
@@ -125,7 +125,7 @@
 }
 
 static gboolean is_known_now(const wb_equal_share_t *share, int64_t now_ms) {
-    return share->as_of_ms != 0 && now_ms - share->as_of_ms < WB_SHARE_TRUST_MS;
+    return share->as_of_ms != 0 && now_ms - share->as_of_ms < WB_SHARE_VALID_MS;
 }
 
 static unsigned nodes_count(const wb_equal_share_t *share, int64_t window_ms, int64_t now_ms) {
@@ -162,7 +162,7 @@
     return before;
 }
 
-double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
+double wb_equal_share_amount(const wb_equal_share_t *share, double whole, int64_t window_ms,
                            int64_t now_ms) {
     unsigned nodes = wb_equal_share_nodes(share, window_ms, now_ms);
     if (nodes == 0) {
--- a/src/quota/equal_share.h
+++ b/src/quota/equal_share.h
@@ -7,7 +7,7 @@
  * never more than the whole. That rests on three rules, all kept here:
  *
  * - A node has a part only while it knows which nodes are listed, itself among them, as of
- *   WB_SHARE_TRUST_MS ago at most.
+ *   WB_SHARE_VALID_MS ago at most.
  * - It has none until it has been listed for as long as it takes that nobody goes by an older list,
  *   and a window more: by then all others count it, and what they spent by larger parts, or what a
  *   process before it spent on its machine, has left the window.
@@ -26,7 +26,7 @@
 
 /** What is known of the nodes stands for so long: some times the second in which it is usually told
  * anew. */
-#define WB_SHARE_TRUST_MS 4000
+#define WB_SHARE_VALID_MS 4000
 /** What another node told may have been under way for so long: then links that are cut end. */
 #define WB_SHARE_DELAY_MS 3000
 
@@ -43,16 +43,16 @@
 /** A node is no longer listed. */
 void wb_equal_share_remove(wb_equal_share_t *share, const char *id, int64_t now_ms);
 /** All that are listed are known as of this steady time, or as of a later one told before. */
-void wb_equal_share_known(wb_equal_share_t *share, int64_t as_of_ms);
+void wb_equal_share_set_as_of(wb_equal_share_t *share, int64_t as_of_ms);
 /** This process stood still and can't know how old what it is told is: it waits as after a start.
  */
-void wb_equal_share_restart(wb_equal_share_t *share, int64_t now_ms);
+void wb_equal_share_after_pause(wb_equal_share_t *share, int64_t now_ms);
 /**
  * This process has written the first row that its machine ever had, and has read it back: no
  * process before it has spent anything. If no other node is listed, nobody has: it has the whole at
  * once.
  */
-void wb_equal_share_begin_first(wb_equal_share_t *share, int64_t now_ms);
+void wb_equal_share_set_first_process(wb_equal_share_t *share, int64_t now_ms);
 /** Forget nodes that are gone for so long that nobody counts them. */
 void wb_equal_share_sweep(wb_equal_share_t *share, int64_t now_ms);
 /** @return a digest of the ids that are listed, whatever the order in which they came */
@@ -70,7 +70,7 @@
  * @return this node's part. Where there are more nodes than units, a part of one is of no use to
  * anybody: as many nodes as there are units have a whole one, by the order of their ids' hashes
  */
-double wb_equal_share_part(const wb_equal_share_t *share, double whole, int64_t window_ms,
+double wb_equal_share_amount(const wb_equal_share_t *share, double whole, int64_t window_ms,
                            int64_t now_ms);
 /**
  * The same where a part of the whole is set aside for nodes that don't know of each other yet: this
--- a/src/quota/quota_book.c
+++ b/src/quota/quota_ledger.c
@@ -1,5 +1,5 @@
 /* Keeps the book of what gateways spend of tenants' limits. */
-#include "quota/quota_book.h"
+#include "quota/quota_ledger.h"
 
 #include "quota/token_bucket.h"
 
@@ -37,7 +37,7 @@
 
 typedef struct wb_quota_entry_t {
     char *tenant;
-    GHashTable *kinds; /* wb_quota_kind_t -> wb_quota_asked_t */
+    GHashTable *kinds; /* wb_quota_class_t -> wb_quota_asked_t */
     double rate_per_s;
     double burst;
     wb_token_bucket_t bucket;
@@ -56,7 +56,7 @@
     gboolean reported;    /* to this book */
 } wb_quota_node_t;
 
-struct wb_quota_book_t {
+struct wb_quota_ledger_t {
     GHashTable *entries;    /* tenant -> wb_quota_entry_t; only tenants with a limit */
     GHashTable *nodes;      /* node -> wb_quota_node_t */
     unsigned lost_count;    /* of the nodes */
@@ -81,8 +81,8 @@
     g_free(node);
 }
 
-wb_quota_book_t *wb_quota_book_create(void) {
-    wb_quota_book_t *book = g_new0(wb_quota_book_t, 1);
+wb_quota_ledger_t *wb_quota_ledger_create(void) {
+    wb_quota_ledger_t *book = g_new0(wb_quota_ledger_t, 1);
     book->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     book->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, node_free);
     book->shares = g_array_new(FALSE, FALSE, sizeof(wb_quota_share_t));
@@ -90,14 +90,14 @@
     return book;
 }
 
-void wb_quota_book_free(wb_quota_book_t *book) {
+void wb_quota_ledger_free(wb_quota_ledger_t *book) {
     g_hash_table_unref(book->entries);
     g_hash_table_unref(book->nodes);
     g_array_unref(book->shares);
     g_free(book);
 }
 
-static void limit_take(wb_quota_book_t *book, const wb_tenant_t *tenant, int64_t now_ms) {
+static void limit_take(wb_quota_ledger_t *book, const wb_tenant_t *tenant, int64_t now_ms) {
     wb_quota_entry_t *entry = g_hash_table_lookup(book->entries, tenant->name);
     if (entry == NULL) {
         entry = g_new0(wb_quota_entry_t, 1);
@@ -112,7 +112,7 @@
     entry->burst = tenant->burst;
 }
 
-void wb_quota_book_set_tenants(wb_quota_book_t *book, const wb_tenants_t *tenants, int64_t now_ms) {
+void wb_quota_ledger_set_tenants(wb_quota_ledger_t *book, const wb_tenants_t *tenants, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_array_set_size(book->shares, 0); /* it points into the entries */
@@ -137,7 +137,7 @@
     }
 }
 
-static wb_quota_node_t *node_get(wb_quota_book_t *book, const char *name) {
+static wb_quota_node_t *node_get(wb_quota_ledger_t *book, const char *name) {
     wb_quota_node_t *node = g_hash_table_lookup(book->nodes, name);
     if (node == NULL) {
         node = g_new0(wb_quota_node_t, 1);
@@ -154,7 +154,7 @@
                                 entry->burst, now_ms);
 }
 
-static void kind_note(wb_quota_entry_t *entry, const wb_quota_use_t *use, int64_t now_ms) {
+static void kind_note(wb_quota_entry_t *entry, const wb_quota_usage_t *use, int64_t now_ms) {
     wb_quota_asked_t *kind = g_hash_table_lookup(entry->kinds, GUINT_TO_POINTER(use->kind));
     if (kind == NULL) {
         kind = g_new0(wb_quota_asked_t, 1);
@@ -167,7 +167,7 @@
     wb_decayed_rate_add(&kind->requests, use->requests, COST_TIME_S, now_ms);
 }
 
-void wb_quota_book_report(wb_quota_book_t *book, const char *node_name, const wb_quota_use_t *use,
+void wb_quota_ledger_report(wb_quota_ledger_t *book, const char *node_name, const wb_quota_usage_t *use,
                           int64_t now_ms) {
     const char *tenant = use->tenant;
     double asked = use->asked;
@@ -191,7 +191,7 @@
     wb_decayed_rate_add(rate, admitted, ADMITTED_TIME_S, now_ms);
 }
 
-void wb_quota_book_node_reached(wb_quota_book_t *book, const char *name) {
+void wb_quota_ledger_node_connected(wb_quota_ledger_t *book, const char *name) {
     wb_quota_node_t *node = node_get(book, name);
     if (node->lost_ms != 0) {
         node->lost_ms = 0;
@@ -200,7 +200,7 @@
     node->reported = TRUE;
 }
 
-void wb_quota_book_expect(wb_quota_book_t *book, const char *name, int64_t now_ms) {
+void wb_quota_ledger_expect_node(wb_quota_ledger_t *book, const char *name, int64_t now_ms) {
     wb_quota_node_t *node = node_get(book, name);
     if (!node->reported && node->lost_ms == 0) {
         node->lost_ms = now_ms;
@@ -208,12 +208,12 @@
     }
 }
 
-void wb_quota_book_set_sole(wb_quota_book_t *book, gboolean sole) {
+void wb_quota_ledger_set_sole(wb_quota_ledger_t *book, gboolean sole) {
     book->sole = sole;
 }
 
-/* What a node may spend of each tenant's limit without the book: see quota_gate.h. */
-static void assume(const wb_quota_book_t *book, wb_quota_node_t *node, int64_t now_ms) {
+/* What a node may spend of each tenant's limit without the book: see quota_limiter.h. */
+static void assume(const wb_quota_ledger_t *book, wb_quota_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer tenant;
     gpointer rate;
@@ -223,19 +223,19 @@
         wb_quota_entry_t *entry = g_hash_table_lookup(book->entries, tenant);
         double per_s = wb_decayed_rate_read(rate, ADMITTED_TIME_S, now_ms);
         if (entry != NULL && entry->share_told >= 1) {
-            /* As quota_gate.c has it: nodes with little demand may spend an equal part. With a
+            /* As quota_limiter.c has it: nodes with little demand may spend an equal part. With a
              * third of 350 nodes cut off a second before a sevenfold surge, 1.01 of the users' rule
              * was spent without it (wb-bench-quota). */
             double nodes = MAX(g_hash_table_size(book->nodes), 1);
-            per_s = MAX(WB_QUOTA_UNREACHED_TIMES * per_s,
-                        WB_QUOTA_UNREACHED_PART * entry->rate_per_s / nodes);
-            entry->bucket.level -= WB_QUOTA_UNREACHED_DEPTH_S * per_s;
+            per_s = MAX(WB_QUOTA_OFFLINE_FACTOR * per_s,
+                        WB_QUOTA_OFFLINE_SHARE * entry->rate_per_s / nodes);
+            entry->bucket.level -= WB_QUOTA_OFFLINE_DEPTH_S * per_s;
         }
         g_hash_table_insert(node->assumed, g_strdup(tenant), g_memdup2(&per_s, sizeof(per_s)));
     }
 }
 
-void wb_quota_book_node_lost(wb_quota_book_t *book, const char *name, int64_t now_ms) {
+void wb_quota_ledger_node_lost(wb_quota_ledger_t *book, const char *name, int64_t now_ms) {
     wb_quota_node_t *node = g_hash_table_lookup(book->nodes, name);
     if (node != NULL && node->lost_ms == 0) {
         node->lost_ms = now_ms;
@@ -244,7 +244,7 @@
     }
 }
 
-void wb_quota_book_clear(wb_quota_book_t *book, int64_t now_ms) {
+void wb_quota_ledger_clear(wb_quota_ledger_t *book, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_remove_all(book->nodes);
@@ -265,7 +265,7 @@
 
 /* Of nodes whose rates aren't known, or that may report to another book, an equal part of each
  * limit is taken. */
-static void assume_equal_parts(wb_quota_book_t *book) {
+static void assume_equal_parts(wb_quota_ledger_t *book) {
     unsigned unknown = book->sole ? book->unheard_count : book->lost_count;
     double nodes = MAX(g_hash_table_size(book->nodes), 1);
     GHashTableIter iter;
@@ -280,7 +280,7 @@
 }
 
 /* Adds up what lost nodes may spend, as of when each was lost. */
-static void assumed_sum(wb_quota_book_t *book, int64_t now_ms) {
+static void assumed_sum(wb_quota_ledger_t *book, int64_t now_ms) {
     GHashTableIter entries;
     GHashTableIter nodes;
     gpointer value;
@@ -333,7 +333,7 @@
                                   requests > 0 ? units / requests : 0, 1};
         g_array_append_val(claims, claim);
     }
-    wb_quota_order_share((wb_quota_claim_t *)(void *)claims->data, claims->len, bearable_per_s);
+    wb_quota_order_allocate((wb_quota_claim_t *)(void *)claims->data, claims->len, bearable_per_s);
     for (guint i = 0; i < claims->len; i++) {
         const wb_quota_claim_t *claim = &g_array_index(claims, wb_quota_claim_t, i);
         wb_quota_asked_t *kind = g_hash_table_lookup(entry->kinds, GUINT_TO_POINTER(claim->kind));
@@ -359,12 +359,12 @@
 }
 
 /* Adds what is to be told of a tenant that is short. Returns TRUE when a share has moved. */
-static gboolean entry_collect(wb_quota_book_t *book, wb_quota_entry_t *entry) {
+static gboolean entry_collect(wb_quota_ledger_t *book, wb_quota_entry_t *entry) {
     gboolean moved = has_moved(entry->share, entry->share_told);
     if (entry->share >= 1) {
         return moved;
     }
-    wb_quota_share_t share = {entry->tenant, WB_QUOTA_OTHER_KINDS, entry->share};
+    wb_quota_share_t share = {entry->tenant, WB_QUOTA_OTHER_CLASSES, entry->share};
     g_array_append_val(book->shares, share);
     GHashTableIter iter;
     gpointer key;
@@ -372,7 +372,7 @@
     g_hash_table_iter_init(&iter, entry->kinds);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const wb_quota_asked_t *kind = value;
-        if (GPOINTER_TO_UINT(key) != WB_QUOTA_OTHER_KINDS) {
+        if (GPOINTER_TO_UINT(key) != WB_QUOTA_OTHER_CLASSES) {
             wb_quota_share_t one = {entry->tenant, GPOINTER_TO_UINT(key), kind->share};
             g_array_append_val(book->shares, one);
             moved |= has_moved(kind->share, kind->share_told);
@@ -392,7 +392,7 @@
     }
 }
 
-const GArray *wb_quota_book_shares(wb_quota_book_t *book, int64_t now_ms, gboolean *changed) {
+const GArray *wb_quota_ledger_shares(wb_quota_ledger_t *book, int64_t now_ms, gboolean *changed) {
     GHashTableIter iter;
     gpointer value;
     gboolean moved = FALSE;
@@ -418,7 +418,7 @@
     return book->shares;
 }
 
-gboolean wb_quota_book_state(const wb_quota_book_t *book, const char *tenant, int64_t now_ms,
+gboolean wb_quota_ledger_state(const wb_quota_ledger_t *book, const char *tenant, int64_t now_ms,
                              wb_quota_state_t *state) {
     const wb_quota_entry_t *entry = g_hash_table_lookup(book->entries, tenant);
     if (entry == NULL) {
--- a/src/quota/quota_gate.c
+++ b/src/quota/quota_limiter.c
@@ -1,5 +1,5 @@
 /* Admits requests within their tenants' limits. */
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #include "quota/token_bucket.h"
 
@@ -26,7 +26,7 @@
 
 typedef struct wb_gate_entry_t {
     char *tenant;
-    GHashTable *kinds; /* wb_quota_kind_t -> wb_gate_kind_t */
+    GHashTable *kinds; /* wb_quota_class_t -> wb_gate_kind_t */
     wb_decayed_rate_t demand;
     double share;          /* of all kinds that aren't named; 1: not short */
     double share_before;   /* as told before the last list */
@@ -36,7 +36,7 @@
     int64_t used_ms;
 } wb_gate_entry_t;
 
-struct wb_quota_gate_t {
+struct wb_quota_limiter_t {
     GHashTable *entries; /* tenant -> wb_gate_entry_t */
     gboolean reached;
     int64_t told_ms;
@@ -49,18 +49,18 @@
     g_free(entry);
 }
 
-wb_quota_gate_t *wb_quota_gate_create(void) {
-    wb_quota_gate_t *gate = g_new0(wb_quota_gate_t, 1);
+wb_quota_limiter_t *wb_quota_limiter_create(void) {
+    wb_quota_limiter_t *gate = g_new0(wb_quota_limiter_t, 1);
     gate->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     return gate;
 }
 
-void wb_quota_gate_free(wb_quota_gate_t *gate) {
+void wb_quota_limiter_free(wb_quota_limiter_t *gate) {
     g_hash_table_unref(gate->entries);
     g_free(gate);
 }
 
-static wb_gate_entry_t *entry_get(wb_quota_gate_t *gate, const char *tenant) {
+static wb_gate_entry_t *entry_get(wb_quota_limiter_t *gate, const char *tenant) {
     wb_gate_entry_t *entry = g_hash_table_lookup(gate->entries, tenant);
     if (entry == NULL) {
         entry = g_new0(wb_gate_entry_t, 1);
@@ -74,7 +74,7 @@
     return entry;
 }
 
-static wb_gate_kind_t *kind_get(wb_gate_entry_t *entry, wb_quota_kind_t kind) {
+static wb_gate_kind_t *kind_get(wb_gate_entry_t *entry, wb_quota_class_t kind) {
     wb_gate_kind_t *one = g_hash_table_lookup(entry->kinds, GUINT_TO_POINTER(kind));
     if (one == NULL) {
         one = g_new0(wb_gate_kind_t, 1);
@@ -95,7 +95,7 @@
 /* Requests are admitted one after the other, so that their costs add up to the share. The first
  * is admitted by chance: that of many nodes would be too much otherwise. */
 static void ask_short(wb_gate_kind_t *entry, double cost, int64_t now_ms,
-                      wb_quota_verdict_t *verdict) {
+                      wb_quota_decision_t *verdict) {
     if (entry->credit_begins) {
         entry->credit_begins = FALSE;
         entry->credit = -cost * g_random_double();
@@ -112,16 +112,16 @@
 
 /* Depth of the bucket that a tenant has at this node alone; one unit at least. */
 static double own_depth(const wb_gate_entry_t *entry) {
-    return MAX(WB_QUOTA_UNREACHED_DEPTH_S * entry->own_rate_per_s, 1);
+    return MAX(WB_QUOTA_OFFLINE_DEPTH_S * entry->own_rate_per_s, 1);
 }
 
 /* What this node may spend by itself: set once when the book is lost, and for tenants that came
  * later. */
 static void own_begin(wb_gate_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
                       double demand_per_s, double cost, int64_t now_ms) {
-    double equal_per_s = nodes > 0 ? WB_QUOTA_UNREACHED_PART * tenant->rate_per_s / nodes : 0;
+    double equal_per_s = nodes > 0 ? WB_QUOTA_OFFLINE_SHARE * tenant->rate_per_s / nodes : 0;
     double usual_per_s =
-        entry->share < 1 ? entry->share * demand_per_s : WB_QUOTA_UNREACHED_TIMES * demand_per_s;
+        entry->share < 1 ? entry->share * demand_per_s : WB_QUOTA_OFFLINE_FACTOR * demand_per_s;
     entry->own_rate_per_s = MAX(usual_per_s, entry->share * equal_per_s);
     entry->own.at_ms = now_ms;
     entry->own.level =
@@ -130,7 +130,7 @@
 }
 
 static void ask_alone(wb_gate_entry_t *entry, double cost, int64_t now_ms,
-                      wb_quota_verdict_t *verdict) {
+                      wb_quota_decision_t *verdict) {
     double level =
         wb_token_bucket_fill(&entry->own, entry->own_rate_per_s, own_depth(entry), now_ms);
     verdict->admitted = level > 0;
@@ -141,10 +141,10 @@
     verdict->retry_ms = retry_after(-level, entry->own_rate_per_s);
 }
 
-wb_quota_verdict_t wb_quota_gate_ask(wb_quota_gate_t *gate, const wb_tenant_t *tenant,
-                                     wb_quota_kind_t kind_id, double cost, unsigned nodes,
+wb_quota_decision_t wb_quota_limiter_admit(wb_quota_limiter_t *gate, const wb_tenant_t *tenant,
+                                     wb_quota_class_t kind_id, double cost, unsigned nodes,
                                      int64_t now_ms) {
-    wb_quota_verdict_t verdict = {
+    wb_quota_decision_t verdict = {
         .admitted = TRUE, .share = 1, .reached = gate->reached, .told_ms = gate->told_ms};
     if (tenant->rate_per_s <= 0) {
         return verdict;
@@ -172,7 +172,7 @@
     return verdict;
 }
 
-void wb_quota_gate_adjust(wb_quota_gate_t *gate, const char *tenant, wb_quota_kind_t kind,
+void wb_quota_limiter_adjust(wb_quota_limiter_t *gate, const char *tenant, wb_quota_class_t kind,
                           double cost) {
     wb_gate_entry_t *entry = g_hash_table_lookup(gate->entries, tenant);
     if (entry != NULL) {
@@ -193,7 +193,7 @@
     }
 }
 
-void wb_quota_gate_set_reached(wb_quota_gate_t *gate, gboolean reached) {
+void wb_quota_limiter_set_connected(wb_quota_limiter_t *gate, gboolean reached) {
     if (gate->reached == reached) {
         return;
     }
@@ -224,7 +224,7 @@
     }
 }
 
-void wb_quota_gate_tell(wb_quota_gate_t *gate, const wb_quota_share_t *told, size_t count,
+void wb_quota_limiter_set_shares(wb_quota_limiter_t *gate, const wb_quota_share_t *told, size_t count,
                         int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
@@ -238,7 +238,7 @@
     for (size_t i = 0; i < count; i++) {
         wb_gate_entry_t *entry = entry_get(gate, told[i].tenant);
         entry->used_ms = now_ms;
-        if (told[i].kind == WB_QUOTA_OTHER_KINDS) {
+        if (told[i].kind == WB_QUOTA_OTHER_CLASSES) {
             share_take(entry, told[i].share);
         } else {
             kind_get(entry, told[i].kind)->share = CLAMP(told[i].share, 0, 1);
@@ -256,15 +256,15 @@
         if (kind->asked == 0 && kind->admitted == 0) {
             continue;
         }
-        wb_quota_use_t use = {entry->tenant, GPOINTER_TO_UINT(key), kind->asked, kind->requests,
+        wb_quota_usage_t use = {entry->tenant, GPOINTER_TO_UINT(key), kind->asked, kind->requests,
                               kind->admitted};
         g_array_append_val(uses, use);
     }
     uses_drop(entry);
 }
 
-GArray *wb_quota_gate_take_uses(wb_quota_gate_t *gate) {
-    GArray *uses = g_array_new(FALSE, FALSE, sizeof(wb_quota_use_t));
+GArray *wb_quota_limiter_take_usage(wb_quota_limiter_t *gate) {
+    GArray *uses = g_array_new(FALSE, FALSE, sizeof(wb_quota_usage_t));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, gate->entries);
@@ -287,7 +287,7 @@
     return FALSE;
 }
 
-void wb_quota_gate_sweep(wb_quota_gate_t *gate, int64_t now_ms) {
+void wb_quota_limiter_sweep(wb_quota_limiter_t *gate, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, gate->entries);
--- a/src/quota/quota_order.c
+++ b/src/quota/quota_order.c
@@ -13,16 +13,16 @@
 #define RANK_BITS 8
 #define RANK_MOST 254
 
-wb_quota_kind_t wb_quota_kind(const char *service, int rank) {
+wb_quota_class_t wb_quota_class(const char *service, int rank) {
     uint32_t group = XXH32(service, strlen(service), 0) << RANK_BITS;
     return group | (uint32_t)(CLAMP(rank, 0, RANK_MOST) + 1);
 }
 
-static uint32_t group_of(wb_quota_kind_t kind) {
+static uint32_t group_of(wb_quota_class_t kind) {
     return kind >> RANK_BITS;
 }
 
-static unsigned rank_of(wb_quota_kind_t kind) {
+static unsigned rank_of(wb_quota_class_t kind) {
     return kind & ((1U << RANK_BITS) - 1);
 }
 
@@ -72,7 +72,7 @@
     return end;
 }
 
-void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double bearable_per_s) {
+void wb_quota_order_allocate(wb_quota_claim_t *claims, size_t count, double bearable_per_s) {
     g_autoptr(GArray) ordered = g_array_new(FALSE, FALSE, sizeof(wb_ordered_claim_t));
     double asked_per_s = 0;
     for (size_t i = 0; i < count; i++) {
--- a/src/quota/quota_order.h
+++ b/src/quota/quota_order.h
@@ -21,23 +21,23 @@
 #include <stdint.h>
 
 /** A kind of request: a service and a rank in it, in one figure. */
-typedef uint32_t wb_quota_kind_t;
+typedef uint32_t wb_quota_class_t;
 
 /** All kinds that aren't named. */
-#define WB_QUOTA_OTHER_KINDS 0
+#define WB_QUOTA_OTHER_CLASSES 0
 
 /** What is asked of a kind. */
 typedef struct wb_quota_claim_t {
-    wb_quota_kind_t kind;
+    wb_quota_class_t kind;
     double asked_per_s; /**< units */
     double cost;        /**< of a request, on average */
     double share;       /**< out: of what is asked that may be admitted, 0 to 1 */
 } wb_quota_claim_t;
 
 /** @param rank 0 is the most urgent; beyond 254 they count as one */
-wb_quota_kind_t wb_quota_kind(const char *service, int rank);
+wb_quota_class_t wb_quota_class(const char *service, int rank);
 
 /** Share what a limit bears among kinds. The shares of what is asked add up to it, or are all 1. */
-void wb_quota_order_share(wb_quota_claim_t *claims, size_t count, double bearable_per_s);
+void wb_quota_order_allocate(wb_quota_claim_t *claims, size_t count, double bearable_per_s);
 
 #endif
--- a/src/request/api_key.c
+++ b/src/request/api_key.c
@@ -37,7 +37,7 @@
             return 0;
         }
     }
-    return length <= WB_KEY_LIMIT_BYTES ? length : 0;
+    return length <= WB_KEY_MAX_BYTES ? length : 0;
 }
 
 wb_api_key_t wb_api_key_read(const wb_http_head_t *head, const wb_dialect_t *dialect) {
@@ -52,12 +52,12 @@
     size_t length = key != NULL ? key_length(key) : 0;
     if (length > 0) {
         found.digest = wb_key_digest(key, length);
-        found.state = WB_API_KEY_GIVEN;
+        found.state = WB_API_KEY_PRESENT;
     }
     return found;
 }
 
-gboolean wb_api_key_is_private(const wb_dialect_t *dialect, const char *header) {
+gboolean wb_api_key_strips_header(const wb_dialect_t *dialect, const char *header) {
     return g_ascii_strcasecmp(header, dialect->api_key) == 0 ||
            g_ascii_strcasecmp(header, dialect->tenant) == 0;
 }
--- a/src/request/api_key.h
+++ b/src/request/api_key.h
@@ -13,7 +13,7 @@
 typedef enum wb_api_key_state_t {
     WB_API_KEY_ABSENT,    /**< no header for it */
     WB_API_KEY_MALFORMED, /**< several headers, another scheme, empty, too long, or odd bytes */
-    WB_API_KEY_GIVEN      /**< one well-formed key; whether anybody holds it is another matter */
+    WB_API_KEY_PRESENT      /**< one well-formed key; whether anybody holds it is another matter */
 } wb_api_key_state_t;
 
 typedef struct wb_api_key_t {
@@ -24,6 +24,6 @@
 wb_api_key_t wb_api_key_read(const wb_http_head_t *head, const wb_dialect_t *dialect);
 
 /** @return TRUE for a caller's header that must not reach an engine while callers have keys */
-gboolean wb_api_key_is_private(const wb_dialect_t *dialect, const char *header);
+gboolean wb_api_key_strips_header(const wb_dialect_t *dialect, const char *header);
 
 #endif
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -1,5 +1,5 @@
 /* One sending of a request to one engine, and the connections to engines that are kept. */
-#include "fleet/engine_heard.h"
+#include "fleet/engine_response.h"
 #include "request/request_types.h"
 
 #include <string.h>
@@ -76,8 +76,8 @@
     wb_exchange_attempt_failed(exchange, failure);
 }
 
-static void attempt_fail(wb_attempt_t *attempt, gboolean broke_off, const char *reason) {
-    wb_attempt_failure_t failure = {attempt->sent, broke_off, FALSE, reason};
+static void attempt_fail(wb_attempt_t *attempt, gboolean engine_aborted, const char *reason) {
+    wb_attempt_failure_t failure = {attempt->sent, engine_aborted, FALSE, reason};
     attempt_end(attempt, &failure);
 }
 
@@ -89,7 +89,7 @@
 static void upstream_rest(wb_upstream_t *upstream, const wb_attempt_t *attempt) {
     gboolean keep = !attempt->tainted && attempt->keep_alive &&
                     wb_tcp_stream_unsent(upstream->stream) == 0 && !upstream->engine->gone &&
-                    wb_engine_stays(upstream->engine) &&
+                    wb_engine_is_available(upstream->engine) &&
                     upstream->engine->idle.len < KEPT_PER_ENGINE;
     int64_t keep_for_ms =
         attempt->keep_for_ms > 0 ? attempt->keep_for_ms - KEEP_ALIVE_MARGIN_MS : KEPT_UNTOLD_MS;
@@ -129,12 +129,12 @@
 
 static void engine_hear(const wb_upstream_t *upstream, const wb_http_head_t *head) {
     wb_edge_t *edge = upstream->edge;
-    wb_heard_t heard = {edge->dialect,       head,
-                        WB_HEARD_ON_REQUEST, upstream->attempt->exchange->written_ms,
+    wb_engine_response_t heard = {edge->dialect,       head,
+                        WB_RESPONSE_TO_REQUEST, upstream->attempt->exchange->written_ms,
                         wb_clock_ms(),       edge->settings.drain_ms};
-    if (wb_engine_hear(upstream->engine, &heard, &edge->metrics)) {
-        wb_edge_note_told(edge, upstream->engine);
-        wb_edge_queue_state(edge, upstream->engine);
+    if (wb_engine_update_from_response(upstream->engine, &heard, &edge->metrics)) {
+        wb_edge_track_reporting_engine(edge, upstream->engine);
+        wb_edge_queue_state_update(edge, upstream->engine);
     }
 }
 
@@ -151,10 +151,10 @@
         attempt->skipping = TRUE;
         attempt->tainted = TRUE;
         wb_event("answer-passed-over", ",\"id\":\"%s\",\"engine\":\"%s\",\"status\":%u",
-                 wb_event_text(attempt->exchange->id), upstream->engine->state->id, head->status);
+                 wb_event_escape(attempt->exchange->id), upstream->engine->state->id, head->status);
         return;
     }
-    attempt->keep_alive = head->keep_alive && !head->ends_with_connection;
+    attempt->keep_alive = head->keep_alive && !head->ends_at_close;
     attempt->keep_for_ms = keep_alive_ms(head);
     engine_hear(upstream, head);
     wb_exchange_attempt_head(attempt->exchange, head);
@@ -200,7 +200,7 @@
         size_t used = wb_http_reader_feed(upstream->reader, data, length);
         data += used;
         length -= used;
-        if (used == 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
+        if (used == 0 || wb_http_reader_error(upstream->reader) != WB_HTTP_PARSE_OK)
             break;
     }
     wb_attempt_t *attempt = feeding_end(upstream);
@@ -210,7 +210,7 @@
         attempt->tainted = TRUE; /* bytes beyond the answer */
     if (attempt->whole)
         attempt_finish(attempt);
-    else if (length > 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
+    else if (length > 0 || wb_http_reader_error(upstream->reader) != WB_HTTP_PARSE_OK)
         attempt_fail(attempt, FALSE, "not-an-answer");
 }
 
@@ -229,9 +229,9 @@
         upstream_feed(upstream, data, length);
 }
 
-static const char *end_name(wb_tcp_end_t how) {
+static const char *end_name(wb_tcp_end_reason_t how) {
     switch (how) {
-    case WB_TCP_END_UNREACHED:
+    case WB_TCP_END_UNREACHABLE:
         return "unreached";
     case WB_TCP_END_REFUSED:
         return "refused";
@@ -242,7 +242,7 @@
     }
 }
 
-static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)stream;
     wb_upstream_t *upstream = context;
     if (upstream->attempt == NULL) {
@@ -252,7 +252,7 @@
     wb_attempt_t *attempt = upstream->attempt;
     if (how == WB_TCP_END_CLOSED) {
         upstream->feeding = TRUE;
-        wb_http_reader_end(upstream->reader);
+        wb_http_reader_eof(upstream->reader);
         attempt = feeding_end(upstream);
     }
     if (attempt == NULL)
@@ -304,7 +304,7 @@
             return TRUE;
         }
     }
-    if (exchange->catalog->tenants != NULL && wb_api_key_is_private(dialect, name)) {
+    if (exchange->catalog->tenants != NULL && wb_api_key_strips_header(dialect, name)) {
         return TRUE;
     }
     return exchange->resuming && g_ascii_strcasecmp(name, dialect->last_event_id) == 0;
@@ -318,11 +318,11 @@
     g_string_printf(text, "%s %s HTTP/1.1\r\n", head->method, head->target);
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
-        if (wb_http_header_is_hop(head, header->name) || header_is_ours(exchange, header->name))
+        if (wb_http_header_is_hop_by_hop(head, header->name) || header_is_ours(exchange, header->name))
             continue;
         g_string_append_printf(text, "%s: %s\r\n", header->name, header->value);
     }
-    int64_t left_ms = MAX(exchange->hold_until_ms - now_ms, 1);
+    int64_t left_ms = MAX(exchange->answer_due_ms - now_ms, 1);
     g_string_append_printf(text, "%s: %lld\r\n%s: %s\r\n%s: %d\r\n", dialect->deadline_ms,
                            (long long)left_ms, dialect->expected_engine, engine->state->id,
                            dialect->urgency, CLAMP(exchange->rank, 0, 9));
@@ -405,11 +405,11 @@
     }
 }
 
-void wb_upstreams_drop(wb_engine_t *engine) {
+void wb_upstreams_close_idle(wb_engine_t *engine) {
     idle_sweep(engine, TRUE, 0);
 }
 
-void wb_upstreams_sweep(wb_edge_t *edge, int64_t now_ms) {
+void wb_upstreams_sweep_idle(wb_edge_t *edge, int64_t now_ms) {
     GHashTableIter iter;
     gpointer service;
     g_hash_table_iter_init(&iter, edge->catalog != NULL ? edge->catalog->services : edge->budgets);
@@ -417,7 +417,7 @@
         const GPtrArray *engines = wb_fleet_service(edge->fleet, service);
         for (guint i = 0; engines != NULL && i < engines->len; i++) {
             wb_engine_t *engine = g_ptr_array_index(engines, i);
-            idle_sweep(engine, !wb_engine_stays(engine), now_ms);
+            idle_sweep(engine, !wb_engine_is_available(engine), now_ms);
         }
     }
 }
--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -42,7 +42,7 @@
     return hash;
 }
 
-int64_t wb_balancer_unread_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
+int64_t wb_balancer_prefill_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                                   int64_t now_ms) {
     if (exchange->model == NULL)
         return 0;
@@ -59,7 +59,7 @@
     return MAX(unread, 0);
 }
 
-void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms) {
+void wb_balancer_note_prefilled(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms) {
     if (exchange->model == NULL)
         return;
     if (g_hash_table_size(engine->prefixes) > PREFIXES_LIMIT)
@@ -91,7 +91,7 @@
  * parts to their home, and some of them to other engines. */
 static double expected_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                               gboolean is_home, int64_t now_ms) {
-    double unread = (double)wb_balancer_unread_tokens(engine, exchange, now_ms);
+    double unread = (double)wb_balancer_prefill_tokens(engine, exchange, now_ms);
     guint parts = exchange->parts->len;
     if (is_home && parts > 1) {
         const wb_prompt_part_t *last = &g_array_index(exchange->parts, wb_prompt_part_t, parts - 1);
@@ -125,7 +125,7 @@
         cost += LIMITED_MS;
     if (now_ms < engine->rejected_until_ms)
         cost += REJECTED_COST_MS;
-    if (!wb_engine_stays(engine))
+    if (!wb_engine_is_available(engine))
         cost += LEAVING_MS;
     return cost;
 }
@@ -133,9 +133,9 @@
 static wb_choice_setup_t choice_setup(const wb_edge_settings_t *settings) {
     return (wb_choice_setup_t){.tokens_per_ms = settings->prefill_tokens_per_ms,
                                .step_ms = settings->step_ms,
-                               .piece_tokens = (double)settings->read_piece_tokens,
+                               .chunk_tokens = (double)settings->read_piece_tokens,
                                .event_tokens = (double)settings->event_tokens,
-                               .by_pace = settings->engine_pace != 0};
+                               .use_pace = settings->engine_pace != 0};
 }
 
 wb_choice_request_t wb_balancer_request(const wb_exchange_t *exchange, int64_t now_ms) {
@@ -154,20 +154,20 @@
     wb_choice_engine_t choice = {.pace = 1,
                                  .slots = MAX(engine->state->slots, 1),
                                  .running = engine_load(engine, now_ms),
-                                 .unread_tokens =
+                                 .uncached_tokens =
                                      expected_tokens(engine, exchange, is_home, now_ms),
                                  .backlog_tokens = (double)engine->prefill_tokens,
                                  .penalty_ms = penalty_ms(edge, engine, now_ms)};
     if (edge->settings.engine_pace == 0) {
         return choice;
     }
-    choice.pace = wb_engine_pace_now(&engine->pace, now_ms);
-    if (edge->loads_known) {
+    choice.pace = wb_engine_pace_current_factor(&engine->pace, now_ms);
+    if (edge->shared_loads_valid) {
         double tokens_per_ms = edge->settings.prefill_tokens_per_ms;
-        choice.reading_share = WB_UNREAD_SHARE * engine->shared_tokens_per_s / 1000.0 /
-                               tokens_per_ms * wb_engine_pace_usual(&engine->pace, now_ms);
+        choice.reading_share = WB_UNCACHED_SHARE * engine->total_tokens_per_s / 1000.0 /
+                               tokens_per_ms * wb_engine_pace_intrinsic_factor(&engine->pace, now_ms);
         choice.backlog_ms =
-            MAX(engine->shared_backlog_ms - (double)(now_ms - engine->shared_ms), 0);
+            MAX(engine->total_backlog_ms - (double)(now_ms - engine->shared_received_ms), 0);
     }
     return choice;
 }
@@ -178,7 +178,7 @@
     for (guint i = exchange->tried->len; i > 0; i--) {
         const wb_tried_engine_t *tried = &g_array_index(exchange->tried, wb_tried_engine_t, i - 1);
         if (strcmp(tried->id, engine->state->id) == 0) {
-            return tried->again_ms != 0 ? tried->again_ms : G_MAXINT64;
+            return tried->eligible_at_ms != 0 ? tried->eligible_at_ms : G_MAXINT64;
         }
     }
     return 0;
@@ -188,18 +188,18 @@
 static int64_t cold_opens_ms(const wb_edge_t *edge, wb_engine_t *engine,
                              const wb_service_t *service, unsigned ahead, int64_t now_ms) {
     const wb_edge_settings_t *settings = &edge->settings;
-    if (now_ms >= engine->cold_until_ms || service->cold_per_s <= 0) {
+    if (now_ms >= engine->cold_until_ms || service->cold_capacity_per_s <= 0) {
         return now_ms;
     }
-    if (engine->cold_shared_ms == 0 || now_ms - engine->cold_shared_ms > SHARED_MS) {
-        double per_s = service->cold_per_s * settings->cold_overage + settings->cold_slack;
-        engine->cold_shared_ms = now_ms;
+    if (engine->cold_share_updated_ms == 0 || now_ms - engine->cold_share_updated_ms > SHARED_MS) {
+        double per_s = service->cold_capacity_per_s * settings->cold_overage + settings->cold_slack;
+        engine->cold_share_updated_ms = now_ms;
         engine->cold_share =
-            wb_cold_share(per_s, wb_equal_share_listed(edge->share, WB_COLD_WINDOW_MS, now_ms),
-                          wb_dealt_rank(engine->state->incarnation, settings->id,
+            wb_cold_engine_share(per_s, wb_equal_share_listed(edge->share, WB_COLD_WINDOW_MS, now_ms),
+                          wb_rendezvous_rank(engine->state->incarnation, settings->id,
                                         wb_equal_share_ids(edge->share)));
     }
-    int64_t opens_ms = wb_send_gate_opens_ms(&engine->cold_gate, engine->cold_share,
+    int64_t opens_ms = wb_send_limiter_next_ms(&engine->cold_limiter, engine->cold_share,
                                              WB_COLD_WINDOW_MS, ahead, now_ms);
     return MIN(opens_ms, engine->cold_until_ms);
 }
@@ -210,14 +210,14 @@
     if (!engine->limit.named) {
         return now_ms;
     }
-    if (engine->placed_ms == 0 || now_ms - engine->placed_ms > SHARED_MS) {
-        engine->placed_ms = now_ms;
+    if (engine->limit_share_updated_ms == 0 || now_ms - engine->limit_share_updated_ms > SHARED_MS) {
+        engine->limit_share_updated_ms = now_ms;
         engine->place =
-            (wb_limit_place_t){wb_equal_share_listed(edge->share, WB_LIMIT_WINDOW_MS, now_ms),
-                               wb_dealt_rank(engine->state->incarnation, edge->settings.id,
+            (wb_share_rank_t){wb_equal_share_listed(edge->share, WB_LIMIT_WINDOW_MS, now_ms),
+                               wb_rendezvous_rank(engine->state->incarnation, edge->settings.id,
                                              wb_equal_share_ids(edge->share))};
     }
-    return wb_engine_limit_opens_ms(&engine->limit, &engine->place, ahead, now_ms);
+    return wb_engine_limit_next_ms(&engine->limit, &engine->place, ahead, now_ms);
 }
 
 /* Steady time from which an engine takes another request of this node, as it has told itself. */
@@ -226,16 +226,16 @@
     int64_t cold_ms = cold_opens_ms(edge, engine, service, ahead, now_ms);
     int64_t limit_ms = limit_opens_ms(edge, engine, ahead, now_ms);
     int64_t opens_ms = MAX(cold_ms, limit_ms);
-    return MAX(opens_ms, engine->rest_until_ms);
+    return MAX(opens_ms, engine->backoff_until_ms);
 }
 
 /* Regions that a request's tenant names; NULL: none. */
 static const char *const *tenant_homes(const wb_exchange_t *exchange) {
-    return exchange->tenant != NULL ? (const char *const *)exchange->tenant->homes : NULL;
+    return exchange->tenant != NULL ? (const char *const *)exchange->tenant->allowed_regions : NULL;
 }
 
 static gboolean names_no_home(const wb_exchange_t *exchange) {
-    return exchange->route->homes == NULL && tenant_homes(exchange) == NULL;
+    return exchange->route->allowed_regions == NULL && tenant_homes(exchange) == NULL;
 }
 
 /* Whether the request may be served where the engine stands. */
@@ -244,11 +244,11 @@
         return TRUE;
     }
     const char *region = g_hash_table_lookup(exchange->edge->regions, engine->state->zone);
-    return wb_homes_allow((const char *const *)exchange->route->homes, region) &&
-           wb_homes_allow(tenant_homes(exchange), region);
+    return wb_regions_allow((const char *const *)exchange->route->allowed_regions, region) &&
+           wb_regions_allow(tenant_homes(exchange), region);
 }
 
-gboolean wb_balancer_has_home(const wb_edge_t *edge, const wb_exchange_t *exchange) {
+gboolean wb_balancer_has_allowed_engine(const wb_edge_t *edge, const wb_exchange_t *exchange) {
     if (names_no_home(exchange)) {
         return TRUE;
     }
@@ -264,7 +264,7 @@
 /* Whether an engine can serve the request, if not now. */
 static gboolean can_serve(const wb_engine_t *engine, const wb_exchange_t *exchange,
                           int64_t now_ms) {
-    if (!wb_engine_is_open(engine, now_ms) || !is_home(exchange, engine))
+    if (!wb_engine_is_usable(engine, now_ms) || !is_home(exchange, engine))
         return FALSE;
     return exchange->model == NULL ||
            wb_engine_holds(engine, exchange->model, exchange->adapter, now_ms);
@@ -298,7 +298,7 @@
     return ahead;
 }
 
-wb_opening_t wb_balancer_opening(const wb_edge_t *edge, const wb_exchange_t *exchange,
+wb_availability_t wb_balancer_next_available(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                  int64_t now_ms) {
     const GPtrArray *engines = wb_fleet_service(edge->fleet, exchange->service->name);
     g_autoptr(GPtrArray) able = g_ptr_array_new();
@@ -307,13 +307,13 @@
             g_ptr_array_add(able, g_ptr_array_index(engines, i));
         }
     }
-    wb_opening_t opening = {.at_ms = G_MAXINT64};
+    wb_availability_t opening = {.at_ms = G_MAXINT64};
     unsigned ahead = able->len > 0 ? waiting_ahead(edge, exchange) / able->len : 0;
     for (guint i = 0; i < able->len; i++) {
         wb_engine_t *engine = g_ptr_array_index(able, i);
         int64_t opens_ms = request_opens_ms(edge, engine, exchange, ahead, now_ms);
         if (opens_ms > now_ms && opens_ms < opening.at_ms) {
-            opening = (wb_opening_t){opens_ms, now_ms < engine->cold_until_ms};
+            opening = (wb_availability_t){opens_ms, now_ms < engine->cold_until_ms};
         }
     }
     return opening;
@@ -322,7 +322,7 @@
 gboolean wb_balancer_may_write(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                int64_t now_ms) {
     wb_engine_t *engine = exchange->engine;
-    if (now_ms < engine->rest_until_ms || !wb_engine_is_open(engine, now_ms)) {
+    if (now_ms < engine->backoff_until_ms || !wb_engine_is_usable(engine, now_ms)) {
         return FALSE;
     }
     if (exchange->limit_noted || !engine->limit.named) {
@@ -331,7 +331,7 @@
     if (limit_opens_ms(edge, engine, 0, now_ms) > now_ms) {
         return FALSE;
     }
-    wb_engine_limit_note(&engine->limit, now_ms);
+    wb_engine_limit_record(&engine->limit, now_ms);
     return TRUE;
 }
 
@@ -354,7 +354,7 @@
 }
 
 wb_engine_t *wb_balancer_choose(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                int64_t now_ms, wb_sending_t *sending) {
+                                int64_t now_ms, wb_dispatch_decision_t *sending) {
     const GPtrArray *engines = wb_fleet_service(edge->fleet, exchange->service->name);
     if (engines == NULL)
         return NULL;
@@ -375,7 +375,7 @@
         if (best == NULL || cost < lowest) {
             best = engine;
             lowest = cost;
-            *sending = (wb_sending_t){choice, estimate};
+            *sending = (wb_dispatch_decision_t){choice, estimate};
         }
     }
     return best;
--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -31,7 +31,7 @@
     char *id;
     char *address;
     wb_engine_end_t state;
-    GArray *requests; /* of wb_broken_request_t, not yet told */
+    GArray *requests; /* of wb_aborted_request_t, not yet told */
     wb_timer_t *timer;
     wb_tcp_stream_t *stream;
     int64_t since_ms; /* when the last check was planned */
@@ -89,9 +89,9 @@
         return;
     }
     wb_event("engine-crashed", ",\"engine\":\"%s\",\"shown_by\":\"%s\",\"requests\":%u",
-             wb_event_text(engine->id), shown_by, engine->requests->len);
+             wb_event_escape(engine->id), shown_by, engine->requests->len);
     g_autoptr(GArray) requests = engine->requests;
-    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_broken_request_t));
+    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_aborted_request_t));
     engine->watch->events.on_crashed(engine->id, requests, engine->watch->events.context);
 }
 
@@ -110,7 +110,7 @@
     (void)context;
 }
 
-static void check_failed(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void check_failed(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)stream;
     wb_broken_engine_t *engine = context;
     check_end(engine);
@@ -131,7 +131,7 @@
     if (wb_tcp_stream_connect(engine->watch->loop, engine->address, limit_ms, limit_ms, &events,
                               engine, &engine->stream, &error) != APR_SUCCESS) {
         wb_event("engine-check-failed", ",\"engine\":\"%s\",\"reason\":\"%s\"",
-                 wb_event_text(engine->id), wb_event_text(error.message));
+                 wb_event_escape(engine->id), wb_event_escape(error.message));
         engine->stream = NULL;
         engine->state = WB_ENGINE_END_UNKNOWN;
     }
@@ -149,14 +149,14 @@
     engine->watch = watch;
     engine->id = g_strdup(id);
     engine->address = g_strdup(address);
-    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_broken_request_t));
+    engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_aborted_request_t));
     check_plan(engine);
     g_hash_table_insert(watch->engines, engine->id, engine);
     return engine;
 }
 
-void wb_crash_watch_broken(wb_crash_watch_t *watch, const char *engine_id, const char *address,
-                           const wb_broken_request_t *request) {
+void wb_crash_watch_note_aborted(wb_crash_watch_t *watch, const char *engine_id, const char *address,
+                           const wb_aborted_request_t *request) {
     wb_broken_engine_t *engine = g_hash_table_lookup(watch->engines, engine_id);
     if (engine == NULL) {
         engine = engine_begin(watch, engine_id, address);
@@ -179,7 +179,7 @@
     }
 }
 
-void wb_crash_watch_row_gone(wb_crash_watch_t *watch, const char *engine_id) {
+void wb_crash_watch_row_removed(wb_crash_watch_t *watch, const char *engine_id) {
     wb_broken_engine_t *engine = g_hash_table_lookup(watch->engines, engine_id);
     if (engine != NULL) {
         engine_ended(engine, "row");
--- a/src/request/crash_watch.h
+++ b/src/request/crash_watch.h
@@ -23,13 +23,13 @@
 #include <glib.h>
 
 /** A request that an engine broke off. */
-typedef struct wb_broken_request_t {
+typedef struct wb_aborted_request_t {
     wb_request_digest_t digest;
     uint32_t body_bytes;
-} wb_broken_request_t;
+} wb_aborted_request_t;
 
 typedef struct wb_crash_watch_events_t {
-    /** An engine has ended. @param requests of wb_broken_request_t that it broke off, not all of
+    /** An engine has ended. @param requests of wb_aborted_request_t that it broke off, not all of
      * them different; those that are noticed later come with a further call */
     void (*on_crashed)(const char *engine_id, const GArray *requests, void *context);
     void *context;
@@ -49,10 +49,10 @@
 
 /** An engine ended the connection of a request that it had and hadn't answered whole.
  * @param engine_id here and below names one start of an engine: it may start again under its id */
-void wb_crash_watch_broken(wb_crash_watch_t *watch, const char *engine_id, const char *address,
-                           const wb_broken_request_t *request);
+void wb_crash_watch_note_aborted(wb_crash_watch_t *watch, const char *engine_id, const char *address,
+                           const wb_aborted_request_t *request);
 /** An engine's row went that hadn't said that it leaves. */
-void wb_crash_watch_row_gone(wb_crash_watch_t *watch, const char *engine_id);
+void wb_crash_watch_row_removed(wb_crash_watch_t *watch, const char *engine_id);
 /** An engine announces itself at an address: any other one that was there has ended. */
 void wb_crash_watch_address_taken(wb_crash_watch_t *watch, const char *engine_id,
                                   const char *address);
--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -51,7 +51,7 @@
     return entry;
 }
 
-void wb_demand_arrived(wb_demand_t *demand, const wb_exchange_t *exchange) {
+void wb_demand_note_arrival(wb_demand_t *demand, const wb_exchange_t *exchange) {
     wb_demand_entry_t *entry = entry_of(demand, exchange);
     if (entry == NULL)
         return;
@@ -59,7 +59,7 @@
     entry->work += (uint64_t)exchange->prompt_tokens;
 }
 
-void wb_demand_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting) {
+void wb_demand_set_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting) {
     wb_demand_entry_t *entry = entry_of(demand, exchange);
     if (entry == NULL)
         return;
@@ -71,18 +71,18 @@
     }
     entry->waiting++;
     int64_t target_ms = exchange->route->target_latency_ms;
-    int64_t late_ms = target_ms > 0 ? exchange->began_ms + target_ms : exchange->hold_until_ms;
+    int64_t late_ms = target_ms > 0 ? exchange->began_ms + target_ms : exchange->answer_due_ms;
     entry->tightest_ms = MIN(entry->tightest_ms, late_ms);
 }
 
-void wb_demand_promised(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms) {
+void wb_demand_expect_retry(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms) {
     wb_demand_entry_t *entry = entry_of(demand, exchange);
     if (entry != NULL) {
         entry->promised_ms = MAX(entry->promised_ms, until_ms);
     }
 }
 
-void wb_demand_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running) {
+void wb_demand_set_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running) {
     wb_demand_entry_t *entry = entry_of(demand, exchange);
     if (entry != NULL)
         entry->running += running ? 1 : -1;
@@ -115,7 +115,7 @@
     row->time_left_ms = row->waiting > 0 ? (unsigned)CLAMP(tightest_ms - now_ms, 0, 600000) : 0;
 }
 
-void wb_demand_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
+void wb_demand_build_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
                        wb_wire_message *message) {
     memset(message, 0, sizeof(*message));
     g_hash_table_foreach_remove(demand->entries, entry_is_empty, NULL);
--- a/src/request/engine_states.c
+++ b/src/request/engine_states.c
@@ -1,15 +1,15 @@
 /* Which engines have told of themselves, and which of them others should know of. */
 #include "request/request_types.h"
 
-void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine) {
-    if (!g_hash_table_contains(edge->told_engines, engine)) {
-        g_hash_table_add(edge->told_engines, wb_engine_ref(engine));
+void wb_edge_track_reporting_engine(wb_edge_t *edge, wb_engine_t *engine) {
+    if (!g_hash_table_contains(edge->reporting_engines, engine)) {
+        g_hash_table_add(edge->reporting_engines, wb_engine_ref(engine));
     }
 }
 
-void wb_edge_queue_state(wb_edge_t *edge, wb_engine_t *engine) {
-    if (!wb_list_is_linked(&engine->state_news)) {
-        wb_list_add_tail(&edge->state_news, &wb_engine_ref(engine)->state_news);
+void wb_edge_queue_state_update(wb_edge_t *edge, wb_engine_t *engine) {
+    if (!wb_list_is_linked(&engine->state_updates)) {
+        wb_list_add_tail(&edge->state_updates, &wb_engine_ref(engine)->state_updates);
     }
 }
 
@@ -17,9 +17,9 @@
     (void)value;
     (void)context;
     const wb_engine_t *engine = key;
-    return engine->gone || !(engine->limit.named || engine->told_leaving);
+    return engine->gone || !(engine->limit.named || engine->drain_reported);
 }
 
-void wb_edge_told_engines_sweep(wb_edge_t *edge) {
-    g_hash_table_foreach_remove(edge->told_engines, has_nothing_to_tell, NULL);
+void wb_edge_reporting_engines_sweep(wb_edge_t *edge) {
+    g_hash_table_foreach_remove(edge->reporting_engines, has_nothing_to_tell, NULL);
 }
--- a/src/request/event_stream.c
+++ b/src/request/event_stream.c
@@ -5,7 +5,7 @@
 
 #define ID_FIELD "id:"
 
-size_t wb_events_whole(const char *text, size_t length) {
+size_t wb_events_complete_length(const char *text, size_t length) {
     for (size_t i = length; i >= 2; i--) {
         if (text[i - 1] != '\n')
             continue;
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -1,5 +1,5 @@
 /* A caller's request, from its arrival to its answer. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include "dispatch/admission.h"
 
@@ -70,7 +70,7 @@
     exchange->engine->running--;
     if (exchange->engine->running == 0)
         exchange->engine->unheard_since_ms = 0;
-    wb_demand_running(exchange->edge->demand, exchange, FALSE);
+    wb_demand_set_running(exchange->edge->demand, exchange, FALSE);
 }
 
 static void attempt_stop(wb_exchange_t *exchange) {
@@ -80,7 +80,7 @@
 }
 
 static void exchange_free(wb_exchange_t *exchange) {
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     attempt_stop(exchange);
     wb_exchange_clear_timer(&exchange->hold_timer);
     wb_engine_unref(exchange->engine);
@@ -99,11 +99,11 @@
 }
 
 /* Notes the end and frees the exchange. Returns its connection, to answer on. */
-wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_ending_t ending,
+wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_outcome_t ending,
                                       unsigned status) {
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     wb_exchange_settle_quota(exchange);
-    wb_exchange_note_end(exchange, ending, status);
+    wb_exchange_record_outcome(exchange, ending, status);
     wb_http_connection_t *connection = exchange->connection;
     wb_http_connection_set_request(connection, NULL);
     exchange_free(exchange);
@@ -114,20 +114,20 @@
     g_snprintf(headers, size, "Retry-After: %.2f\r\n", (double)after_ms / 1000.0);
 }
 
-static int64_t come_back_after_ms(wb_exchange_t *exchange, wb_ending_t ending) {
+static int64_t come_back_after_ms(wb_exchange_t *exchange, wb_outcome_t ending) {
     switch (ending) {
-    case WB_ENDING_POISON:
+    case WB_OUTCOME_POISON:
         return wb_exchange_poison_left_ms(exchange);
-    case WB_ENDING_NO_ROOM:
+    case WB_OUTCOME_OVERLOADED:
         return exchange->room_retry_ms;
     default:
-        return wb_exchange_come_back_ms(exchange);
+        return wb_exchange_retry_after_ms(exchange);
     }
 }
 
 /* Gives the final answer of this node's own. The promise "not run" is made only when that is known.
  */
-static void exchange_refuse(wb_exchange_t *exchange, wb_ending_t ending, unsigned status) {
+static void exchange_refuse(wb_exchange_t *exchange, wb_outcome_t ending, unsigned status) {
     if (exchange->answer_begun) {
         wb_http_connection_abort(wb_exchange_end(exchange, ending, 0));
         return;
@@ -140,8 +140,8 @@
         int64_t come_back_ms = come_back_after_ms(exchange, ending);
         retry_after_write(headers, sizeof(headers), come_back_ms);
         /* Who decides on loads knows what waits; while nobody does, it must be kept for later. */
-        if (ending == WB_ENDING_NOT_LOADED && wb_exchange_nobody_decides(exchange)) {
-            wb_demand_promised(exchange->edge->demand, exchange,
+        if (ending == WB_OUTCOME_MODEL_NOT_LOADED && wb_exchange_lacks_controller(exchange)) {
+            wb_demand_expect_retry(exchange->edge->demand, exchange,
                                wb_clock_ms() + come_back_ms + PROMISE_KEPT_MS);
         }
     }
@@ -150,16 +150,16 @@
                    exchange->edge->dialect->api_key_scheme);
     }
     wb_http_connection_t *connection = wb_exchange_end(exchange, ending, status);
-    wb_http_connection_answer(connection, status, wb_http_reason(status), headers, NULL, 0);
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status), headers, NULL, 0);
 }
 
 /* Gives up: with the ending's own status when the request surely has not run, else with one that
  * promises nothing. */
-void wb_exchange_give_up(wb_exchange_t *exchange, wb_ending_t ending) {
-    unsigned may_have_run = ending == WB_ENDING_TIMED_OUT ? 504 : 502;
+void wb_exchange_give_up(wb_exchange_t *exchange, wb_outcome_t ending) {
+    unsigned may_have_run = ending == WB_OUTCOME_TIMED_OUT ? 504 : 502;
     attempt_stop(exchange);
     exchange_refuse(exchange, ending,
-                    exchange->runs == 0 ? wb_ending_status(ending) : may_have_run);
+                    exchange->runs == 0 ? wb_outcome_status(ending) : may_have_run);
 }
 
 static void engine_failed(wb_engine_t *engine, const char *reason, const char *request_id) {
@@ -167,10 +167,10 @@
     int64_t avoid_ms = AVOID_MS << MIN(engine->failures - 1, 4);
     avoid_ms = MIN(avoid_ms, AVOID_LIMIT_MS);
     engine->avoid_until_ms = wb_clock_ms() + avoid_ms;
-    wb_upstreams_drop(engine);
+    wb_upstreams_close_idle(engine);
     wb_event("engine-avoided",
              ",\"engine\":\"%s\",\"id\":\"%s\",\"reason\":\"%s\",\"failures\":%u,\"for_ms\":%lld",
-             engine->state->id, wb_event_text(request_id), reason, engine->failures,
+             engine->state->id, wb_event_escape(request_id), reason, engine->failures,
              (long long)avoid_ms);
 }
 
@@ -182,29 +182,29 @@
            wb_clock_ms() - exchange->sent_ms > SILENT_MS;
 }
 
-void wb_exchange_gone(wb_exchange_t *exchange) {
+void wb_exchange_client_gone(wb_exchange_t *exchange) {
     if (engine_is_silent(exchange))
         engine_failed(exchange->engine, "silent", exchange->id);
-    wb_exchange_end(exchange, WB_ENDING_CALLER_GONE, 0);
+    wb_exchange_end(exchange, WB_OUTCOME_CLIENT_GONE, 0);
 }
 
 static void hold_expired(void *context) {
     wb_exchange_t *exchange = context;
     exchange->hold_timer = NULL;
     int64_t now_ms = wb_clock_ms();
-    if (wb_list_is_linked(&exchange->waiting) && now_ms < exchange->hold_until_ms) {
+    if (wb_list_is_linked(&exchange->waiting) && now_ms < exchange->answer_due_ms) {
         wb_exchange_give_up(exchange,
-                            exchange->model != NULL ? WB_ENDING_NOT_LOADED : WB_ENDING_NO_ENGINE);
+                            exchange->model != NULL ? WB_OUTCOME_MODEL_NOT_LOADED : WB_OUTCOME_NO_ENGINE);
         return;
     }
     if (engine_is_silent(exchange))
         engine_failed(exchange->engine, "silent", exchange->id);
-    wb_exchange_give_up(exchange, WB_ENDING_TIMED_OUT);
+    wb_exchange_give_up(exchange, WB_OUTCOME_TIMED_OUT);
 }
 
-void wb_exchange_arm_hold(wb_exchange_t *exchange) {
+void wb_exchange_arm_timeout(wb_exchange_t *exchange) {
     wb_exchange_clear_timer(&exchange->hold_timer);
-    int64_t due_ms = exchange->hold_until_ms;
+    int64_t due_ms = exchange->answer_due_ms;
     if (wb_list_is_linked(&exchange->waiting))
         due_ms = MIN(due_ms, exchange->wait_until_ms);
     exchange->hold_timer =
@@ -243,7 +243,7 @@
 static void exchange_send(wb_exchange_t *exchange, wb_engine_t *engine) {
     wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
-    wb_exchange_leave_waiting(exchange);
+    wb_exchange_stop_waiting(exchange);
     wb_tried_engine_t tried = {g_strdup(engine->state->id), 0};
     g_array_append_val(exchange->tried, tried);
     wb_engine_ref(engine);
@@ -253,7 +253,7 @@
     exchange->sends++;
     exchange->runs++;
     exchange->limit_noted = engine->limit.named;
-    wb_engine_limit_note(&engine->limit, now_ms);
+    wb_engine_limit_record(&engine->limit, now_ms);
     edge->metrics.sends++;
     if (wb_attempt_start(exchange, engine) == NULL) {
         wb_attempt_failure_t failure = {.reason = "no-connection"};
@@ -263,28 +263,28 @@
     exchange->counted = TRUE;
     engine->running++;
     if (now_ms < engine->cold_until_ms) {
-        wb_send_gate_note(&engine->cold_gate, WB_COLD_WINDOW_MS, now_ms);
-        edge->metrics.cold_sends++;
+        wb_send_limiter_record(&engine->cold_limiter, WB_COLD_WINDOW_MS, now_ms);
+        edge->metrics.cold_attempts++;
     }
-    exchange->prefill_counted = wb_balancer_unread_tokens(engine, exchange, now_ms);
+    exchange->prefill_counted = wb_balancer_prefill_tokens(engine, exchange, now_ms);
     engine->prefill_tokens += exchange->prefill_counted;
     engine->tokens_sent += (double)exchange->prefill_counted;
-    wb_balancer_note_read(engine, exchange, now_ms);
-    wb_demand_running(edge->demand, exchange, TRUE);
-    wb_exchange_arm_hold(exchange);
+    wb_balancer_note_prefilled(engine, exchange, now_ms);
+    wb_demand_set_running(edge->demand, exchange, TRUE);
+    wb_exchange_arm_timeout(exchange);
     patience_arm(exchange);
 }
 
 /* Whether an engine is sent a request that it may answer too late. What was sent before goes on. */
 static gboolean is_admitted(wb_exchange_t *exchange, int64_t now_ms) {
     const wb_edge_t *edge = exchange->edge;
-    if (edge->settings.admission == 0 || !edge->loads_known || exchange->sends > 0) {
+    if (edge->settings.admission == 0 || !edge->shared_loads_valid || exchange->sends > 0) {
         return TRUE;
     }
     wb_choice_request_t request = wb_balancer_request(exchange, now_ms);
     const wb_choice_estimate_t *estimate = &exchange->sending.estimate;
-    double chance = wb_admission_refusal_chance(&request, estimate, exchange->rank,
-                                                (double)wb_exchange_patience_ms(exchange));
+    double chance = wb_admission_refusal_probability(&request, estimate, exchange->rank,
+                                                (double)wb_exchange_client_timeout_ms(exchange));
     if (chance <= 0 || g_random_double() >= chance) {
         return TRUE;
     }
@@ -297,11 +297,11 @@
     /* Asked before each sending: the copies that wait for a model would else all be sent once it is
      * there, to one engine more. */
     if (!wb_exchange_may_send(exchange)) {
-        wb_exchange_give_up(exchange, WB_ENDING_POISON);
+        wb_exchange_give_up(exchange, WB_OUTCOME_POISON);
         return;
     }
-    if (now_ms >= exchange->hold_until_ms) {
-        wb_exchange_give_up(exchange, WB_ENDING_TIMED_OUT);
+    if (now_ms >= exchange->answer_due_ms) {
+        wb_exchange_give_up(exchange, WB_OUTCOME_TIMED_OUT);
         return;
     }
     if (!wb_exchange_engines_known(exchange)) {
@@ -311,17 +311,17 @@
     wb_engine_t *engine = wb_balancer_choose(exchange->edge, exchange, now_ms, &exchange->sending);
     if (engine == NULL) {
         if (exchange->answer_begun && exchange->sends >= SENDS_LIMIT)
-            wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+            wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
         else
             wb_exchange_wait(exchange);
         return;
     }
     if (!is_admitted(exchange, now_ms)) {
-        wb_exchange_give_up(exchange, WB_ENDING_NO_ROOM);
+        wb_exchange_give_up(exchange, WB_OUTCOME_OVERLOADED);
         return;
     }
     if (!resend_allowed(exchange)) {
-        wb_exchange_give_up(exchange, WB_ENDING_NO_BUDGET);
+        wb_exchange_give_up(exchange, WB_OUTCOME_NO_RETRY_BUDGET);
         return;
     }
     exchange_send(exchange, engine);
@@ -354,16 +354,16 @@
     edge->metrics.rejections++;
     wb_event("request-rejected",
              ",\"id\":\"%s\",\"engine\":\"%s\",\"status\":%u,\"sends\":%u,\"model\":\"%s\"",
-             wb_event_text(exchange->id), engine->state->id, exchange->reply.status,
-             exchange->sends, wb_event_text(exchange->model));
+             wb_event_escape(exchange->id), engine->state->id, exchange->reply.status,
+             exchange->sends, wb_event_escape(exchange->model));
     int64_t now_ms = wb_clock_ms();
     engine->rejected_until_ms = now_ms + REJECTED_MS;
     if (exchange->reply.status != edge->dialect->wrong_engine_status) {
         int64_t pause_ms = (int64_t)REJECTED_AGAIN_MS << MIN(exchange->rejections - 1, 4);
-        tried_last(exchange)->again_ms = now_ms + pause_ms;
+        tried_last(exchange)->eligible_at_ms = now_ms + pause_ms;
     }
     if (exchange->sends >= SENDS_LIMIT)
-        wb_exchange_give_up(exchange, WB_ENDING_REJECTED);
+        wb_exchange_give_up(exchange, WB_OUTCOME_REJECTED);
     else
         wb_exchange_dispatch(exchange);
 }
@@ -380,40 +380,40 @@
         wb_exchange_attempt_failed(exchange, &failure);
         return;
     }
-    wb_exchange_note_survived(exchange);
+    wb_exchange_note_completed(exchange);
     gboolean failed = reply->status >= 500;
     if (failed && run_again(exchange))
         return;
     if (exchange->resuming && reply->status / 100 != 2) {
-        wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+        wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
         return;
     }
     wb_exchange_note_first_event(exchange);
-    wb_exchange_pass_whole(exchange);
+    wb_exchange_forward_answer(exchange);
 }
 
 /* The digest shows whether the same request broke off at engine after engine. */
 static void send_broken_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (failure->sent) {
-        wb_request_digest_write(wb_exchange_digest(exchange), digest);
+        wb_request_digest_format(wb_exchange_digest(exchange), digest);
     }
     wb_event("send-broken",
              ",\"id\":\"%s\",\"engine\":\"%s\",\"reason\":\"%s\",\"sent\":%s,\"answer_begun\":%s,"
              "\"digest\":\"%s\",\"ms\":%lld,\"running\":%u",
-             wb_event_text(exchange->id), exchange->engine->state->id, failure->reason,
+             wb_event_escape(exchange->id), exchange->engine->state->id, failure->reason,
              failure->sent ? "true" : "false", exchange->answer_begun ? "true" : "false", digest,
              (long long)(wb_clock_ms() - exchange->sent_ms), exchange->engine->running);
 }
 
 /* The engine told, while the connection came up, that it takes no more for now. */
 static void sending_withdraw(wb_exchange_t *exchange) {
-    exchange->edge->metrics.sends_withdrawn++;
-    wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_text(exchange->id),
+    exchange->edge->metrics.attempts_withdrawn++;
+    wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_escape(exchange->id),
              exchange->engine->state->id);
     exchange->sends--;
     exchange->runs--;
-    tried_last(exchange)->again_ms = wb_clock_ms();
+    tried_last(exchange)->eligible_at_ms = wb_clock_ms();
     wb_exchange_dispatch(exchange);
 }
 
@@ -425,22 +425,22 @@
         return;
     }
     engine_failed(exchange->engine, failure->reason, exchange->id);
-    edge->metrics.broken_sends++;
+    edge->metrics.failed_attempts++;
     send_broken_log(exchange, failure);
-    if (failure->sent && failure->broke_off) {
-        wb_exchange_note_broken(exchange);
+    if (failure->sent && failure->engine_aborted) {
+        wb_exchange_note_aborted(exchange);
     }
     if (!failure->sent) {
         exchange->sends--;
         exchange->runs--;
         if (++exchange->unreached >= UNREACHED_LIMIT)
-            wb_exchange_give_up(exchange, WB_ENDING_NO_ENGINE);
+            wb_exchange_give_up(exchange, WB_OUTCOME_NO_ENGINE);
         else
             wb_exchange_dispatch(exchange);
         return;
     }
     if (!run_again(exchange))
-        wb_exchange_give_up(exchange, WB_ENDING_BROKEN);
+        wb_exchange_give_up(exchange, WB_OUTCOME_ENGINE_ABORTED);
 }
 
 void wb_exchanges_engine_ended(wb_edge_t *edge, const wb_engine_t *engine) {
@@ -473,12 +473,12 @@
     g_hash_table_add(edge->open, exchange);
     edge->metrics.requests++;
     wb_http_connection_set_request(connection, exchange);
-    wb_ending_t ending = wb_exchange_read(exchange);
-    if (ending != WB_ENDING_COUNT) {
-        exchange_refuse(exchange, ending, wb_ending_status(ending));
+    wb_outcome_t ending = wb_exchange_read(exchange);
+    if (ending != WB_OUTCOME_COUNT) {
+        exchange_refuse(exchange, ending, wb_outcome_status(ending));
         return;
     }
     wb_exchange_count_request(exchange);
-    wb_demand_arrived(edge->demand, exchange);
+    wb_demand_note_arrival(edge->demand, exchange);
     wb_exchange_dispatch(exchange);
 }
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -1,6 +1,6 @@
 /* Passes an engine's answer on: whole events as they come, short answers whole. */
 #include "request/event_stream.h"
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #define OUTPUT_LIMIT_BYTES (256 * 1024)
 
@@ -9,7 +9,7 @@
     GString *text = g_string_sized_new(256);
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
-        if (wb_http_header_is_hop(head, header->name) ||
+        if (wb_http_header_is_hop_by_hop(head, header->name) ||
             g_ascii_strcasecmp(header->name, "Content-Length") == 0)
             continue;
         g_string_append_printf(text, "%s: %s\r\n", header->name, header->value);
@@ -52,9 +52,9 @@
  * prompts. */
 static void wait_learn(const wb_exchange_t *exchange, double took_ms) {
     const wb_edge_t *edge = exchange->edge;
-    const wb_sending_t *sending = &exchange->sending;
+    const wb_dispatch_decision_t *sending = &exchange->sending;
     double read_ms =
-        sending->engine.unread_tokens * sending->engine.pace / edge->settings.prefill_tokens_per_ms;
+        sending->engine.uncached_tokens * sending->engine.pace / edge->settings.prefill_tokens_per_ms;
     wb_wait_scale_learn(edge->wait_scale, exchange->route->name, sending->estimate.wait_ms,
                         took_ms - read_ms);
 }
@@ -92,7 +92,7 @@
     }
 }
 
-void wb_exchange_drained(wb_exchange_t *exchange) {
+void wb_exchange_output_drained(wb_exchange_t *exchange) {
     if (!exchange->paused)
         return;
     exchange->paused = FALSE;
@@ -109,7 +109,7 @@
 
 static void events_pass(wb_exchange_t *exchange) {
     const char *text = (const char *)exchange->answer->data;
-    size_t length = wb_events_whole(text, exchange->answer->len);
+    size_t length = wb_events_complete_length(text, exchange->answer->len);
     if (length == 0)
         return;
     wb_exchange_note_first_event(exchange);
@@ -136,12 +136,12 @@
 }
 
 /* Passes a whole answer of the engine on. */
-void wb_exchange_pass_whole(wb_exchange_t *exchange) {
+void wb_exchange_forward_answer(wb_exchange_t *exchange) {
     wb_reply_t *reply = &exchange->reply;
-    wb_ending_t ending = reply->status / 100 == 2 ? WB_ENDING_SERVED : WB_ENDING_ENGINE_FAILED;
-    if (exchange->events > 0 && ending == WB_ENDING_SERVED) {
+    wb_outcome_t ending = reply->status / 100 == 2 ? WB_OUTCOME_SERVED : WB_OUTCOME_ENGINE_FAILED;
+    if (exchange->events > 0 && ending == WB_OUTCOME_SERVED) {
         const wb_edge_t *edge = exchange->edge;
-        wb_length_guess_learn(edge->lengths, exchange->route->name,
+        wb_length_estimate_learn(edge->lengths, exchange->route->name,
                               (double)exchange->events * (double)edge->settings.event_tokens);
     }
     if (exchange->answer_begun || reply->streamed) {
@@ -155,5 +155,5 @@
     g_autofree char *reason = g_strdup(reply->reason);
     unsigned status = reply->status;
     wb_http_connection_t *connection = wb_exchange_end(exchange, ending, status);
-    wb_http_connection_answer(connection, status, reason, headers, body->data, body->len);
+    wb_http_connection_reply(connection, status, reason, headers, body->data, body->len);
 }
