--- a/src/request/exchange_budget.c
+++ b/src/request/exchange_budget.c
@@ -1,5 +1,5 @@
 /* Whether a request may be sent again: the budget of its service, and what is written of it. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge) {
     return (int64_t)(edge->settings.retry_window_s * 1000);
@@ -18,12 +18,12 @@
  * know what the one before it has spent, nor whether all others count it yet: until that is over it
  * has the ratio of its own requests alone. */
 static double slack_share(const wb_edge_t *edge, int64_t now_ms) {
-    return wb_equal_share_part(edge->share, edge->settings.retry_slack,
+    return wb_equal_share_amount(edge->share, edge->settings.retry_slack,
                                wb_edge_retry_window_ms(edge), now_ms);
 }
 
 void wb_exchange_count_request(const wb_exchange_t *exchange) {
-    wb_retry_budget_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
+    wb_retry_budget_note_request(budget_of(exchange->edge, exchange->service->name), wb_clock_ms());
 }
 
 double wb_exchange_resends_left(const wb_exchange_t *exchange) {
@@ -48,7 +48,7 @@
     wb_event(taken ? "resend" : "resend-refused",
              ",\"id\":\"%s\",\"service\":\"%s\",\"sends\":%u,\"left\":%.2f,\"share\":%.2f,"
              "\"nodes\":%u",
-             wb_event_text(exchange->id), exchange->service->name, exchange->sends, left, share,
+             wb_event_escape(exchange->id), exchange->service->name, exchange->sends, left, share,
              wb_equal_share_nodes(edge->share, wb_edge_retry_window_ms(edge), now_ms));
     return taken;
 }
--- a/src/request/exchange_end.c
+++ b/src/request/exchange_outcome.c
@@ -1,17 +1,17 @@
 /* Notes how requests end: in the log, in the counters, and for operators who ask. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
-static const char *const ending_names[WB_ENDING_COUNT] = {
+static const char *const ending_names[WB_OUTCOME_COUNT] = {
     "served",        "engine-failed", "no-catalog",  "no-route", "bad-request",
     "unknown-model", "no-engine",     "not-loaded",  "rejected", "no-budget",
     "broken",        "timed-out",     "caller-gone", "stopping", "bad-key",
     "key-uncertain", "over-quota",    "poison",      "no-room"};
 
-const char *wb_ending_name(wb_ending_t ending) {
+const char *wb_outcome_name(wb_outcome_t ending) {
     return ending_names[ending];
 }
 
-static void ended_remember(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status,
+static void ended_remember(const wb_exchange_t *exchange, wb_outcome_t ending, unsigned status,
                            const char *engine) {
     wb_edge_t *edge = exchange->edge;
     wb_ended_request_t *ended = &edge->ended[edge->ended_next++ % WB_ENDED_REQUESTS];
@@ -30,16 +30,16 @@
     ended->waited_ms = exchange->waited_ms;
 }
 
-void wb_exchange_note_end(const wb_exchange_t *exchange, wb_ending_t ending, unsigned status) {
+void wb_exchange_record_outcome(const wb_exchange_t *exchange, wb_outcome_t ending, unsigned status) {
     wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
     const char *engine = wb_exchange_last_engine(exchange);
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (exchange->digest_known) {
-        wb_request_digest_write(&exchange->digest, digest);
+        wb_request_digest_format(&exchange->digest, digest);
     }
     ended_remember(exchange, ending, status, engine);
-    edge->metrics.endings[ending]++;
+    edge->metrics.requests_by_outcome[ending]++;
     edge->metrics.long_pauses += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
                                  exchange->most_pause_ms > exchange->route->target_gap_ms;
     wb_histogram_add(&edge->metrics.whole_ms, now_ms - exchange->began_ms);
@@ -51,18 +51,18 @@
         "\"left_ms\":%lld,\"catalog\":%lld,\"answer_begun\":%s,\"tenant\":\"%s\",\"quota_cost\":%."
         "0f,\"digest\":\"%s\",\"out_tokens\":%lld,\"pace\":%.2f,\"running_there\":%.0f,"
         "\"reading_share\":%.2f,\"unread\":%.0f,\"predicted_first_ms\":%.0f,\"sent_for_ms\":%lld",
-        wb_event_text(exchange->id), ending_names[ending], status,
+        wb_event_escape(exchange->id), ending_names[ending], status,
         exchange->route != NULL ? exchange->route->name : "",
-        exchange->service != NULL ? exchange->service->name : "", wb_event_text(exchange->model),
-        wb_event_text(exchange->adapter), engine, exchange->sends, exchange->runs,
+        exchange->service != NULL ? exchange->service->name : "", wb_event_escape(exchange->model),
+        wb_event_escape(exchange->adapter), engine, exchange->sends, exchange->runs,
         exchange->rejections, (long long)(now_ms - exchange->began_ms),
         (long long)exchange->waited_ms, (long long)exchange->first_event_ms,
         (long long)exchange->most_pause_ms, (long long)(exchange->deadline_ms - now_ms),
         exchange->catalog != NULL ? (long long)exchange->catalog->version : 0LL,
         exchange->answer_begun ? "true" : "false",
-        exchange->tenant != NULL ? wb_event_text(exchange->tenant->name) : "", exchange->quota_cost,
+        exchange->tenant != NULL ? wb_event_escape(exchange->tenant->name) : "", exchange->quota_cost,
         digest, (long long)exchange->out_tokens, exchange->sending.engine.pace,
         exchange->sending.engine.running, exchange->sending.engine.reading_share,
-        exchange->sending.engine.unread_tokens, exchange->sending.estimate.first_ms,
+        exchange->sending.engine.uncached_tokens, exchange->sending.estimate.first_ms,
         exchange->sends > 0 ? (long long)(now_ms - exchange->sent_ms) : 0LL);
 }
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -1,5 +1,5 @@
 /* Requests that crash the engines that run them: found out, and refused. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 const wb_request_digest_t *wb_exchange_digest(wb_exchange_t *exchange) {
     if (exchange->digest_known) {
@@ -22,22 +22,22 @@
 /* Returns what is held against the request, or NULL. Few requests have a body as long as one that
  * something is held against, so few digests are worked out. */
 static const wb_poison_entry_t *held_against(wb_exchange_t *exchange) {
-    const wb_poison_book_t *book = exchange->edge->poison;
-    if (!wb_poison_book_has_length(book, exchange->body->len)) {
+    const wb_poison_registry_t *book = exchange->edge->poison;
+    if (!wb_poison_registry_has_length(book, exchange->body->len)) {
         return NULL;
     }
-    return wb_poison_book_find(book, wb_exchange_digest(exchange));
+    return wb_poison_registry_find(book, wb_exchange_digest(exchange));
 }
 
 static void trial_log(const wb_exchange_t *exchange) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES];
-    wb_event("request-tried", ",\"id\":\"%s\",\"digest\":\"%s\"", wb_event_text(exchange->id),
-             wb_request_digest_write(&exchange->digest, digest));
+    wb_event("request-tried", ",\"id\":\"%s\",\"digest\":\"%s\"", wb_event_escape(exchange->id),
+             wb_request_digest_format(&exchange->digest, digest));
 }
 
 gboolean wb_exchange_may_send(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
-    uint64_t version = wb_poison_book_version(edge->poison);
+    uint64_t version = wb_poison_registry_version(edge->poison);
     if (exchange->poison_version != version) {
         exchange->poison_version = version;
         exchange->is_poison = wb_poison_entry_state(held_against(exchange)) == WB_POISON_REFUSED;
@@ -45,8 +45,8 @@
     if (!exchange->is_poison || exchange->is_trial) {
         return TRUE;
     }
-    if (edge->tries_poison &&
-        wb_poison_book_take_trial(edge->poison, &exchange->digest, wb_clock_ms())) {
+    if (edge->runs_poison_trials &&
+        wb_poison_registry_take_trial(edge->poison, &exchange->digest, wb_clock_ms())) {
         exchange->is_trial = TRUE;
         trial_log(exchange);
     }
@@ -63,37 +63,37 @@
     return entry != NULL ? MAX(entry->until_ms - wb_clock_ms(), 1) : 1;
 }
 
-void wb_exchange_note_broken(wb_exchange_t *exchange) {
+void wb_exchange_note_aborted(wb_exchange_t *exchange) {
     const wb_engine_t *engine = exchange->engine;
     /* An engine that has said that it leaves ends what is left with it: that is nobody's fault. One
      * whose row went without a word may live on, and crash: rows lapse while the store is away. */
     if (engine->state->leaving) {
         return;
     }
-    wb_broken_request_t request = {*wb_exchange_digest(exchange), exchange->body->len};
-    wb_crash_watch_broken(exchange->edge->crashes, engine->state->incarnation,
+    wb_aborted_request_t request = {*wb_exchange_digest(exchange), exchange->body->len};
+    wb_crash_watch_note_aborted(exchange->edge->crashes, engine->state->incarnation,
                           engine->state->address, &request);
 }
 
 static void book_changed(wb_edge_t *edge) {
-    if (edge->on_poison != NULL) {
-        edge->on_poison(edge->need_context);
+    if (edge->on_poison_changed != NULL) {
+        edge->on_poison_changed(edge->node_context);
     }
 }
 
-void wb_exchange_note_survived(wb_exchange_t *exchange) {
+void wb_exchange_note_completed(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     if (exchange->body->len <= WB_SERVED_BODY_BYTES) {
         wb_served_set_add(edge->served, wb_exchange_digest(exchange), wb_clock_ms());
     }
     if (held_against(exchange) == NULL ||
-        !wb_poison_book_forgive(edge->poison, wb_exchange_digest(exchange))) {
+        !wb_poison_registry_clear_crashes(edge->poison, wb_exchange_digest(exchange))) {
         return;
     }
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_event("request-forgiven", ",\"id\":\"%s\",\"digest\":\"%s\",\"engine\":\"%s\"",
-             wb_event_text(exchange->id),
-             wb_request_digest_write(wb_exchange_digest(exchange), digest),
+             wb_event_escape(exchange->id),
+             wb_request_digest_format(wb_exchange_digest(exchange), digest),
              exchange->engine->state->id);
     book_changed(edge);
 }
@@ -114,7 +114,7 @@
         /* What ends one request may end others. */
         if (g_hash_table_contains(edge->open, exchange) && may_be_stopped(exchange) &&
             !wb_exchange_may_send(exchange)) {
-            wb_exchange_give_up(exchange, WB_ENDING_POISON);
+            wb_exchange_give_up(exchange, WB_OUTCOME_POISON);
         }
     }
 }
@@ -124,7 +124,7 @@
     gboolean refused = wb_poison_entry_state(entry) == WB_POISON_REFUSED;
     wb_event("request-suspected",
              ",\"digest\":\"%s\",\"engine\":\"%s\",\"engines\":%u,\"refused\":%s",
-             wb_request_digest_write(&entry->digest, digest), wb_event_text(engine_id),
+             wb_request_digest_format(&entry->digest, digest), wb_event_escape(engine_id),
              wb_poison_entry_engines(entry), refused ? "true" : "false");
 }
 
@@ -134,14 +134,14 @@
     int64_t now_ms = wb_clock_ms();
     gboolean news = FALSE;
     for (guint i = 0; i < requests->len; i++) {
-        const wb_broken_request_t *request = &g_array_index(requests, wb_broken_request_t, i);
+        const wb_aborted_request_t *request = &g_array_index(requests, wb_aborted_request_t, i);
         if (wb_served_set_has(edge->served, &request->digest, now_ms)) {
             continue;
         }
-        if (wb_poison_book_note(edge->poison, &request->digest, request->body_bytes, engine,
+        if (wb_poison_registry_add_crash(edge->poison, &request->digest, request->body_bytes, engine,
                                 now_ms)) {
             news = TRUE;
-            suspicion_log(wb_poison_book_find(edge->poison, &request->digest), engine_id);
+            suspicion_log(wb_poison_registry_find(edge->poison, &request->digest), engine_id);
         }
     }
     if (news) {
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -1,5 +1,5 @@
 /* Reads what a request asks for: route, service, model, prompt, deadline. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include <string.h>
 
@@ -39,7 +39,7 @@
         parts_read(exchange, parts);
     if (exchange->parts->len == 0)
         exchange->prompt_tokens =
-            wb_http_head_number(exchange->head, dialect->token_usage, exchange->body->len / 4);
+            wb_http_head_get_integer(exchange->head, dialect->token_usage, exchange->body->len / 4);
 }
 
 /* Tokens that the answer is expected to have: by hint, kind, and the caller's limit. */
@@ -48,20 +48,20 @@
     const char *usage = wb_http_head_get(exchange->head, edge->dialect->token_usage);
     const char *comma = usage != NULL ? strchr(usage, ',') : NULL;
     double most = comma != NULL ? (double)g_ascii_strtoull(comma + 1, NULL, 10) : 0;
-    double hint = (double)wb_http_head_number(exchange->head, edge->dialect->length_hint, 0);
+    double hint = (double)wb_http_head_get_integer(exchange->head, edge->dialect->length_hint, 0);
     exchange->out_tokens =
-        (int64_t)wb_length_guess_tokens(edge->lengths, exchange->route->name, hint, most);
+        (int64_t)wb_length_estimate_tokens(edge->lengths, exchange->route->name, hint, most);
 }
 
 static void deadline_read(wb_exchange_t *exchange) {
     int64_t deadline_ms =
-        wb_http_head_number(exchange->head, exchange->edge->dialect->deadline_ms, FAR_FUTURE_MS);
+        wb_http_head_get_integer(exchange->head, exchange->edge->dialect->deadline_ms, FAR_FUTURE_MS);
     deadline_ms = CLAMP(deadline_ms, 1, FAR_FUTURE_MS);
     exchange->deadline_ms = exchange->began_ms + deadline_ms;
-    exchange->hold_until_ms = exchange->deadline_ms;
+    exchange->answer_due_ms = exchange->deadline_ms;
     int64_t timeout_ms = exchange->route->timeout_ms;
     if (timeout_ms > 0)
-        exchange->hold_until_ms = MIN(exchange->hold_until_ms, exchange->began_ms + timeout_ms);
+        exchange->answer_due_ms = MIN(exchange->answer_due_ms, exchange->began_ms + timeout_ms);
 }
 
 /* An adapter is named by a letter and a number up to the model's count of them. */
@@ -82,64 +82,64 @@
         return FALSE;
     int64_t end_ms = edge->drain_began_ms + (int64_t)(edge->settings.stop_grace_s * 1000);
     return exchange->route->kind == WB_ROUTE_STREAM ||
-           MIN(exchange->hold_until_ms, now_ms + STOP_SHORT_MS) > end_ms - STOP_RESERVE_MS;
+           MIN(exchange->answer_due_ms, now_ms + STOP_SHORT_MS) > end_ms - STOP_RESERVE_MS;
 }
 
-/* Finds model and adapter. Returns WB_ENDING_COUNT, or why the request can't be served. */
-static wb_ending_t model_find(wb_exchange_t *exchange) {
+/* Finds model and adapter. Returns WB_OUTCOME_COUNT, or why the request can't be served. */
+static wb_outcome_t model_find(wb_exchange_t *exchange) {
     if (g_hash_table_size(exchange->service->models) == 0)
-        return WB_ENDING_COUNT;
+        return WB_OUTCOME_COUNT;
     model_read(exchange);
     if (exchange->model == NULL)
-        return WB_ENDING_COUNT;
+        return WB_OUTCOME_COUNT;
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     if (spec == NULL || !adapter_is_known(spec, exchange->adapter))
-        return WB_ENDING_UNKNOWN_MODEL;
+        return WB_OUTCOME_UNKNOWN_MODEL;
     length_read(exchange);
-    return WB_ENDING_COUNT;
+    return WB_OUTCOME_COUNT;
 }
 
-/* Finds route and service. Returns WB_ENDING_COUNT, or why the request can't be served. */
-wb_ending_t wb_exchange_read(wb_exchange_t *exchange) {
+/* Finds route and service. Returns WB_OUTCOME_COUNT, or why the request can't be served. */
+wb_outcome_t wb_exchange_read(wb_exchange_t *exchange) {
     wb_edge_t *edge = exchange->edge;
     if (edge->catalog == NULL)
-        return WB_ENDING_NO_CATALOG;
+        return WB_OUTCOME_NO_CATALOG;
     const char *host = wb_http_head_get(exchange->head, "Host");
     if (host == NULL || exchange->head->target[0] != '/')
-        return WB_ENDING_BAD_REQUEST;
+        return WB_OUTCOME_BAD_REQUEST;
     exchange->catalog = wb_catalog_ref(edge->catalog);
     wb_route_t *route = wb_catalog_route(edge->catalog, host, exchange->head->target);
     if (route == NULL)
-        return WB_ENDING_NO_ROUTE;
+        return WB_OUTCOME_NO_ROUTE;
     exchange->route = route;
     deadline_read(exchange);
-    wb_ending_t ending = wb_exchange_read_tenant(exchange);
-    if (ending != WB_ENDING_COUNT)
+    wb_outcome_t ending = wb_exchange_read_tenant(exchange);
+    if (ending != WB_OUTCOME_COUNT)
         return ending;
     if (comes_too_late(exchange))
-        return WB_ENDING_STOPPING;
+        return WB_OUTCOME_STOPPING;
     const char *service = wb_route_pick_service(route);
     exchange->service = service != NULL ? wb_catalog_service(edge->catalog, service) : NULL;
     if (exchange->service == NULL)
-        return WB_ENDING_NO_ENGINE;
-    if (!wb_balancer_has_home(edge, exchange))
-        return WB_ENDING_NO_ENGINE;
+        return WB_OUTCOME_NO_ENGINE;
+    if (!wb_balancer_has_allowed_engine(edge, exchange))
+        return WB_OUTCOME_NO_ENGINE;
     ending = model_find(exchange);
-    if (ending != WB_ENDING_COUNT)
+    if (ending != WB_OUTCOME_COUNT)
         return ending;
-    return wb_exchange_charge_quota(exchange) ? WB_ENDING_COUNT : WB_ENDING_OVER_QUOTA;
+    return wb_exchange_charge_quota(exchange) ? WB_OUTCOME_COUNT : WB_OUTCOME_OVER_QUOTA;
 }
 
-unsigned wb_ending_status(wb_ending_t ending) {
+unsigned wb_outcome_status(wb_outcome_t ending) {
     switch (ending) {
-    case WB_ENDING_BAD_REQUEST:
+    case WB_OUTCOME_BAD_REQUEST:
         return 400;
-    case WB_ENDING_BAD_KEY:
+    case WB_OUTCOME_BAD_KEY:
         return 401;
-    case WB_ENDING_OVER_QUOTA:
+    case WB_OUTCOME_OVER_QUOTA:
         return 429;
-    case WB_ENDING_NO_ROUTE:
-    case WB_ENDING_UNKNOWN_MODEL:
+    case WB_OUTCOME_NO_ROUTE:
+    case WB_OUTCOME_UNKNOWN_MODEL:
         return 404;
     default:
         return 503;
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -1,39 +1,39 @@
 /* A request's tenant: who its key belongs to, and what it takes of that tenant's limit. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 /* Nobody holds the key. When this node may not know the newest configuration, the key may be a new
  * one: a caller must not be told that it is wrong, and its next try reaches another node. */
-static wb_ending_t unknown_key(const wb_edge_t *edge) {
+static wb_outcome_t unknown_key(const wb_edge_t *edge) {
     if (edge->catalog_age_ms == NULL) {
-        return WB_ENDING_BAD_KEY;
+        return WB_OUTCOME_BAD_KEY;
     }
-    gboolean fresh = edge->catalog_age_ms(edge->need_context) <= edge->settings.catalog_ms;
-    return fresh ? WB_ENDING_BAD_KEY : WB_ENDING_KEY_UNCERTAIN;
+    gboolean fresh = edge->catalog_age_ms(edge->node_context) <= edge->settings.catalog_ms;
+    return fresh ? WB_OUTCOME_BAD_KEY : WB_OUTCOME_KEY_UNVERIFIED;
 }
 
-/* Finds the tenant. Returns WB_ENDING_COUNT, or why the request can't be served. */
-wb_ending_t wb_exchange_read_tenant(wb_exchange_t *exchange) {
+/* Finds the tenant. Returns WB_OUTCOME_COUNT, or why the request can't be served. */
+wb_outcome_t wb_exchange_read_tenant(wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     const wb_route_t *route = exchange->route;
     exchange->rank = route->rank;
     if (exchange->catalog->tenants == NULL) {
-        return WB_ENDING_COUNT;
+        return WB_OUTCOME_COUNT;
     }
     wb_api_key_t key = wb_api_key_read(exchange->head, edge->dialect);
-    if (key.state == WB_API_KEY_GIVEN) {
+    if (key.state == WB_API_KEY_PRESENT) {
         exchange->key = key.digest;
-        exchange->tenant = wb_tenants_of_key(exchange->catalog->tenants, &key.digest);
+        exchange->tenant = wb_tenants_find_by_key(exchange->catalog->tenants, &key.digest);
     }
     if (exchange->tenant != NULL) {
-        if (exchange->tenant->rank != WB_TENANT_NO_RANK) {
+        if (exchange->tenant->rank != WB_TENANT_NO_PRIORITY) {
             exchange->rank = exchange->tenant->rank;
         }
-        return WB_ENDING_COUNT;
+        return WB_OUTCOME_COUNT;
     }
     if (route->is_public) {
-        return WB_ENDING_COUNT;
+        return WB_OUTCOME_COUNT;
     }
-    return key.state == WB_API_KEY_GIVEN ? unknown_key(edge) : WB_ENDING_BAD_KEY;
+    return key.state == WB_API_KEY_PRESENT ? unknown_key(edge) : WB_OUTCOME_BAD_KEY;
 }
 
 /* Prompt tokens and most tokens out, together; -1 when the request names none. */
@@ -48,23 +48,23 @@
 }
 
 static void spent_log(const wb_exchange_t *exchange, double cost,
-                      const wb_quota_verdict_t *verdict) {
+                      const wb_quota_decision_t *verdict) {
     int64_t age_ms = verdict->told_ms != 0 ? wb_clock_ms() - verdict->told_ms : -1;
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
              "\"share\":%.3f,\"book_reached\":%s,\"share_age_ms\":%lld,\"retry_ms\":%lld",
-             wb_event_text(exchange->id), wb_event_text(exchange->tenant->name), cost,
+             wb_event_escape(exchange->id), wb_event_escape(exchange->tenant->name), cost,
              exchange->tenant->rate_per_s, verdict->share, verdict->reached ? "true" : "false",
              (long long)age_ms, (long long)verdict->retry_ms);
 }
 
 /* Kinds of request are told apart by their service and their route's rank: a tenant's own rank is
  * the same for all of its requests. */
-static wb_quota_kind_t kind_of(const wb_exchange_t *exchange) {
+static wb_quota_class_t kind_of(const wb_exchange_t *exchange) {
     if (exchange->edge->settings.quota_order == 0) {
-        return WB_QUOTA_OTHER_KINDS;
+        return WB_QUOTA_OTHER_CLASSES;
     }
-    return wb_quota_kind(exchange->service->name, exchange->route->rank);
+    return wb_quota_class(exchange->service->name, exchange->route->rank);
 }
 
 gboolean wb_exchange_charge_quota(wb_exchange_t *exchange) {
@@ -73,7 +73,7 @@
         return TRUE;
     }
     double cost = wb_tenant_cost(exchange->tenant, tokens_named(exchange));
-    wb_quota_verdict_t verdict = wb_quota_gate_ask(edge->quota, exchange->tenant, kind_of(exchange),
+    wb_quota_decision_t verdict = wb_quota_limiter_admit(edge->quota, exchange->tenant, kind_of(exchange),
                                                    cost, edge->node_count, wb_clock_ms());
     if (verdict.admitted) {
         exchange->quota_cost = cost;
@@ -86,7 +86,7 @@
 
 void wb_exchange_settle_quota(const wb_exchange_t *exchange) {
     if (exchange->quota_cost > 0 && exchange->runs != 1) {
-        wb_quota_gate_adjust(exchange->edge->quota, exchange->tenant->name, kind_of(exchange),
+        wb_quota_limiter_adjust(exchange->edge->quota, exchange->tenant->name, kind_of(exchange),
                              exchange->quota_cost * ((double)exchange->runs - 1));
     }
 }
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -1,5 +1,5 @@
 /* Waiting for an engine or a model: how long it has a use, and when it ends. */
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include "control/placement.h"
 
@@ -25,7 +25,7 @@
 #define STREAM_PATIENCE_TARGETS 4
 #define STREAM_PATIENCE_GAPS 8
 
-void wb_exchange_leave_waiting(wb_exchange_t *exchange) {
+void wb_exchange_stop_waiting(wb_exchange_t *exchange) {
     if (!wb_list_is_linked(&exchange->waiting)) {
         return;
     }
@@ -34,7 +34,7 @@
     exchange->waited_ms += waited_ms;
     wb_histogram_add(&exchange->edge->metrics.wait_ms, waited_ms);
     if (exchange->wants_load) {
-        wb_demand_waiting(exchange->edge->demand, exchange, FALSE);
+        wb_demand_set_waiting(exchange->edge->demand, exchange, FALSE);
     }
 }
 
@@ -49,13 +49,13 @@
 
 static wb_controller_view_t controller_view(const wb_edge_t *edge) {
     if (edge->controller_view == NULL) {
-        return (wb_controller_view_t){WB_CONTROLLER_REACHED, 0};
+        return (wb_controller_view_t){WB_CONTROLLER_REACHABLE, 0};
     }
-    return edge->controller_view(edge->need_context);
+    return edge->controller_view(edge->node_context);
 }
 
-gboolean wb_exchange_nobody_decides(const wb_exchange_t *exchange) {
-    return controller_view(exchange->edge).reach != WB_CONTROLLER_REACHED;
+gboolean wb_exchange_lacks_controller(const wb_exchange_t *exchange) {
+    return controller_view(exchange->edge).reach != WB_CONTROLLER_REACHABLE;
 }
 
 /* What loading the model takes at the engine that has it nearest at hand. */
@@ -85,14 +85,14 @@
         return MAX(*ready_ms - now_ms, 0);
     }
     wb_controller_view_t view = controller_view(edge);
-    if (view.reach != WB_CONTROLLER_AWAITED) {
+    if (view.reach != WB_CONTROLLER_TAKEOVER_PENDING) {
         return -1;
     }
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     if (spec == NULL || held) {
-        return view.back_in_ms;
+        return view.available_in_ms;
     }
-    return view.back_in_ms + quickest_load_ms(exchange, spec);
+    return view.available_in_ms + quickest_load_ms(exchange, spec);
 }
 
 /* Time until an engine opens that could serve the request; -1: none is known to. */
@@ -101,12 +101,12 @@
     if (exchange->service == NULL) {
         return -1;
     }
-    int64_t opens_ms = wb_balancer_opening(exchange->edge, exchange, now_ms).at_ms;
+    int64_t opens_ms = wb_balancer_next_available(exchange->edge, exchange, now_ms).at_ms;
     return opens_ms != G_MAXINT64 ? MAX(opens_ms - now_ms, 0) : -1;
 }
 
 /* When coming back has a use: once the model should be there, or an engine opens, else soon. */
-int64_t wb_exchange_come_back_ms(const wb_exchange_t *exchange) {
+int64_t wb_exchange_retry_after_ms(const wb_exchange_t *exchange) {
     if (exchange->route == NULL && exchange->edge->catalog == NULL) {
         return NO_CATALOG_MS;
     }
@@ -119,12 +119,12 @@
         return ready_in_ms + COME_BACK_MARGIN_MS;
     }
     wb_controller_view_t view = controller_view(exchange->edge);
-    return view.reach == WB_CONTROLLER_UNREACHED ? view.back_in_ms : RETRY_AFTER_MS;
+    return view.reach == WB_CONTROLLER_UNREACHABLE ? view.available_in_ms : RETRY_AFTER_MS;
 }
 
-int64_t wb_exchange_patience_ms(const wb_exchange_t *exchange) {
+int64_t wb_exchange_client_timeout_ms(const wb_exchange_t *exchange) {
     const wb_route_t *route = exchange->route;
-    int64_t time_ms = exchange->hold_until_ms - exchange->began_ms;
+    int64_t time_ms = exchange->answer_due_ms - exchange->began_ms;
     if (route->kind != WB_ROUTE_STREAM || route->target_latency_ms == 0)
         return time_ms;
     int64_t patience_ms =
@@ -135,9 +135,9 @@
 
 /* Steady time until which it has a use to wait for an engine that takes none of this node's
  * requests for the moment; 0: none could serve it, or not in time. */
-static int64_t opening_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *opening) {
+static int64_t opening_wait_until_ms(const wb_exchange_t *exchange, const wb_availability_t *opening) {
     int64_t serve_ms = exchange->model != NULL || opening->is_cold ? SERVE_MS : 0;
-    int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - serve_ms;
+    int64_t useful_until_ms = exchange->began_ms + wb_exchange_client_timeout_ms(exchange) - serve_ms;
     return opening->at_ms < useful_until_ms ? opening->at_ms + OPENS_MARGIN_MS : 0;
 }
 
@@ -147,7 +147,7 @@
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     int64_t load_ms = spec != NULL ? quickest_load_ms(exchange, spec) : 0;
     int64_t in_time_ms = exchange->route->target_latency_ms - SERVE_MS;
-    int64_t useful_ms = MAX(wb_exchange_patience_ms(exchange) - SERVE_MS, 0);
+    int64_t useful_ms = MAX(wb_exchange_client_timeout_ms(exchange) - SERVE_MS, 0);
     return exchange->began_ms + MIN(MAX(in_time_ms, DECIDED_MS + load_ms), useful_ms);
 }
 
@@ -157,18 +157,18 @@
     const wb_model_spec_t *spec = g_hash_table_lookup(exchange->service->models, exchange->model);
     int64_t load_ms = spec != NULL ? quickest_load_ms(exchange, spec) : 0;
     int64_t ready_ms = exchange->began_ms + WB_PLACEMENT_STUCK_MS + DECIDED_MS + load_ms;
-    int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - SERVE_MS;
+    int64_t useful_until_ms = exchange->began_ms + wb_exchange_client_timeout_ms(exchange) - SERVE_MS;
     return ready_ms < useful_until_ms ? unknown_wait_until_ms(exchange) : 0;
 }
 
 /* Steady time until which it has a use to wait for a load; in the past when it has none. */
-static int64_t load_wait_until_ms(const wb_exchange_t *exchange, const wb_opening_t *opening) {
+static int64_t load_wait_until_ms(const wb_exchange_t *exchange, const wb_availability_t *opening) {
     if (exchange->model == NULL) {
         return 0;
     }
     int64_t ready_in_ms = model_ready_in_ms(exchange);
     if (ready_in_ms < 0) {
-        gboolean in_vain = controller_view(exchange->edge).reach == WB_CONTROLLER_UNREACHED;
+        gboolean in_vain = controller_view(exchange->edge).reach == WB_CONTROLLER_UNREACHABLE;
         gboolean held = opening->at_ms != G_MAXINT64;
         if (in_vain) {
             return 0;
@@ -176,7 +176,7 @@
         return held ? replica_wait_until_ms(exchange) : unknown_wait_until_ms(exchange);
     }
     int64_t ready_ms = wb_clock_ms() + ready_in_ms;
-    int64_t useful_until_ms = exchange->began_ms + wb_exchange_patience_ms(exchange) - SERVE_MS;
+    int64_t useful_until_ms = exchange->began_ms + wb_exchange_client_timeout_ms(exchange) - SERVE_MS;
     if (ready_ms > useful_until_ms) {
         return 0;
     }
@@ -192,7 +192,7 @@
 } wb_wait_t;
 
 static wb_wait_t wait_decide(const wb_exchange_t *exchange) {
-    wb_opening_t opening = wb_balancer_opening(exchange->edge, exchange, wb_clock_ms());
+    wb_availability_t opening = wb_balancer_next_available(exchange->edge, exchange, wb_clock_ms());
     int64_t opening_until_ms = opening_wait_until_ms(exchange, &opening);
     gboolean awaits_opening = opening_until_ms != 0;
     if (awaits_opening && opening.is_cold) {
@@ -212,15 +212,15 @@
     exchange->awaits_opening = wait.awaits_opening;
     if (exchange->wait_until_ms != wait.until_ms) {
         exchange->wait_until_ms = wait.until_ms;
-        wb_exchange_arm_hold(exchange);
+        wb_exchange_arm_timeout(exchange);
     }
     if (exchange->wants_load || !wait.wants_load) {
         return;
     }
     exchange->wants_load = TRUE;
-    wb_demand_waiting(exchange->edge->demand, exchange, TRUE);
-    if (exchange->model != NULL && exchange->edge->on_need != NULL) {
-        exchange->edge->on_need(exchange->edge->need_context);
+    wb_demand_set_waiting(exchange->edge->demand, exchange, TRUE);
+    if (exchange->model != NULL && exchange->edge->on_pending_demand != NULL) {
+        exchange->edge->on_pending_demand(exchange->edge->node_context);
     }
 }
 
@@ -239,17 +239,17 @@
     wb_list_add_tail(&edge->waiting, &exchange->waiting);
     edge->metrics.waits++;
     if (exchange->wants_load) {
-        wb_demand_waiting(edge->demand, exchange, TRUE);
+        wb_demand_set_waiting(edge->demand, exchange, TRUE);
     }
     wb_event(
         "request-waits",
         ",\"id\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"service\":\"%s\",\"for_ms\":%lld",
-        wb_event_text(exchange->id), wb_event_text(exchange->model),
-        wb_event_text(exchange->adapter), exchange->service->name,
+        wb_event_escape(exchange->id), wb_event_escape(exchange->model),
+        wb_event_escape(exchange->adapter), exchange->service->name,
         (long long)MAX(exchange->wait_until_ms - exchange->waiting_since_ms, 0));
-    wb_exchange_arm_hold(exchange);
-    if (exchange->model != NULL && exchange->wants_load && edge->on_need != NULL)
-        edge->on_need(edge->need_context);
+    wb_exchange_arm_timeout(exchange);
+    if (exchange->model != NULL && exchange->wants_load && edge->on_pending_demand != NULL)
+        edge->on_pending_demand(edge->node_context);
 }
 
 gboolean wb_exchange_engines_known(const wb_exchange_t *exchange) {
@@ -257,7 +257,7 @@
     return edge->engines_known == NULL ||
            edge->engines_known(exchange->service->name,
                                exchange->model != NULL ? exchange->model : "", exchange->began_ms,
-                               edge->need_context);
+                               edge->node_context);
 }
 
 void wb_exchange_wait_for_engines(wb_exchange_t *exchange) {
@@ -266,13 +266,13 @@
     }
     exchange->wants_load = FALSE;
     exchange->awaits_opening = FALSE;
-    exchange->wait_until_ms = exchange->hold_until_ms;
+    exchange->wait_until_ms = exchange->answer_due_ms;
     exchange->waiting_since_ms = wb_clock_ms();
     wb_list_add_tail(&exchange->edge->waiting, &exchange->waiting);
-    wb_exchange_arm_hold(exchange);
+    wb_exchange_arm_timeout(exchange);
 }
 
-gboolean wb_exchanges_wait_for(const wb_edge_t *edge, const char *model) {
+gboolean wb_exchanges_any_waiting_for(const wb_edge_t *edge, const char *model) {
     WB_LIST_EACH(item, &edge->waiting) {
         const wb_exchange_t *exchange = WB_LIST_OF(item, wb_exchange_t, waiting);
         if (exchange->model != NULL && strcmp(exchange->model, model) == 0) {
@@ -303,10 +303,10 @@
 /* What is known of its model has changed: who waits in vain is refused by the timer, at once. */
 static void wait_reconsider(wb_exchange_t *exchange) {
     exchange->wait_until_ms = wait_decide(exchange).until_ms;
-    wb_exchange_arm_hold(exchange);
+    wb_exchange_arm_timeout(exchange);
 }
 
-void wb_exchanges_expect(wb_edge_t *edge, const char *service, const char *model,
+void wb_exchanges_expect_model(wb_edge_t *edge, const char *service, const char *model,
                          unsigned ready_in_ms) {
     int64_t ready_ms = wb_clock_ms() + ready_in_ms;
     g_hash_table_replace(edge->expected, expected_key(service, model),
@@ -320,7 +320,7 @@
     }
 }
 
-void wb_exchanges_reconsider(wb_edge_t *edge) {
+void wb_exchanges_update_waits(wb_edge_t *edge) {
     WB_LIST_EACH(item, &edge->waiting) {
         wait_reconsider(WB_LIST_OF(item, wb_exchange_t, waiting));
     }
@@ -333,16 +333,16 @@
     gboolean may_end = exchange->runs == 0 && !exchange->answer_begun;
     gboolean needs_key = exchange->tenant != NULL && !exchange->route->is_public;
     if (may_end && needs_key && catalog->tenants != NULL &&
-        wb_tenants_of_key(catalog->tenants, &exchange->key) == NULL) {
-        wb_exchange_give_up(exchange, WB_ENDING_BAD_KEY);
+        wb_tenants_find_by_key(catalog->tenants, &exchange->key) == NULL) {
+        wb_exchange_give_up(exchange, WB_OUTCOME_BAD_KEY);
     }
 }
 
-void wb_exchanges_check_keys(wb_edge_t *edge) {
+void wb_exchanges_recheck_keys(wb_edge_t *edge) {
     waiting_each(edge, key_check);
 }
 
-void wb_exchanges_no_longer_expect(wb_edge_t *edge, const char *service, const char *model) {
+void wb_exchanges_model_loaded(wb_edge_t *edge, const char *service, const char *model) {
     g_autofree char *key = expected_key(service, model);
     g_hash_table_remove(edge->expected, key);
 }
@@ -353,7 +353,7 @@
         wb_exchange_t *exchange = item->data;
         if (g_hash_table_contains(edge->open, exchange) && !exchange->answer_begun &&
             (!waiting_only || wb_list_is_linked(&exchange->waiting)))
-            wb_exchange_give_up(exchange, WB_ENDING_STOPPING);
+            wb_exchange_give_up(exchange, WB_OUTCOME_STOPPING);
     }
 }
 
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -15,7 +15,7 @@
 #include "wickbridge/edge.h"
 #include "wickbridge/event_log.h"
 #include "wickbridge/fleet.h"
-#include "wickbridge/homes.h"
+#include "wickbridge/regions.h"
 #include "wickbridge/http_listener.h"
 #include "wickbridge/list.h"
 #include "wickbridge/message.h"
@@ -23,15 +23,15 @@
 
 #include "wickbridge/edge_metrics.h"
 #include "dispatch/engine_choice.h"
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 #include "dispatch/wait_scale.h"
 #include "request/api_key.h"
 #include "request/crash_watch.h"
 #include "request/retry_budget.h"
-#include "poison/poison_book.h"
+#include "poison/poison_registry.h"
 #include "poison/served_set.h"
 #include "quota/equal_share.h"
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 typedef struct wb_exchange_t wb_exchange_t;
 typedef struct wb_attempt_t wb_attempt_t;
@@ -62,16 +62,16 @@
 
 /** Whether the controller, who decides on loads, hears of what is asked for here. */
 typedef enum wb_controller_reach_t {
-    WB_CONTROLLER_REACHED,  /* it is heard, or this node is it */
-    WB_CONTROLLER_AWAITED,  /* there is none; when another may take over is known */
-    WB_CONTROLLER_UNREACHED /* there may be one, but not for this node, nobody knows until when */
+    WB_CONTROLLER_REACHABLE,  /* it is heard, or this node is it */
+    WB_CONTROLLER_TAKEOVER_PENDING,  /* there is none; when another may take over is known */
+    WB_CONTROLLER_UNREACHABLE /* there may be one, but not for this node, nobody knows until when */
 } wb_controller_reach_t;
 
 typedef struct wb_controller_view_t {
     wb_controller_reach_t reach;
     /* Time until somebody should decide on loads. When it is awaited this is known; when it is
      * unreached it is the time after which a caller should try again, here or at another node. */
-    int64_t back_in_ms;
+    int64_t available_in_ms;
 } wb_controller_view_t;
 
 /** The node: state that all requests share. */
@@ -84,19 +84,19 @@
     GHashTable *regions;   /* zone -> region */
     GHashTable *budgets;   /* service -> wb_retry_budget_t */
     wb_demand_t *demand;
-    wb_quota_gate_t *quota;
-    wb_poison_book_t *poison; /* requests that crash engines */
+    wb_quota_limiter_t *quota;
+    wb_poison_registry_t *poison; /* requests that crash engines */
     wb_served_set_t *served;
     wb_crash_watch_t *crashes;
-    wb_length_guess_t *lengths;
+    wb_length_estimate_t *lengths;
     wb_wait_scale_t *wait_scale;
-    gboolean loads_known;  /* what was told of engines' loads still holds */
-    gboolean tries_poison; /* this node is the one that tries refused requests now and then */
+    gboolean shared_loads_valid;  /* what was told of engines' loads still holds */
+    gboolean runs_poison_trials; /* this node is the one that tries refused requests now and then */
     wb_edge_metrics_t metrics;
     GHashTable *expected; /* SERVICE/MODEL -> int64_t *, steady ms at which a load should be done */
-    wb_list_t state_news; /* engines that told something which others should know; each with a
+    wb_list_t state_updates; /* engines that told something which others should know; each with a
                              reference */
-    GHashTable *told_engines; /* set of engines that told of a limit or that they leave; each with a
+    GHashTable *reporting_engines; /* set of engines that told of a limit or that they leave; each with a
                                  reference */
     wb_list_t waiting;        /* exchanges that wait for an engine, oldest first */
     GHashTable *open;         /* set of all exchanges */
@@ -106,51 +106,51 @@
     wb_equal_share_t *share; /* among how many is divided what all may spend */
     int64_t drain_began_ms;  /* steady time at which a planned stop began; 0: none */
     /** Someone waits for what isn't loaded: tell the controller soon. */
-    void (*on_need)(void *context);
-    void *need_context;
-    /** What is held against requests has changed: other nodes must know. With need_context. */
-    void (*on_poison)(void *context);
-    /** Whether the controller can be reached; NULL: it always can. With need_context. */
+    void (*on_pending_demand)(void *context);
+    void *node_context;
+    /** What is held against requests has changed: other nodes must know. With node_context. */
+    void (*on_poison_changed)(void *context);
+    /** Whether the controller can be reached; NULL: it always can. With node_context. */
     wb_controller_view_t (*controller_view)(void *context);
     /** Whether the engines of a service that hold a model ("": any) are known here; if not, they
      * are asked for, and requests that wait are tried again once they are. NULL: all engines are
      * known.
-     * @param since_ms steady time since which the request has been here. With need_context. */
+     * @param since_ms steady time since which the request has been here. With node_context. */
     gboolean (*engines_known)(const char *service, const char *model, int64_t since_ms,
                               void *context);
     /** Time since this node knew for sure which configuration is the newest; NULL: it always does.
-     * With need_context. */
+     * With node_context. */
     int64_t (*catalog_age_ms)(void *context);
 };
 
 /** Why a request ended, for logs and metrics. */
-typedef enum wb_ending_t {
-    WB_ENDING_SERVED,        /* an engine's whole answer was passed on */
-    WB_ENDING_ENGINE_FAILED, /* an engine's own failure was passed on */
-    WB_ENDING_NO_CATALOG,
-    WB_ENDING_NO_ROUTE,
-    WB_ENDING_BAD_REQUEST,
-    WB_ENDING_UNKNOWN_MODEL,
-    WB_ENDING_NO_ENGINE,  /* none could be used in time */
-    WB_ENDING_NOT_LOADED, /* its model could not be loaded in time */
-    WB_ENDING_REJECTED,   /* engines turned it away */
-    WB_ENDING_NO_BUDGET,  /* another sending was not allowed */
-    WB_ENDING_BROKEN,     /* an engine broke off, and it may not be sent again */
-    WB_ENDING_TIMED_OUT,  /* the route's time or the caller's is over */
-    WB_ENDING_CALLER_GONE,
-    WB_ENDING_STOPPING,      /* it came too late in a planned stop */
-    WB_ENDING_BAD_KEY,       /* it has no key that a tenant holds */
-    WB_ENDING_KEY_UNCERTAIN, /* nobody holds its key in a configuration that may be old */
-    WB_ENDING_OVER_QUOTA,    /* its tenant's limit is spent */
-    WB_ENDING_POISON,        /* it crashes the engines that run it */
-    WB_ENDING_NO_ROOM,       /* its model's engines are too far behind to answer in time */
-    WB_ENDING_COUNT
-} wb_ending_t;
+typedef enum wb_outcome_t {
+    WB_OUTCOME_SERVED,        /* an engine's whole answer was passed on */
+    WB_OUTCOME_ENGINE_FAILED, /* an engine's own failure was passed on */
+    WB_OUTCOME_NO_CATALOG,
+    WB_OUTCOME_NO_ROUTE,
+    WB_OUTCOME_BAD_REQUEST,
+    WB_OUTCOME_UNKNOWN_MODEL,
+    WB_OUTCOME_NO_ENGINE,  /* none could be used in time */
+    WB_OUTCOME_MODEL_NOT_LOADED, /* its model could not be loaded in time */
+    WB_OUTCOME_REJECTED,   /* engines turned it away */
+    WB_OUTCOME_NO_RETRY_BUDGET,  /* another sending was not allowed */
+    WB_OUTCOME_ENGINE_ABORTED,     /* an engine broke off, and it may not be sent again */
+    WB_OUTCOME_TIMED_OUT,  /* the route's time or the caller's is over */
+    WB_OUTCOME_CLIENT_GONE,
+    WB_OUTCOME_STOPPING,      /* it came too late in a planned stop */
+    WB_OUTCOME_BAD_KEY,       /* it has no key that a tenant holds */
+    WB_OUTCOME_KEY_UNVERIFIED, /* nobody holds its key in a configuration that may be old */
+    WB_OUTCOME_OVER_QUOTA,    /* its tenant's limit is spent */
+    WB_OUTCOME_POISON,        /* it crashes the engines that run it */
+    WB_OUTCOME_OVERLOADED,       /* its model's engines are too far behind to answer in time */
+    WB_OUTCOME_COUNT
+} wb_outcome_t;
 
-G_STATIC_ASSERT(WB_ENDING_COUNT <= WB_ENDINGS_MAX);
+G_STATIC_ASSERT(WB_OUTCOME_COUNT <= WB_OUTCOMES_MAX);
 
 /** @return an ending's name in logs and metrics */
-const char *wb_ending_name(wb_ending_t ending);
+const char *wb_outcome_name(wb_outcome_t ending);
 
 /** What the engine answered, while its answer is read. */
 typedef struct wb_reply_t {
@@ -165,14 +165,14 @@
 /** An engine that a request was sent to. */
 typedef struct wb_tried_engine_t {
     char *id;
-    int64_t again_ms; /* steady time from which it may be tried again; 0: never */
+    int64_t eligible_at_ms; /* steady time from which it may be tried again; 0: never */
 } wb_tried_engine_t;
 
 /** What was known of the engine that a request is sent to, and what was predicted. */
-typedef struct wb_sending_t {
+typedef struct wb_dispatch_decision_t {
     wb_choice_engine_t engine;
     wb_choice_estimate_t estimate;
-} wb_sending_t;
+} wb_dispatch_decision_t;
 
 /** A caller's request, from its arrival to its answer. */
 struct wb_exchange_t {
@@ -202,7 +202,7 @@
     int64_t out_tokens; /* that its answer is expected to have */
     int64_t began_ms;
     int64_t deadline_ms;   /* steady time at which the caller stops waiting */
-    int64_t hold_until_ms; /* steady time at which the final answer is due */
+    int64_t answer_due_ms; /* steady time at which the final answer is due */
     int64_t wait_until_ms; /* steady time until which waiting for an engine has a use */
     wb_timer_t *hold_timer;
     wb_timer_t *patience_timer;
@@ -215,7 +215,7 @@
     wb_engine_t *engine;     /* of the last sending; a reference, or NULL */
     int64_t sent_ms;         /* of the last sending */
     int64_t written_ms;      /* when its first byte left */
-    wb_sending_t sending;    /* the last one, as it was decided on */
+    wb_dispatch_decision_t sending;    /* the last one, as it was decided on */
     gboolean counted;        /* the sending counts as running at its engine */
     gboolean limit_noted;    /* it counts against its engine's limit */
     int64_t prefill_counted; /* prompt tokens that count at its engine */
@@ -243,17 +243,17 @@
 /** Balancer: choose an engine. @param sending out: what was known of it, and predicted
  * @return NULL when none can be used; owned by the fleet */
 wb_engine_t *wb_balancer_choose(const wb_edge_t *edge, const wb_exchange_t *exchange,
-                                int64_t now_ms, wb_sending_t *sending);
+                                int64_t now_ms, wb_dispatch_decision_t *sending);
 /** @return TRUE when the request names no regions, or some engine of its service stands where it
  * may be served */
-gboolean wb_balancer_has_home(const wb_edge_t *edge, const wb_exchange_t *exchange);
+gboolean wb_balancer_has_allowed_engine(const wb_edge_t *edge, const wb_exchange_t *exchange);
 /** An engine that can serve a request and takes none of this node for the moment. */
-typedef struct wb_opening_t {
+typedef struct wb_availability_t {
     int64_t at_ms;    /**< steady time from which it does; G_MAXINT64: none will, or not known */
     gboolean is_cold; /**< it is cold, and no load elsewhere is needed */
-} wb_opening_t;
+} wb_availability_t;
 /** @return the one that opens first, behind requests that wait for it already */
-wb_opening_t wb_balancer_opening(const wb_edge_t *edge, const wb_exchange_t *exchange,
+wb_availability_t wb_balancer_next_available(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                  int64_t now_ms);
 /** Asked when a connection has come up: the engine may have told meanwhile that it leaves, has a
  * limit or wants rest. What is written counts against its limit.
@@ -263,33 +263,33 @@
 /** What is to be sent, as engines are chosen by. */
 wb_choice_request_t wb_balancer_request(const wb_exchange_t *exchange, int64_t now_ms);
 /** Prompt tokens that the engine must still read for this request, as far as this node knows. */
-int64_t wb_balancer_unread_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
+int64_t wb_balancer_prefill_tokens(const wb_engine_t *engine, const wb_exchange_t *exchange,
                                   int64_t now_ms);
 /** The engine has read this request's prompt. */
-void wb_balancer_note_read(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms);
+void wb_balancer_note_prefilled(wb_engine_t *engine, const wb_exchange_t *exchange, int64_t now_ms);
 
 /* Requests: exchange.c. */
 void wb_exchange_begin(wb_edge_t *edge, wb_http_connection_t *connection, wb_http_head_t *head,
                        GByteArray *body);
 /** The caller left. */
-void wb_exchange_gone(wb_exchange_t *exchange);
+void wb_exchange_client_gone(wb_exchange_t *exchange);
 /** The caller took output that had piled up. */
-void wb_exchange_drained(wb_exchange_t *exchange);
+void wb_exchange_output_drained(wb_exchange_t *exchange);
 /** Engines or their models have changed: try those that wait. */
 void wb_exchanges_retry_waiting(wb_edge_t *edge);
 
 /** A model is being loaded and should be there in so many ms: those that wait for it wait on, or
  * are refused. */
-void wb_exchanges_expect(wb_edge_t *edge, const char *service, const char *model,
+void wb_exchanges_expect_model(wb_edge_t *edge, const char *service, const char *model,
                          unsigned ready_in_ms);
 /** @return TRUE when a request waits for the model */
-gboolean wb_exchanges_wait_for(const wb_edge_t *edge, const char *model);
+gboolean wb_exchanges_any_waiting_for(const wb_edge_t *edge, const char *model);
 /** Another configuration is in force: those that wait under a key that it dropped are refused. */
-void wb_exchanges_check_keys(wb_edge_t *edge);
+void wb_exchanges_recheck_keys(wb_edge_t *edge);
 /** What is known of who decides on loads has changed: those that wait in vain are refused. */
-void wb_exchanges_reconsider(wb_edge_t *edge);
+void wb_exchanges_update_waits(wb_edge_t *edge);
 /** A model is loaded: nothing is expected any more. */
-void wb_exchanges_no_longer_expect(wb_edge_t *edge, const char *service, const char *model);
+void wb_exchanges_model_loaded(wb_edge_t *edge, const char *service, const char *model);
 /** Answer those that are known to crash engines, also where copies wait or are under way. */
 void wb_exchanges_refuse_poison(wb_edge_t *edge);
 /** As wb_crash_watch_events_t.on_crashed. @param context the edge */
@@ -304,11 +304,11 @@
 
 /* What engines tell of themselves: engine_states.c. */
 /** An engine has told of its state, here or to another node: keep it among those that have. */
-void wb_edge_note_told(wb_edge_t *edge, wb_engine_t *engine);
+void wb_edge_track_reporting_engine(wb_edge_t *edge, wb_engine_t *engine);
 /** Tell other nodes of its state at the next tick. */
-void wb_edge_queue_state(wb_edge_t *edge, wb_engine_t *engine);
+void wb_edge_queue_state_update(wb_edge_t *edge, wb_engine_t *engine);
 /** Forget those that have gone or have nothing more to tell. */
-void wb_edge_told_engines_sweep(wb_edge_t *edge);
+void wb_edge_reporting_engines_sweep(wb_edge_t *edge);
 
 /** @return window in which what is sent again is counted */
 int64_t wb_edge_retry_window_ms(const wb_edge_t *edge);
@@ -320,7 +320,7 @@
 /** How a sending failed. */
 typedef struct wb_attempt_failure_t {
     gboolean sent;      /* FALSE: no byte of the request left */
-    gboolean broke_off; /* the connection ended before the answer was whole */
+    gboolean engine_aborted; /* the connection ended before the answer was whole */
     gboolean withdrawn; /* by this node, before a byte left: the engine isn't at fault */
     const char *reason; /* for logs */
 } wb_attempt_failure_t;
@@ -334,20 +334,20 @@
 /** Its engine is known to have ended: it fails as if the connection had been reset. */
 void wb_attempt_engine_ended(wb_attempt_t *attempt);
 /** Close an engine's kept connections: what is sent there next must connect first. */
-void wb_upstreams_drop(wb_engine_t *engine);
+void wb_upstreams_close_idle(wb_engine_t *engine);
 /** Close kept connections of engines that are gone, or that rested too long. */
-void wb_upstreams_sweep(wb_edge_t *edge, int64_t now_ms);
+void wb_upstreams_sweep_idle(wb_edge_t *edge, int64_t now_ms);
 
 /* Demand by model: demand.c. */
 wb_demand_t *wb_demand_create(void);
-void wb_demand_arrived(wb_demand_t *demand, const wb_exchange_t *exchange);
-void wb_demand_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting);
+void wb_demand_note_arrival(wb_demand_t *demand, const wb_exchange_t *exchange);
+void wb_demand_set_waiting(wb_demand_t *demand, wb_exchange_t *exchange, gboolean waiting);
 /** Its caller was told when to come back: the model is wanted by then, though nobody waits. */
-void wb_demand_promised(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms);
-void wb_demand_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running);
+void wb_demand_expect_retry(wb_demand_t *demand, const wb_exchange_t *exchange, int64_t until_ms);
+void wb_demand_set_running(wb_demand_t *demand, wb_exchange_t *exchange, gboolean running);
 /** Fill in a message with all that runs, waits or was promised and isn't held by an engine; to be
  * freed with wb_message_clear. Arrivals begin anew. */
-void wb_demand_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
+void wb_demand_build_message(wb_demand_t *demand, const wb_fleet_t *fleet, const char *node,
                        wb_wire_message *message);
 
 #endif
--- a/src/request/retry_budget.c
+++ b/src/request/retry_budget.c
@@ -49,7 +49,7 @@
     budget->newest = MAX(budget->newest, number);
 }
 
-void wb_retry_budget_request(wb_retry_budget_t *budget, int64_t now_ms) {
+void wb_retry_budget_note_request(wb_retry_budget_t *budget, int64_t now_ms) {
     slices_move(budget, now_ms);
     budget->requests[place_of(budget, 0)]++;
 }
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -24,7 +24,7 @@
 wb_retry_budget_t *wb_retry_budget_create(double ratio, int64_t window_ms);
 void wb_retry_budget_free(wb_retry_budget_t *budget);
 /** A request of a caller was counted for the first time. */
-void wb_retry_budget_request(wb_retry_budget_t *budget, int64_t now_ms);
+void wb_retry_budget_note_request(wb_retry_budget_t *budget, int64_t now_ms);
 /**
  * Take one resend out of the budget.
  * @param slack_share this node's share of the slack, in resends
--- a/standins/engine/main.c
+++ b/standins/engine/main.c
@@ -178,7 +178,7 @@
     }
     g_thread_unref(g_thread_new("batch", batch_run, NULL));
     g_thread_unref(g_thread_new("models", models_run, NULL));
-    wb_log_message(WB_PART_STANDIN, "The engine listens on %s.", engine_settings.listen);
+    wb_log_message(WB_LOG_STANDIN, "The engine listens on %s.", engine_settings.listen);
     standin_signals_wait();
     drain();
     return 0;
--- a/standins/platform/main.c
+++ b/standins/platform/main.c
@@ -147,7 +147,7 @@
         return 1;
     }
     g_thread_unref(g_thread_new("tick", tick_run, NULL));
-    wb_log_message(WB_PART_STANDIN, "The platform listens on %s.", settings.listen);
+    wb_log_message(WB_LOG_STANDIN, "The platform listens on %s.", settings.listen);
     standin_signals_wait();
     return 0;
 }
--- a/tests/bench/dispatch.c
+++ b/tests/bench/dispatch.c
@@ -23,8 +23,8 @@
         wb_engine_state_add_model(state, i % MAX(count / HOLDERS, 1) == 0 ? "m0" : "x0", 1);
         wb_engine_state_add_model(state, other, 1);
         wb_engine_t *engine = wb_fleet_announce(fleet, state);
-        wb_engine_pace_told(&engine->pace, i % 4 == 0 ? 55 : 120, 1000);
-        engine->shared_tokens_per_s = 1000.0 * (i % 20);
+        wb_engine_pace_add(&engine->pace, i % 4 == 0 ? 55 : 120, 1000);
+        engine->total_tokens_per_s = 1000.0 * (i % 20);
     }
 }
 
@@ -53,7 +53,7 @@
 
 int main(int argc, char **argv) {
     int engines = argc > 1 ? atoi(argv[1]) : ENGINES;
-    wb_edge_t edge = {.loads_known = TRUE};
+    wb_edge_t edge = {.shared_loads_valid = TRUE};
     edge.settings.zone = "zone-1";
     edge.settings.prefill_tokens_per_ms = 30;
     edge.settings.step_ms = 5.3;
@@ -64,7 +64,7 @@
     edge.wait_scale = wb_wait_scale_create();
     engines_add(edge.fleet, MAX(engines, 1));
     wb_exchange_t *exchange = exchange_create(&edge, wb_catalog_create(1));
-    wb_sending_t sending;
+    wb_dispatch_decision_t sending;
     unsigned chosen = 0;
     int64_t begun_us = wb_clock_us();
     for (int i = 0; i < CHOICES; i++) {
--- a/tests/fuzz/fuzz_control_check.c
+++ b/tests/fuzz/fuzz_control_check.c
@@ -62,7 +62,7 @@
 }
 
 /* Leave to order one engine comes a little after it was asked for, now and then. */
-static int64_t ask_order(const char *engine, void *context) {
+static int64_t authorize_order(const char *engine, void *context) {
     (void)engine;
     (void)context;
     return g_rand_int_range(playing->random, 0, 4) == 0 ? -1 : 0;
@@ -136,7 +136,7 @@
         settings->adapter_load_ms = 40;
         settings->prefill_tokens_per_ms = 30;
         play->nodes[i].fleet = wb_fleet_create();
-        wb_controller_events_t events = {may_act,     ask_order,    blocked_ms,
+        wb_controller_events_t events = {may_act,     authorize_order,    blocked_ms,
                                          news_ignore, heard_ignore, GINT_TO_POINTER(i)};
         play->nodes[i].controller = wb_controller_create(
             NULL, settings, &sim_dialect, play->nodes[i].fleet, &play->nodes[i].metrics, &events);
@@ -182,7 +182,7 @@
     play->change_ms = now_ms + g_rand_int_range(play->random, 500, LEASE_MOST_MS);
     wb_lease_predecessor_t before = {now_ms - QUIET_MS, play->told_loads, G_MAXUINT};
     for (int i = 0; i < NODES; i++) {
-        wb_controller_set_token(play->nodes[i].controller, i == play->holder ? play->token : 0,
+        wb_controller_set_lease(play->nodes[i].controller, i == play->holder ? play->token : 0,
                                 &before);
     }
 }
@@ -234,7 +234,7 @@
     }
     demand.entries.entries_val = entries;
     if (play->holder >= 0) {
-        wb_controller_take_demand(play->nodes[play->holder].controller, &demand);
+        wb_controller_on_demand(play->nodes[play->holder].controller, &demand);
     }
 }
 
--- a/tests/fuzz/fuzz_lease_check.c
+++ b/tests/fuzz/fuzz_lease_check.c
@@ -87,7 +87,7 @@
     node->settings =
         (wb_lease_settings_t){node->machine, "1.1.1.1:1", 1600, 500, QUIET_MS, 200, 900};
     if (strcmp(taken_out, "quiet") == 0)
-        node->settings.quiet_ms = 0;
+        node->settings.handover_interval_ms = 0;
     if (strcmp(taken_out, "duration") == 0)
         node->settings.duration_ms = index == 0 ? 6000 : 1600; /* one node believes itself longer */
     node->lease = wb_lease_create(&node->settings);
@@ -120,7 +120,7 @@
     int engine = (int)between(world, 0, ENGINES);
     char name[8];
     g_snprintf(name, sizeof(name), "e%d", engine);
-    int64_t wait_ms = wb_lease_ask_order(node->lease, name, local_ms);
+    int64_t wait_ms = wb_lease_authorize_order(node->lease, name, local_ms);
     if (wait_ms == 0 || strcmp(taken_out, "grants") == 0)
         act_note(world, index, engine, wb_lease_token(node->lease));
 }
@@ -133,7 +133,7 @@
     }
     wb_lease_row_t row = world->row;
     if (in_short) {
-        row.grants_known = FALSE;
+        row.has_grants = FALSE;
         row.granted_count = 0;
         row.inherited_count = 0;
     }
@@ -219,7 +219,7 @@
     if (node->waiting_since_ms != 0 &&
         world->now_ms - node->waiting_since_ms >= node->settings.write_timeout_ms) {
         node->waiting_since_ms = 0;
-        wb_lease_on_unknown(node->lease, local_ms);
+        wb_lease_on_write_unknown(node->lease, local_ms);
     }
     wb_lease_row_t row;
     int64_t expected;
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -30,7 +30,7 @@
 
 quota_way_t *quota_way_equal(int nodes, const wb_tenants_t *tenants);
 quota_way_t *quota_way_lots(int nodes, const wb_tenants_t *tenants);
-/** The product's own: quota_book.h and quota_gate.h. */
+/** The product's own: quota_ledger.h and quota_limiter.h. */
 quota_way_t *quota_way_shares(int nodes, const wb_tenants_t *tenants);
 
 typedef enum quota_trouble_t {
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -1,8 +1,8 @@
 /* Three ways to share limits over gateways; only the last one is the product's. */
 #include "quota_sim.h"
 
-#include "quota/quota_book.h"
-#include "quota/quota_gate.h"
+#include "quota/quota_ledger.h"
+#include "quota/quota_limiter.h"
 #include "quota/token_bucket.h"
 
 #include <string.h>
@@ -215,10 +215,10 @@
     quota_way_t way;
     int nodes;
     gboolean *reached;
-    wb_quota_gate_t **gates;
+    wb_quota_limiter_t **gates;
     const wb_tenants_t *tenants;
-    wb_quota_book_t *book;
-    wb_quota_book_t *second; /* for the nodes that are not cut off; NULL: no split */
+    wb_quota_ledger_t *book;
+    wb_quota_ledger_t *second; /* for the nodes that are not cut off; NULL: no split */
     GArray *told[2];         /* of wb_quota_share_t, by book, on their way since the last tick */
     gboolean telling[2];
 } shares_t;
@@ -229,34 +229,34 @@
 }
 
 /* Kinds as on the users' sheets: calls to a ledger, chats, drafts. */
-static wb_quota_kind_t kind_of(double cost) {
+static wb_quota_class_t kind_of(double cost) {
     if (cost <= 200) {
-        return wb_quota_kind("ledger", 2);
+        return wb_quota_class("ledger", 2);
     }
-    return wb_quota_kind("models", cost < 4000 ? 0 : 1);
+    return wb_quota_class("models", cost < 4000 ? 0 : 1);
 }
 
 static gboolean shares_ask(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
                            int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
-    return wb_quota_gate_ask(shares->gates[node], tenant, kind_of(cost), cost,
+    return wb_quota_limiter_admit(shares->gates[node], tenant, kind_of(cost), cost,
                              (unsigned)shares->nodes, now_ms)
         .admitted;
 }
 
 static void node_report(shares_t *shares, int node, int64_t now_ms) {
     g_autofree char *name = g_strdup_printf("node-%d", node);
-    GArray *uses = wb_quota_gate_take_uses(shares->gates[node]);
+    GArray *uses = wb_quota_limiter_take_usage(shares->gates[node]);
     for (guint i = 0; i < uses->len; i++) {
-        const wb_quota_use_t *use = &g_array_index(uses, wb_quota_use_t, i);
-        wb_quota_book_t *book = book_of(shares, node) ? shares->second : shares->book;
-        wb_quota_book_report(book, name, use, now_ms);
+        const wb_quota_usage_t *use = &g_array_index(uses, wb_quota_usage_t, i);
+        wb_quota_ledger_t *book = book_of(shares, node) ? shares->second : shares->book;
+        wb_quota_ledger_report(book, name, use, now_ms);
     }
     g_array_unref(uses);
 }
 
-static void book_tick(wb_quota_book_t *book, GArray *told, int64_t now_ms, gboolean *telling) {
-    const GArray *shares = wb_quota_book_shares(book, now_ms, telling);
+static void book_tick(wb_quota_ledger_t *book, GArray *told, int64_t now_ms, gboolean *telling) {
+    const GArray *shares = wb_quota_ledger_shares(book, now_ms, telling);
     g_array_set_size(told, 0);
     g_array_append_vals(told, shares->data, shares->len);
 }
@@ -272,7 +272,7 @@
         }
         int book = book_of(shares, i);
         if (shares->telling[book]) {
-            wb_quota_gate_tell(shares->gates[i],
+            wb_quota_limiter_set_shares(shares->gates[i],
                                (const wb_quota_share_t *)(void *)shares->told[book]->data,
                                shares->told[book]->len, now_ms);
         }
@@ -289,31 +289,31 @@
 }
 
 static void shares_set_limits(quota_way_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
-    wb_quota_book_set_tenants(((shares_t *)way)->book, tenants, now_ms);
+    wb_quota_ledger_set_tenants(((shares_t *)way)->book, tenants, now_ms);
 }
 
 static void shares_set_reached(quota_way_t *way, int node, gboolean reached, int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
     g_autofree char *name = g_strdup_printf("node-%d", node);
     shares->reached[node] = reached;
-    wb_quota_gate_set_reached(shares->gates[node], reached);
+    wb_quota_limiter_set_connected(shares->gates[node], reached);
     if (reached) {
-        wb_quota_book_node_reached(shares->book, name);
+        wb_quota_ledger_node_connected(shares->book, name);
     } else {
-        wb_quota_book_node_lost(shares->book, name, now_ms);
+        wb_quota_ledger_node_lost(shares->book, name, now_ms);
     }
 }
 
 static void shares_take_over(quota_way_t *way, int64_t now_ms) {
-    wb_quota_book_clear(((shares_t *)way)->book, now_ms);
+    wb_quota_ledger_clear(((shares_t *)way)->book, now_ms);
 }
 
 static void nodes_report_to_second(shares_t *shares, gboolean cut_ones, int64_t now_ms) {
     for (int i = 0; i < shares->nodes; i++) {
         g_autofree char *name = g_strdup_printf("node-%d", i);
         if (is_cut(i) == cut_ones) {
-            wb_quota_book_node_reached(shares->second, name);
-            wb_quota_book_node_lost(shares->book, name, now_ms);
+            wb_quota_ledger_node_connected(shares->second, name);
+            wb_quota_ledger_node_lost(shares->book, name, now_ms);
         }
     }
 }
@@ -322,35 +322,35 @@
     shares_t *shares = (shares_t *)way;
     if (!begins) {
         nodes_report_to_second(shares, TRUE, now_ms);
-        wb_quota_book_free(shares->book);
+        wb_quota_ledger_free(shares->book);
         shares->book = shares->second;
         shares->second = NULL;
         return;
     }
-    shares->second = wb_quota_book_create();
-    wb_quota_book_set_tenants(shares->second, shares->tenants, now_ms);
+    shares->second = wb_quota_ledger_create();
+    wb_quota_ledger_set_tenants(shares->second, shares->tenants, now_ms);
     for (int i = 0; i < shares->nodes; i++) {
         g_autofree char *name = g_strdup_printf("node-%d", i);
-        wb_quota_book_expect(shares->second, name, now_ms);
+        wb_quota_ledger_expect_node(shares->second, name, now_ms);
     }
-    wb_quota_book_set_sole(shares->book, FALSE);
+    wb_quota_ledger_set_sole(shares->book, FALSE);
     nodes_report_to_second(shares, FALSE, now_ms);
 }
 
 static void shares_restart(quota_way_t *way, int node, int64_t now_ms) {
     (void)now_ms;
     shares_t *shares = (shares_t *)way;
-    wb_quota_gate_free(shares->gates[node]);
-    shares->gates[node] = wb_quota_gate_create();
-    wb_quota_gate_set_reached(shares->gates[node], TRUE);
+    wb_quota_limiter_free(shares->gates[node]);
+    shares->gates[node] = wb_quota_limiter_create();
+    wb_quota_limiter_set_connected(shares->gates[node], TRUE);
 }
 
 static void shares_destroy(quota_way_t *way) {
     shares_t *shares = (shares_t *)way;
     for (int i = 0; i < shares->nodes; i++) {
-        wb_quota_gate_free(shares->gates[i]);
+        wb_quota_limiter_free(shares->gates[i]);
     }
-    wb_quota_book_free(shares->book);
+    wb_quota_ledger_free(shares->book);
     g_array_unref(shares->told[0]);
     g_array_unref(shares->told[1]);
     g_free(shares->gates);
@@ -365,16 +365,16 @@
                                 shares_split,      shares_restart,     shares_destroy};
     shares->nodes = nodes;
     shares->reached = g_new0(gboolean, nodes);
-    shares->gates = g_new0(wb_quota_gate_t *, nodes);
-    shares->book = wb_quota_book_create();
+    shares->gates = g_new0(wb_quota_limiter_t *, nodes);
+    shares->book = wb_quota_ledger_create();
     shares->tenants = tenants;
     shares->told[0] = g_array_new(FALSE, FALSE, sizeof(wb_quota_share_t));
     shares->told[1] = g_array_new(FALSE, FALSE, sizeof(wb_quota_share_t));
-    wb_quota_book_set_tenants(shares->book, tenants, 0);
+    wb_quota_ledger_set_tenants(shares->book, tenants, 0);
     for (int i = 0; i < nodes; i++) {
         shares->reached[i] = TRUE;
-        shares->gates[i] = wb_quota_gate_create();
-        wb_quota_gate_set_reached(shares->gates[i], TRUE);
+        shares->gates[i] = wb_quota_limiter_create();
+        wb_quota_limiter_set_connected(shares->gates[i], TRUE);
     }
     return &shares->way;
 }
--- a/tests/fuzz/target_api_key.c
+++ b/tests/fuzz/target_api_key.c
@@ -25,7 +25,7 @@
     wb_api_key_t key = wb_api_key_read(head, &dialect);
     if ((key.state == WB_API_KEY_ABSENT) != (keys == 0))
         abort();
-    if (key.state != WB_API_KEY_GIVEN)
+    if (key.state != WB_API_KEY_PRESENT)
         return;
     const char *value = wb_http_head_get(head, dialect.api_key);
     if (keys != 1 || g_ascii_strncasecmp(value, "Token ", 6) != 0)
--- a/tests/fuzz/target_engine_head.c
+++ b/tests/fuzz/target_engine_head.c
@@ -1,8 +1,8 @@
 /* The head of an engine's answer, and what it tells of itself. */
 #include "targets.h"
 
-#include "dispatch/told_state.h"
-#include "fleet/engine_heard.h"
+#include "dispatch/state_headers.h"
+#include "fleet/engine_response.h"
 
 #include <stdlib.h>
 
@@ -15,22 +15,22 @@
                                          .seal = "Response-Seal",
                                          .engine_load = "Server-Load",
                                          .engine_limit = "Server-Limit",
-                                         .engine_leaving = "Server-Leaving",
+                                         .engine_draining = "Server-Leaving",
                                          .wrong_engine_status = 421};
     (void)reader;
     wb_engine_t *engine = context;
     wb_edge_metrics_t metrics = {0};
-    wb_told_state_t told = wb_told_state_read(head, &dialect);
-    gboolean limit_is_good = !told.limit_known || (told.limit_named && told.limit_per_s >= 0 &&
-                                                   told.limit_per_s <= WB_TOLD_LIMIT_MOST_PER_S);
-    if (!limit_is_good || told.rest_ms < 0 || told.rest_ms > WB_TOLD_REST_MOST_MS)
+    wb_state_headers_t told = wb_state_headers_parse(head, &dialect);
+    gboolean limit_is_good = !told.limit_valid || (told.limit_present && told.limit_per_s >= 0 &&
+                                                   told.limit_per_s <= WB_STATE_MAX_LIMIT_PER_S);
+    if (!limit_is_good || told.rest_ms < 0 || told.rest_ms > WB_STATE_MAX_BACKOFF_MS)
         abort();
-    wb_heard_t heard = {&dialect, head, WB_HEARD_ON_REQUEST, 1000, 2000, DRAIN_MS};
-    wb_engine_hear(engine, &heard, &metrics);
+    wb_engine_response_t heard = {&dialect, head, WB_RESPONSE_TO_REQUEST, 1000, 2000, DRAIN_MS};
+    wb_engine_update_from_response(engine, &heard, &metrics);
     gboolean wrong = head->status == dialect.wrong_engine_status;
-    if (engine->limit.named != (told.limit_known && !wrong) ||
-        engine->told_leaving != (told.leaving && !wrong) ||
-        engine->rest_until_ms != (told.rest_ms > 0 && !wrong ? 2000 + told.rest_ms : 0))
+    if (engine->limit.named != (told.limit_valid && !wrong) ||
+        engine->drain_reported != (told.leaving && !wrong) ||
+        engine->backoff_until_ms != (told.rest_ms > 0 && !wrong ? 2000 + told.rest_ms : 0))
         abort();
 }
 
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -291,18 +291,18 @@
     engine_tells(soak, estate_engine(fault), "");
 }
 
-static void engine_rests(const soak_t *soak, const char *engine, const char *retry_after) {
+static void engine_backoffs(const soak_t *soak, const char *engine, const char *retry_after) {
     estate_do(soak->estate, "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}",
               engine, retry_after);
 }
 
 static void rest_begin(soak_fault_t *fault, soak_t *soak) {
     static const char *const times[] = {"0.8", "1", "2.5", "4"};
-    engine_rests(soak, estate_engine(fault), times[fault->variant / 4 % (int)G_N_ELEMENTS(times)]);
+    engine_backoffs(soak, estate_engine(fault), times[fault->variant / 4 % (int)G_N_ELEMENTS(times)]);
 }
 
 static void rest_end(soak_fault_t *fault, soak_t *soak) {
-    engine_rests(soak, estate_engine(fault), "");
+    engine_backoffs(soak, estate_engine(fault), "");
 }
 
 /* It leaves by its answers alone: its row says that it is ready. */
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -8,7 +8,7 @@
     wb_choice_request_t request = {
         .has_prompt = TRUE, .target_ms = target_ms, .waited_ms = waited_ms, .wait_scale = 1};
     wb_choice_estimate_t estimate = {.first_ms = first_ms};
-    return wb_admission_refusal_chance(&request, &estimate, rank, 4 * target_ms);
+    return wb_admission_refusal_probability(&request, &estimate, rank, 4 * target_ms);
 }
 
 static void test_by_target(void) {
@@ -26,7 +26,7 @@
     g_assert_cmpfloat(chance(800, 0, 3300, 0), ==, 1);
     wb_choice_request_t lookup = {.target_ms = 150, .wait_scale = 1};
     wb_choice_estimate_t estimate = {.first_ms = 1e6};
-    g_assert_cmpfloat(wb_admission_refusal_chance(&lookup, &estimate, 1, 600), ==, 0);
+    g_assert_cmpfloat(wb_admission_refusal_probability(&lookup, &estimate, 1, 600), ==, 0);
 }
 
 /* A surge: what all gateways know is half a second old. The share that is refused follows the load
--- a/tests/unit/test_api_key.c
+++ b/tests/unit/test_api_key.c
@@ -28,14 +28,14 @@
     const char *const good[] = {"Token secret", "token secret", "Token   secret", "Token secret "};
     for (size_t i = 0; i < G_N_ELEMENTS(good); i++) {
         wb_api_key_t key = read_value(good[i]);
-        g_assert_cmpint(key.state, ==, WB_API_KEY_GIVEN);
+        g_assert_cmpint(key.state, ==, WB_API_KEY_PRESENT);
         g_assert_cmpmem(key.digest.bytes, sizeof(key.digest.bytes), digest.bytes,
                         sizeof(digest.bytes));
     }
 }
 
 static void test_bad_keys(void) {
-    g_autofree char *long_key = g_strnfill(WB_KEY_LIMIT_BYTES + 1, 'x');
+    g_autofree char *long_key = g_strnfill(WB_KEY_MAX_BYTES + 1, 'x');
     g_autofree char *too_long = g_strconcat("Token ", long_key, NULL);
     const char *const bad[] = {
         "",          "Token",        "Token ",       "Tokensecret",   "secret", "Bearer secret",
@@ -49,9 +49,9 @@
 }
 
 static void test_private_headers(void) {
-    g_assert_true(wb_api_key_is_private(&dialect, "AUTHORIZATION"));
-    g_assert_true(wb_api_key_is_private(&dialect, "tenant"));
-    g_assert_false(wb_api_key_is_private(&dialect, "Tenant-Hint"));
+    g_assert_true(wb_api_key_strips_header(&dialect, "AUTHORIZATION"));
+    g_assert_true(wb_api_key_strips_header(&dialect, "tenant"));
+    g_assert_false(wb_api_key_strips_header(&dialect, "Tenant-Hint"));
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_catalog.c
+++ b/tests/unit/test_catalog.c
@@ -10,11 +10,11 @@
     wb_route_t *all = wb_catalog_add_route(catalog, "all", "A.example", "/");
     wb_route_t *deep = wb_catalog_add_route(catalog, "deep", "a.example", "/a/b/");
     wb_route_t *shallow = wb_catalog_add_route(catalog, "shallow", "a.example", "/a/");
-    wb_route_add_part(all, "one", 1);
-    wb_route_add_part(deep, "one", 70);
-    wb_route_add_part(deep, "two", 25);
-    wb_route_add_part(deep, "three", 5);
-    wb_route_add_part(shallow, "one", 0);
+    wb_route_add_target(all, "one", 1);
+    wb_route_add_target(deep, "one", 70);
+    wb_route_add_target(deep, "two", 25);
+    wb_route_add_target(deep, "three", 5);
+    wb_route_add_target(shallow, "one", 0);
     wb_catalog_seal(catalog);
     return catalog;
 }
--- a/tests/unit/test_clock.c
+++ b/tests/unit/test_clock.c
@@ -34,7 +34,7 @@
                                     .address = "127.0.0.1:1",
                                     .duration_ms = 1600,
                                     .renew_ms = 500,
-                                    .quiet_ms = 3000,
+                                    .handover_interval_ms = 3000,
                                     .margin_ms = 200,
                                     .write_timeout_ms = 900};
     wb_lease_t *lease = wb_lease_create(&settings);
--- a/tests/unit/test_cold_share.c
+++ b/tests/unit/test_cold_engine_share.c
@@ -1,12 +1,12 @@
 /* Shares of what a cold engine bears: together they never exceed it, and they use it. */
 #include "unit.h"
 
-#include "wickbridge/cold_share.h"
+#include "wickbridge/cold_engine_share.h"
 
 #include <math.h>
 #include <string.h>
 
-/* What an engine of the users' care homes bears: 6.5 a second, with their allowance. */
+/* What an engine of the users' care allowed_regions bears: 6.5 a second, with their allowance. */
 #define PER_S 14.75
 #define SECOND_MS 1000
 
@@ -24,7 +24,7 @@
     gpointer id;
     g_hash_table_iter_init(&iter, nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        sum += wb_cold_share(per_s, g_hash_table_size(nodes), wb_dealt_rank(engine, id, nodes));
+        sum += wb_cold_engine_share(per_s, g_hash_table_size(nodes), wb_rendezvous_rank(engine, id, nodes));
     }
     return sum;
 }
@@ -44,9 +44,9 @@
 
 /* A node that has no part now sends nothing, however few of the others it knows. */
 static void test_no_part(void) {
-    wb_send_gate_t gate = {NULL};
-    g_assert_cmpuint(wb_cold_share(PER_S, 0, 0), ==, 0);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 1000), ==, G_MAXINT64);
+    wb_send_limiter_t gate = {NULL};
+    g_assert_cmpuint(wb_cold_engine_share(PER_S, 0, 0), ==, 0);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 1000), ==, G_MAXINT64);
 }
 
 /* Another engine, or another start of it, is another node's. */
@@ -55,7 +55,7 @@
     unsigned served = 0;
     for (unsigned i = 0; i < 200; i++) {
         g_autofree char *engine = g_strdup_printf("e%u@%u", i / 2, i % 2);
-        served += wb_cold_share(PER_S, 87, wb_dealt_rank(engine, "edge-3", nodes));
+        served += wb_cold_engine_share(PER_S, 87, wb_rendezvous_rank(engine, "edge-3", nodes));
     }
     g_assert_cmpuint(served, >, 10); /* 11 of 87 of them, 25 on average */
     g_assert_cmpuint(served, <, 50);
@@ -68,7 +68,7 @@
     unsigned sum = shares_sum("e1@5", known, PER_S);
     for (unsigned i = 87; i < 90; i++) {
         g_autofree char *id = g_strdup_printf("edge-%u", i);
-        sum += wb_cold_share(PER_S, 90, wb_dealt_rank("e1@5", id, with_new));
+        sum += wb_cold_engine_share(PER_S, 90, wb_rendezvous_rank("e1@5", id, with_new));
     }
     g_assert_cmpuint(sum, <=, (unsigned)PER_S);
 }
@@ -78,16 +78,16 @@
 static void test_storm(void) {
     enum { NODES = 87, STEPS = 500, STEP_MS = 10 };
     g_autoptr(GHashTable) nodes = nodes_create(NODES);
-    static wb_send_gate_t gates[NODES];
+    static wb_send_limiter_t gates[NODES];
     unsigned sent[STEPS] = {0};
     unsigned all = 0;
     for (unsigned step = 0; step < STEPS; step++) {
         int64_t now_ms = 1000 + (int64_t)step * STEP_MS;
         for (unsigned i = 0; i < NODES; i++) {
             g_autofree char *id = g_strdup_printf("edge-%u", i);
-            unsigned share = wb_cold_share(PER_S, NODES, wb_dealt_rank("e1@5", id, nodes));
-            if (wb_send_gate_opens_ms(&gates[i], share, WB_COLD_WINDOW_MS, 0, now_ms) == now_ms) {
-                wb_send_gate_note(&gates[i], WB_COLD_WINDOW_MS, now_ms);
+            unsigned share = wb_cold_engine_share(PER_S, NODES, wb_rendezvous_rank("e1@5", id, nodes));
+            if (wb_send_limiter_next_ms(&gates[i], share, WB_COLD_WINDOW_MS, 0, now_ms) == now_ms) {
+                wb_send_limiter_record(&gates[i], WB_COLD_WINDOW_MS, now_ms);
                 sent[step]++;
                 all++;
             }
@@ -102,26 +102,26 @@
     }
     g_assert_cmpuint(all, >=, 50); /* 11 each 1.1 s */
     for (unsigned i = 0; i < NODES; i++) {
-        wb_send_gate_clear(&gates[i]);
+        wb_send_limiter_clear(&gates[i]);
     }
 }
 
 static void test_gate(void) {
-    wb_send_gate_t gate = {0};
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 500), ==, G_MAXINT64);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
-    wb_send_gate_note(&gate, WB_COLD_WINDOW_MS, 500);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
-    wb_send_gate_note(&gate, WB_COLD_WINDOW_MS, 600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
+    wb_send_limiter_t gate = {0};
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 0, WB_COLD_WINDOW_MS, 0, 500), ==, G_MAXINT64);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 500), ==, 500);
+    wb_send_limiter_record(&gate, WB_COLD_WINDOW_MS, 500);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 600), ==, 600);
+    wb_send_limiter_record(&gate, WB_COLD_WINDOW_MS, 600);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 700), ==, 1600);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 1, WB_COLD_WINDOW_MS, 0, 700), ==, 1700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 0, 1600), ==, 1600);
     /* Who comes after others that wait has its turn after theirs. */
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
-    g_assert_cmpint(wb_send_gate_opens_ms(&gate, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
-    wb_send_gate_clear(&gate);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 1, 700), ==, 1700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 2, 700), ==, 2700);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 2, WB_COLD_WINDOW_MS, 3, 700), ==, 2800);
+    g_assert_cmpint(wb_send_limiter_next_ms(&gate, 3, WB_COLD_WINDOW_MS, 1, 700), ==, 1600);
+    wb_send_limiter_clear(&gate);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_crash_watch.c
+++ b/tests/unit/test_crash_watch.c
@@ -61,8 +61,8 @@
 }
 
 static void broken(scene_t *scene, const char *engine, guint8 digest) {
-    wb_broken_request_t request = {{{digest}}, 5};
-    wb_crash_watch_broken(scene->watch, engine, scene->address, &request);
+    wb_aborted_request_t request = {{{digest}}, 5};
+    wb_crash_watch_note_aborted(scene->watch, engine, scene->address, &request);
 }
 
 static void scene_end(scene_t *scene) {
@@ -121,9 +121,9 @@
 static void test_row_goes(void) {
     scene_t *scene = scene_begin(TRUE);
     broken(scene, "e1", 1);
-    wb_crash_watch_row_gone(scene->watch, "e9"); /* broke nothing off here */
+    wb_crash_watch_row_removed(scene->watch, "e9"); /* broke nothing off here */
     g_assert_cmpuint(scene->calls, ==, 0);
-    wb_crash_watch_row_gone(scene->watch, "e1"); /* while the look is due */
+    wb_crash_watch_row_removed(scene->watch, "e1"); /* while the look is due */
     g_assert_cmpuint(scene->calls, ==, 1);
     scene_run(scene);
     g_assert_cmpuint(scene->calls, ==, 1);
@@ -136,7 +136,7 @@
     broken(scene, "e1", 1);
     scene_run(scene);
     wb_crash_watch_sweep(scene->watch, wb_clock_ms() + 60000);
-    wb_crash_watch_row_gone(scene->watch, "e1");
+    wb_crash_watch_row_removed(scene->watch, "e1");
     g_assert_cmpuint(scene->calls, ==, 0);
     scene_end(scene);
 }
--- a/tests/unit/test_engine_choice.c
+++ b/tests/unit/test_engine_choice.c
@@ -2,11 +2,11 @@
 #include "unit.h"
 
 #include "dispatch/engine_choice.h"
-#include "dispatch/length_guess.h"
+#include "dispatch/length_estimate.h"
 
 /* As measured on engines of the users' second sheet: 30 tokens a ms, 5.3 ms a step. */
 static const wb_choice_setup_t setup = {
-    .tokens_per_ms = 30, .step_ms = 5.3, .piece_tokens = 2048, .event_tokens = 5, .by_pace = TRUE};
+    .tokens_per_ms = 30, .step_ms = 5.3, .chunk_tokens = 2048, .event_tokens = 5, .use_pace = TRUE};
 static const wb_choice_request_t chat = {
     .has_prompt = TRUE, .out_tokens = 290, .target_ms = 500, .target_gap_ms = 400, .wait_scale = 1};
 static const wb_choice_request_t draft = {
@@ -23,7 +23,7 @@
 
 #define ENGINE(pace_, running_, unread_, share_)                                                   \
     {                                                                                              \
-        .pace = (pace_), .slots = 48, .running = (running_), .unread_tokens = (unread_),           \
+        .pace = (pace_), .slots = 48, .running = (running_), .uncached_tokens = (unread_),           \
         .reading_share = (share_)                                                                  \
     }
 
@@ -77,7 +77,7 @@
         wb_choice_engine_t engine = {.pace = g_rand_double_range(rand, 0.1, 5),
                                      .slots = 48,
                                      .running = g_rand_int_range(rand, 0, 100),
-                                     .unread_tokens = g_rand_double_range(rand, 0, 20000),
+                                     .uncached_tokens = g_rand_double_range(rand, 0, 20000),
                                      .backlog_tokens = g_rand_double_range(rand, 0, 20000),
                                      .reading_share = g_rand_double_range(rand, 0, 1.2)};
         double cost = wb_choice_estimate(&setup, &request, &engine).cost_ms;
@@ -85,7 +85,7 @@
             wb_choice_engine_t worse = engine;
             worse.pace *= j == 0 ? 1.5 : 1;
             worse.running += j == 1 ? 3 : 0;
-            worse.unread_tokens += j == 2 ? 2000 : 0;
+            worse.uncached_tokens += j == 2 ? 2000 : 0;
             worse.backlog_tokens += j == 3 ? 3000 : 0;
             worse.reading_share += j == 4 ? 0.1 : 0;
             worse.backlog_ms += j == 5 ? 300 : 0;
@@ -98,7 +98,7 @@
 /* Switched off, paces and streams count for nothing. */
 static void test_switched_off(void) {
     wb_choice_setup_t off = setup;
-    off.by_pace = FALSE;
+    off.use_pace = FALSE;
     wb_choice_engine_t quiet = ENGINE(1, 0, 3000, 0);
     wb_choice_estimate_t estimate = wb_choice_estimate(&off, &draft, &quiet);
     g_assert_cmpfloat_with_epsilon(estimate.cost_ms, 100 + 5.3, 0.1);
@@ -106,16 +106,16 @@
 
 /* Hints that are far off move the guess by their square root only, and never over the limit. */
 static void test_length_guess(void) {
-    wb_length_guess_t *guess = wb_length_guess_create();
+    wb_length_estimate_t *guess = wb_length_estimate_create();
     for (unsigned i = 0; i < 200; i++) {
-        wb_length_guess_learn(guess, "chat", 290);
+        wb_length_estimate_learn(guess, "chat", 290);
     }
-    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(guess, "chat", 0, 0), 290, 1);
-    g_assert_cmpfloat_with_epsilon(wb_length_guess_tokens(guess, "chat", 290, 0), 290, 1);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "chat", 29000, 0), <, 3000);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "chat", 29000, 400), ==, 400);
-    g_assert_cmpfloat(wb_length_guess_tokens(guess, "other", 0, 10), ==, 10);
-    wb_length_guess_free(guess);
+    g_assert_cmpfloat_with_epsilon(wb_length_estimate_tokens(guess, "chat", 0, 0), 290, 1);
+    g_assert_cmpfloat_with_epsilon(wb_length_estimate_tokens(guess, "chat", 290, 0), 290, 1);
+    g_assert_cmpfloat(wb_length_estimate_tokens(guess, "chat", 29000, 0), <, 3000);
+    g_assert_cmpfloat(wb_length_estimate_tokens(guess, "chat", 29000, 400), ==, 400);
+    g_assert_cmpfloat(wb_length_estimate_tokens(guess, "other", 0, 10), ==, 10);
+    wb_length_estimate_free(guess);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_engine_limit.c
+++ b/tests/unit/test_engine_limit.c
@@ -13,19 +13,19 @@
 typedef struct crowd_t {
     unsigned count;
     wb_engine_limit_t *limits;
-    wb_limit_place_t *places;
+    wb_share_rank_t *places;
 } crowd_t;
 
-static crowd_t crowd_create(unsigned count, double per_s, int64_t named_ms) {
-    crowd_t crowd = {count, g_new0(wb_engine_limit_t, count), g_new0(wb_limit_place_t, count)};
+static crowd_t crowd_create(unsigned count, double per_s, int64_t limit_reported_ms) {
+    crowd_t crowd = {count, g_new0(wb_engine_limit_t, count), g_new0(wb_share_rank_t, count)};
     g_autoptr(GHashTable) ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     for (unsigned i = 0; i < count; i++) {
         g_hash_table_add(ids, g_strdup_printf("edge-%u", i));
     }
     for (unsigned i = 0; i < count; i++) {
         g_autofree char *id = g_strdup_printf("edge-%u", i);
-        crowd.places[i] = (wb_limit_place_t){count, wb_dealt_rank("e1@5", id, ids)};
-        wb_engine_limit_name(&crowd.limits[i], per_s, named_ms, named_ms);
+        crowd.places[i] = (wb_share_rank_t){count, wb_rendezvous_rank("e1@5", id, ids)};
+        wb_engine_limit_set(&crowd.limits[i], per_s, limit_reported_ms, limit_reported_ms);
     }
     return crowd;
 }
@@ -44,9 +44,9 @@
     for (int64_t now_ms = from_ms; now_ms < from_ms + duration_ms; now_ms += STEP_MS) {
         unsigned count = 0;
         for (unsigned i = 0; i < crowd->count; i++) {
-            while (wb_engine_limit_opens_ms(&crowd->limits[i], &crowd->places[i], 0, now_ms) ==
+            while (wb_engine_limit_next_ms(&crowd->limits[i], &crowd->places[i], 0, now_ms) ==
                    now_ms) {
-                wb_engine_limit_note(&crowd->limits[i], now_ms);
+                wb_engine_limit_record(&crowd->limits[i], now_ms);
                 count++;
             }
         }
@@ -110,45 +110,45 @@
 /* A node without a part is told when its turn comes, not that it never does. */
 static void test_turn_is_told(void) {
     wb_engine_limit_t limit = {0};
-    wb_limit_place_t place = {8, 6};
-    wb_engine_limit_name(&limit, 1, 0, 1000);
-    g_assert_cmpint(wb_engine_limit_opens_ms(&limit, &place, 0, 2000), ==, 1000 + 10000 + 2 * 5000);
-    wb_engine_limit_note(&limit, 21500);
-    g_assert_cmpint(wb_engine_limit_opens_ms(&limit, &place, 0, 22000), ==, 21000 + 4 * 5000);
+    wb_share_rank_t place = {8, 6};
+    wb_engine_limit_set(&limit, 1, 0, 1000);
+    g_assert_cmpint(wb_engine_limit_next_ms(&limit, &place, 0, 2000), ==, 1000 + 10000 + 2 * 5000);
+    wb_engine_limit_record(&limit, 21500);
+    g_assert_cmpint(wb_engine_limit_next_ms(&limit, &place, 0, 22000), ==, 21000 + 4 * 5000);
     /* It is heard again: the turns begin anew. */
-    wb_engine_limit_name(&limit, 1, 21500, 21600);
-    g_assert_cmpint(wb_engine_limit_opens_ms(&limit, &place, 0, 22000), ==,
+    wb_engine_limit_set(&limit, 1, 21500, 21600);
+    g_assert_cmpint(wb_engine_limit_next_ms(&limit, &place, 0, 22000), ==,
                     21600 + 10000 + 2 * 5000);
     wb_engine_limit_clear(&limit);
 }
 
 static void test_no_part(void) {
     wb_engine_limit_t limit = {0};
-    wb_limit_place_t none = {0, 0};
-    g_assert_cmpint(wb_engine_limit_opens_ms(&limit, &none, 0, 500), ==, 500);
-    wb_engine_limit_name(&limit, 100, 0, 400);
-    g_assert_cmpint(wb_engine_limit_opens_ms(&limit, &none, 0, 500), ==, G_MAXINT64);
+    wb_share_rank_t none = {0, 0};
+    g_assert_cmpint(wb_engine_limit_next_ms(&limit, &none, 0, 500), ==, 500);
+    wb_engine_limit_set(&limit, 100, 0, 400);
+    g_assert_cmpint(wb_engine_limit_next_ms(&limit, &none, 0, 500), ==, G_MAXINT64);
 }
 
 /* Answers overtake one another. */
 static void test_order_of_answers(void) {
     wb_engine_limit_t limit = {0};
-    g_assert_true(wb_engine_limit_name(&limit, 2, 100, 300));
+    g_assert_true(wb_engine_limit_set(&limit, 2, 100, 300));
     /* Sent before the limit was named: it may have been answered before. */
-    g_assert_false(wb_engine_limit_unname(&limit, 250));
+    g_assert_false(wb_engine_limit_end(&limit, 250));
     g_assert_true(limit.named);
     /* Not known which is the newer one: the stricter holds, until a newer one tells otherwise. */
-    g_assert_true(wb_engine_limit_name(&limit, 1, 200, 400));
-    g_assert_false(wb_engine_limit_name(&limit, 2, 350, 500));
+    g_assert_true(wb_engine_limit_set(&limit, 1, 200, 400));
+    g_assert_false(wb_engine_limit_set(&limit, 2, 350, 500));
     g_assert_cmpfloat(limit.per_s, ==, 1);
-    g_assert_true(wb_engine_limit_name(&limit, 2, 600, 700));
+    g_assert_true(wb_engine_limit_set(&limit, 2, 600, 700));
     g_assert_cmpfloat(limit.per_s, ==, 2);
-    g_assert_true(wb_engine_limit_unname(&limit, 800));
+    g_assert_true(wb_engine_limit_end(&limit, 800));
     g_assert_false(limit.named);
     /* An answer to an earlier request that comes late begins nothing. */
-    g_assert_false(wb_engine_limit_name(&limit, 2, 750, 900));
+    g_assert_false(wb_engine_limit_set(&limit, 2, 750, 900));
     g_assert_false(limit.named);
-    g_assert_true(wb_engine_limit_name(&limit, 2, 850, 950));
+    g_assert_true(wb_engine_limit_set(&limit, 2, 850, 950));
     wb_engine_limit_clear(&limit);
 }
 
--- a/tests/unit/test_engine_subset.c
+++ b/tests/unit/test_engine_subset.c
@@ -43,8 +43,8 @@
         g_autoptr(GPtrArray) one = subset(fleet, "m7", "z1");
         g_autoptr(GPtrArray) any = subset(fleet, "", "z1");
         guint holders = sizes[i] / MODELS + (7 < sizes[i] % MODELS);
-        g_assert_cmpuint(one->len, ==, MIN(holders, WB_ENGINE_SUBSET_MOST));
-        g_assert_cmpuint(any->len, ==, WB_ENGINE_SUBSET_MOST);
+        g_assert_cmpuint(one->len, ==, MIN(holders, WB_ENGINE_SUBSET_MAX));
+        g_assert_cmpuint(any->len, ==, WB_ENGINE_SUBSET_MAX);
     }
 }
 
@@ -70,7 +70,7 @@
     const wb_engine_t *gone = g_ptr_array_index(before, 20);
     wb_fleet_remove(fleet, gone->state->id, 0);
     g_autoptr(GPtrArray) after = subset(fleet, "", "z1");
-    g_assert_cmpuint(after->len, ==, WB_ENGINE_SUBSET_MOST);
+    g_assert_cmpuint(after->len, ==, WB_ENGINE_SUBSET_MAX);
     for (guint i = 0; i + 1 < after->len; i++) {
         g_assert_true(g_ptr_array_index(after, i) == g_ptr_array_index(before, i + (i >= 20)));
     }
--- a/tests/unit/test_equal_share.c
+++ b/tests/unit/test_equal_share.c
@@ -4,7 +4,7 @@
 #include "quota/equal_share.h"
 
 #define WINDOW_MS 4000
-#define SETTLED_MS (WB_SHARE_TRUST_MS + WB_SHARE_DELAY_MS + WINDOW_MS)
+#define SETTLED_MS (WB_SHARE_VALID_MS + WB_SHARE_DELAY_MS + WINDOW_MS)
 
 /* A share that knows itself and some others since a time. */
 static wb_equal_share_t *share_create(int others, int64_t now_ms) {
@@ -14,12 +14,12 @@
         g_autofree char *id = g_strdup_printf("other-%d", i);
         wb_equal_share_add(share, id, now_ms);
     }
-    wb_equal_share_known(share, now_ms);
+    wb_equal_share_set_as_of(share, now_ms);
     return share;
 }
 
 static unsigned nodes_at(wb_equal_share_t *share, int64_t now_ms) {
-    wb_equal_share_known(share, now_ms);
+    wb_equal_share_set_as_of(share, now_ms);
     return wb_equal_share_nodes(share, WINDOW_MS, now_ms);
 }
 
@@ -30,7 +30,7 @@
     share = share_create(2, 1000);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS - 1), ==, 0);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS), ==, 3);
-    wb_equal_share_restart(share, 1000 + SETTLED_MS);
+    wb_equal_share_after_pause(share, 1000 + SETTLED_MS);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS), ==, 0);
     g_assert_cmpuint(nodes_at(share, 1000 + 2 * SETTLED_MS), ==, 3);
     wb_equal_share_free(share);
@@ -40,10 +40,10 @@
     wb_equal_share_t *share = share_create(2, 1000);
     int64_t known_ms = 1000 + SETTLED_MS;
     g_assert_cmpuint(nodes_at(share, known_ms), ==, 3);
-    int64_t old_ms = known_ms + WB_SHARE_TRUST_MS;
+    int64_t old_ms = known_ms + WB_SHARE_VALID_MS;
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms - 1), ==, 3);
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms), ==, 0);
-    wb_equal_share_known(share, old_ms - 1000); /* it hears again: nothing is waited for */
+    wb_equal_share_set_as_of(share, old_ms - 1000); /* it hears again: nothing is waited for */
     g_assert_cmpuint(wb_equal_share_nodes(share, WINDOW_MS, old_ms), ==, 3);
     wb_equal_share_free(share);
 }
@@ -69,16 +69,16 @@
 /* The first process of the first machine has all at once; one that finds another listed waits. */
 static void test_begin_first(void) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
-    wb_equal_share_begin_first(share, 1000);
+    wb_equal_share_set_first_process(share, 1000);
     g_assert_cmpuint(nodes_at(share, 1000), ==, 0); /* it isn't listed yet */
     wb_equal_share_add(share, "own", 1000);
-    wb_equal_share_begin_first(share, 1000);
+    wb_equal_share_set_first_process(share, 1000);
     g_assert_cmpuint(nodes_at(share, 1000), ==, 1);
     wb_equal_share_add(share, "other", 2000);
     g_assert_cmpuint(nodes_at(share, 2000), ==, 2);
     wb_equal_share_free(share);
     share = share_create(1, 1000);
-    wb_equal_share_begin_first(share, 1000);
+    wb_equal_share_set_first_process(share, 1000);
     g_assert_cmpuint(nodes_at(share, 1000 + SETTLED_MS - 1), ==, 0);
     wb_equal_share_free(share);
 }
@@ -92,7 +92,7 @@
     g_assert_cmpuint(wb_equal_share_listed(share, WINDOW_MS, 1000 + WINDOW_MS), ==, 0);
     wb_equal_share_free(share);
     share = share_create(2, 1000);
-    wb_equal_share_begin_first(share, 1000); /* nothing was spent there before */
+    wb_equal_share_set_first_process(share, 1000); /* nothing was spent there before */
     g_assert_cmpuint(wb_equal_share_listed(share, WINDOW_MS, 1000), ==, 3);
     wb_equal_share_free(share);
 }
@@ -105,8 +105,8 @@
         g_autofree char *id = g_strdup_printf("node-%d", i);
         wb_equal_share_add(share, id, 0);
     }
-    wb_equal_share_known(share, SETTLED_MS);
-    double part = wb_equal_share_part(share, whole, WINDOW_MS, SETTLED_MS);
+    wb_equal_share_set_as_of(share, SETTLED_MS);
+    double part = wb_equal_share_amount(share, whole, WINDOW_MS, SETTLED_MS);
     wb_equal_share_free(share);
     return part;
 }
@@ -193,10 +193,10 @@
 static void process_read(sim_t *sim, sim_machine_t *machine, int step) {
     int64_t now_ms = time_of(step);
     view_set(sim, machine, sim->listed[step], now_ms);
-    wb_equal_share_known(machine->share, now_ms);
+    wb_equal_share_set_as_of(machine->share, now_ms);
     if (machine->created && machine->knows[machine - sim->machines]) {
         machine->created = FALSE;
-        wb_equal_share_begin_first(machine->share, now_ms);
+        wb_equal_share_set_first_process(machine->share, now_ms);
     }
     machine->created |= !machine->was_listed;
     machine->was_listed = TRUE;
@@ -209,7 +209,7 @@
     int then = step - g_rand_int_range(sim->random, 0, WB_SHARE_DELAY_MS / STEP_MS);
     gboolean comes = then >= 0 && (machine->cut_step == 0 || then < machine->cut_step);
     if (comes && memcmp(machine->knows, sim->listed[then], sizeof(machine->knows)) == 0) {
-        wb_equal_share_known(machine->share, time_of(step));
+        wb_equal_share_set_as_of(machine->share, time_of(step));
     }
 }
 
@@ -223,7 +223,7 @@
 
 /* Now and then it spends all that it may. Returns what it spent. */
 static double process_spend(sim_t *sim, sim_machine_t *machine, int step) {
-    double part = wb_equal_share_part(machine->share, sim->whole, WINDOW_MS, time_of(step));
+    double part = wb_equal_share_amount(machine->share, sim->whole, WINDOW_MS, time_of(step));
     double left = part - spent_in_window(machine, step);
     gboolean spends = g_rand_int_range(sim->random, 0, 10) == 0;
     machine->spent[step] = spends ? MAX(left, 0) : 0;
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -20,7 +20,7 @@
                 expected = ends[i];
                 id = ids[i];
             }
-        g_assert_cmpuint(wb_events_whole(text, cut), ==, expected);
+        g_assert_cmpuint(wb_events_complete_length(text, cut), ==, expected);
         g_autofree char *found = wb_events_last_id(text, expected);
         g_assert_cmpstr(found, ==, id);
     }
--- a/tests/unit/test_exchange_wait.c
+++ b/tests/unit/test_exchange_wait.c
@@ -1,7 +1,7 @@
 /* How long a request waits for its model or adapter, and when it is refused at once. */
 #include "unit.h"
 
-#include "request/exchange_inner.h"
+#include "request/exchange_internal.h"
 
 #include <string.h>
 
@@ -33,9 +33,9 @@
     edge->fleet = wb_fleet_create();
     edge->demand = wb_demand_create();
     edge->expected = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    edge->on_need = need_ignore;
+    edge->on_pending_demand = need_ignore;
     edge->controller_view = view_of;
-    edge->need_context = scene;
+    edge->node_context = scene;
     wb_list_init(&edge->waiting);
     scene->catalog = wb_catalog_create(1);
     wb_service_t *service = wb_catalog_add_service(scene->catalog, "llm");
@@ -61,7 +61,7 @@
     exchange->adapter = g_strdup(adapter);
     exchange->tried = g_array_new(FALSE, FALSE, sizeof(wb_tried_engine_t));
     exchange->began_ms = wb_clock_ms();
-    exchange->hold_until_ms = exchange->began_ms + 20000;
+    exchange->answer_due_ms = exchange->began_ms + 20000;
     scene->exchange = exchange;
 }
 
@@ -74,33 +74,33 @@
 static void test_model_that_comes_too_late(void) {
     scene_t scene;
     scene_open(&scene, "m2", "");
-    wb_exchanges_expect(&scene.edge, "llm", "m2", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m2", LONG_LOAD_MS);
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), >, LONG_LOAD_MS - 1000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), >, LONG_LOAD_MS - 1000);
 }
 
 /* One more engine that loads the model is nothing to a request whose adapter comes to the first. */
 static void test_adapter_does_not_wait_for_a_replica(void) {
     scene_t scene;
     scene_open(&scene, "m1", "a1");
-    wb_exchanges_expect(&scene.edge, "llm", "m1", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m1", LONG_LOAD_MS);
     int64_t waits_ms = scene_wait(&scene);
     g_assert_cmpint(waits_ms, >, TARGET_MS / 2);
     g_assert_cmpint(waits_ms, <, 4 * TARGET_MS);
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), <, 1000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), <, 1000);
     /* Nor when the load is told while it waits. */
-    wb_exchanges_expect(&scene.edge, "llm", "m1", LONG_LOAD_MS);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m1", LONG_LOAD_MS);
     g_assert_cmpint(scene.exchange->wait_until_ms, >, wb_clock_ms());
 }
 
 static void test_nobody_decides(void) {
     scene_t scene;
     scene_open(&scene, "m2", "");
-    scene.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 5000};
+    scene.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 5000};
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), >=, 5500);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), >=, 5500);
     scene_open(&scene, "m2", "");
-    scene.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 700};
+    scene.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 700};
     g_assert_cmpint(scene_wait(&scene), >=, 1200);
 }
 
@@ -112,29 +112,29 @@
     wb_model_spec_t *spec = g_hash_table_lookup(scene.exchange->service->models, "m2");
     spec->store_load_ms = 13000;
     spec->disk_load_ms = 1000;
-    scene.view = (wb_controller_view_t){WB_CONTROLLER_AWAITED, 700};
+    scene.view = (wb_controller_view_t){WB_CONTROLLER_TAKEOVER_PENDING, 700};
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), >=, 13700);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), >=, 13700);
     wb_engine_t *engine = wb_fleet_find(scene.edge.fleet, "e1");
     g_hash_table_add(engine->state->on_disk, g_strdup("m2"));
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), <, 2000);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), <, 2000);
 }
 
 /* A node that can't reach the controller refuses at once, also what waits for an adapter, unless a
  * load that it was told of comes in time. */
 static void test_controller_is_unreached(void) {
-    static const wb_controller_view_t unreached = {WB_CONTROLLER_UNREACHED, 300};
+    static const wb_controller_view_t unreached = {WB_CONTROLLER_UNREACHABLE, 300};
     scene_t scene;
     scene_open(&scene, "m2", "");
     scene.view = unreached;
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), ==, 300);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), ==, 300);
     scene_open(&scene, "m1", "a1");
     scene.view = unreached;
     g_assert_cmpint(scene_wait(&scene), ==, 0);
     scene_open(&scene, "m2", "");
     scene.view = unreached;
-    wb_exchanges_expect(&scene.edge, "llm", "m2", 500);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m2", 500);
     g_assert_cmpint(scene_wait(&scene), >=, 500);
 }
 
@@ -143,7 +143,7 @@
     scene_t scene;
     scene_open(&scene, "m2", "");
     scene.exchange->route = NULL;
-    g_assert_cmpint(wb_exchange_come_back_ms(scene.exchange), ==, 700);
+    g_assert_cmpint(wb_exchange_retry_after_ms(scene.exchange), ==, 700);
 }
 
 /* Without any news a request waits until its answer would be late, and a load that is late doesn't
@@ -155,9 +155,9 @@
     int64_t patience_ms = scene_wait(&scene);
     g_assert_cmpint(patience_ms, >=, 2250);
     g_assert_cmpint(patience_ms, <=, 2500);
-    wb_exchanges_expect(&scene.edge, "llm", "m2", 100);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m2", 100);
     g_assert_cmpint(scene.exchange->wait_until_ms - wb_clock_ms(), >=, patience_ms - 50);
-    wb_exchanges_expect(&scene.edge, "llm", "m2", 4000);
+    wb_exchanges_expect_model(&scene.edge, "llm", "m2", 4000);
     g_assert_cmpint(scene.exchange->wait_until_ms - wb_clock_ms(), >=, 4600);
 }
 
@@ -171,8 +171,8 @@
     g_assert_cmpint(waits_ms, <=, 1100);
 }
 
-static void tried_add(wb_exchange_t *exchange, const char *engine, int64_t again_ms) {
-    wb_tried_engine_t tried = {g_strdup(engine), again_ms};
+static void tried_add(wb_exchange_t *exchange, const char *engine, int64_t eligible_at_ms) {
+    wb_tried_engine_t tried = {g_strdup(engine), eligible_at_ms};
     g_array_append_val(exchange->tried, tried);
 }
 
@@ -183,10 +183,10 @@
     scene_open(&scene, NULL, "");
     scene.route->kind = WB_ROUTE_ONCE;
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    wb_exchange_leave_waiting(scene.exchange);
+    wb_exchange_stop_waiting(scene.exchange);
     tried_add(scene.exchange, "e1", 0);
     g_assert_cmpint(scene_wait(&scene), ==, 0);
-    wb_exchange_leave_waiting(scene.exchange);
+    wb_exchange_stop_waiting(scene.exchange);
     tried_add(scene.exchange, "e1", wb_clock_ms() + 120);
     int64_t waits_ms = scene_wait(&scene);
     g_assert_cmpint(waits_ms, >=, 120);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -16,24 +16,24 @@
 /* A drain begins when the announcement went, which is up to as long ago as the table was known. */
 static void test_gone_since_last_known(void) {
     int64_t now_ms = 100000;
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 1600, DRAIN_MS, now_ms), <, now_ms);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 1600, DRAIN_MS, now_ms), <, now_ms);
     /* After the store was away, engines that live are back soon. */
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), >, now_ms + 2000);
-    g_assert_cmpint(wb_fleet_use_until_ms(now_ms - 9000, DRAIN_MS, now_ms), <, now_ms + DRAIN_MS);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 9000, DRAIN_MS, now_ms), >, now_ms + 2000);
+    g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 9000, DRAIN_MS, now_ms), <, now_ms + DRAIN_MS);
 }
 
 static void test_gone_engine_closes(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = engine_announce(fleet, FALSE);
-    g_assert_true(wb_engine_is_open(engine, now_ms));
+    g_assert_true(wb_engine_is_usable(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 499));
-    g_assert_false(wb_engine_is_open(engine, now_ms + 500));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 499));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + 500));
     const wb_engine_t *back = engine_announce(fleet, FALSE);
     g_assert_true(back == engine);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 5000));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 5000));
 }
 
 /* An engine that said that it leaves stays closed when its announcement goes. */
@@ -41,9 +41,9 @@
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = engine_announce(fleet, TRUE);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
 }
 
 /* What an engine told in an answer holds for its start: rows that were written before, or come back
@@ -53,27 +53,27 @@
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = engine_announce(fleet, FALSE);
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
-    g_assert_true(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
-    g_assert_false(wb_engine_tell_leaving(engine, DRAIN_MS, now_ms));
-    g_assert_false(wb_engine_stays(engine));
+    g_assert_true(wb_engine_set_draining(engine, DRAIN_MS, now_ms));
+    g_assert_false(wb_engine_set_draining(engine, DRAIN_MS, now_ms));
+    g_assert_false(wb_engine_is_available(engine));
     /* Others can't do what it still does for a while. */
-    g_assert_true(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2 - 1));
-    g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
+    g_assert_true(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2 - 1));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2));
     const wb_engine_t *again = engine_announce(fleet, FALSE);
     g_assert_true(again == engine);
-    g_assert_false(wb_engine_stays(engine));
-    g_assert_false(wb_engine_is_open(engine, now_ms + DRAIN_MS / 2));
+    g_assert_false(wb_engine_is_available(engine));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + DRAIN_MS / 2));
     /* Nodes compare what they know of rows. */
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), ==, digest);
     engine_announce(fleet, TRUE);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     /* Its row goes for long, and comes back. */
     wb_fleet_remove(fleet, "e1", now_ms + 500);
-    g_assert_false(wb_engine_is_open(engine, now_ms));
+    g_assert_false(wb_engine_is_usable(engine, now_ms));
     wb_fleet_sweep(fleet, now_ms + 60000);
     const wb_engine_t *back = engine_announce(fleet, FALSE);
-    g_assert_false(wb_engine_stays(back));
-    g_assert_false(wb_engine_is_open(back, now_ms + 60000));
+    g_assert_false(wb_engine_is_available(back));
+    g_assert_false(wb_engine_is_usable(back, now_ms + 60000));
 }
 
 /* The controller's news go before announcements, but not before one that was made long after. */
@@ -81,7 +81,7 @@
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = engine_announce(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
-    wb_engine_note(engine, "m1", "", FALSE, now_ms, 100, 60000);
+    wb_engine_apply_placement(engine, "m1", "", FALSE, now_ms, 100, 60000);
     wb_engine_state_add_model(engine_announce(fleet, FALSE)->state, "m1", 1);
     g_assert_false(wb_engine_holds(engine, "m1", "", wb_clock_ms())); /* made before, perhaps */
     g_usleep(150000);
@@ -95,13 +95,13 @@
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = engine_announce(fleet, FALSE);
     int64_t now_ms = wb_clock_ms();
-    g_assert_false(wb_engine_has_news(engine));
+    g_assert_false(wb_engine_has_placement_updates(engine));
     g_hash_table_add(wb_engine_state_add_model(engine->state, "m1", 1)->adapters, g_strdup("a1"));
     wb_engine_state_add_model(engine->state, "m2", 1);
-    wb_engine_note(engine, "m2", "", FALSE, now_ms, 100, 60000);
-    wb_engine_note(engine, "m3", "a2", TRUE, now_ms, 100, 60000);
-    g_assert_true(wb_engine_has_news(engine));
-    g_autoptr(GHashTable) held = wb_engine_holdings(engine, now_ms);
+    wb_engine_apply_placement(engine, "m2", "", FALSE, now_ms, 100, 60000);
+    wb_engine_apply_placement(engine, "m3", "a2", TRUE, now_ms, 100, 60000);
+    g_assert_true(wb_engine_has_placement_updates(engine));
+    g_autoptr(GHashTable) held = wb_engine_held_models(engine, now_ms);
     g_assert_cmpuint(g_hash_table_size(held), ==, 3);
     g_assert_true(g_hash_table_contains(held, "m1/"));
     g_assert_true(g_hash_table_contains(held, "m1/a1"));
@@ -124,12 +124,12 @@
     wb_engine_t *told = engine_announce(left, FALSE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
     wb_engine_t *read = engine_announce(right, FALSE);
-    wb_engine_note(told, "m1", "", TRUE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(told, "m1", "", TRUE, now_ms, 1000, 60000);
     wb_engine_state_add_model(read->state, "m1", 1);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
-    wb_engine_note(told, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(told, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
-    wb_engine_note(read, "m1", "", FALSE, now_ms, 1000, 60000);
+    wb_engine_apply_placement(read, "m1", "", FALSE, now_ms, 1000, 60000);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), ==, wb_fleet_digest(right, now_ms));
     engine_announce(right, TRUE);
     g_assert_cmpuint(wb_fleet_digest(left, now_ms), !=, wb_fleet_digest(right, now_ms));
@@ -151,18 +151,18 @@
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *engine = start_announce(fleet, 100);
-    wb_engine_limit_name(&engine->limit, 0.4, now_ms, now_ms);
-    engine->rest_until_ms = now_ms + 100000;
+    wb_engine_limit_set(&engine->limit, 0.4, now_ms, now_ms);
+    engine->backoff_until_ms = now_ms + 100000;
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     const wb_engine_t *back = start_announce(fleet, 100);
     g_assert_true(back->limit.named);
     g_assert_cmpfloat(back->limit.per_s, ==, 0.4);
-    g_assert_cmpint(back->limit.named_ms, ==, now_ms);
-    g_assert_cmpint(back->rest_until_ms, ==, now_ms + 100000);
-    g_assert_true(wb_engine_stays(back));
+    g_assert_cmpint(back->limit.limit_reported_ms, ==, now_ms);
+    g_assert_cmpint(back->backoff_until_ms, ==, now_ms + 100000);
+    g_assert_true(wb_engine_is_available(back));
     /* What is over isn't believed again. */
-    wb_engine_limit_unname(&wb_fleet_find(fleet, "e1")->limit, now_ms + 1000);
+    wb_engine_limit_end(&wb_fleet_find(fleet, "e1")->limit, now_ms + 1000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     back = start_announce(fleet, 100);
@@ -170,21 +170,21 @@
     /* Another start has told nothing. */
     const wb_engine_t *later = start_announce(fleet, 200);
     g_assert_false(later->limit.named);
-    g_assert_cmpint(later->rest_until_ms, ==, 0);
+    g_assert_cmpint(later->backoff_until_ms, ==, 0);
 }
 
 /* Another start under the same id has told nothing. */
 static void test_told_leaving_ends_with_its_start(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     int64_t now_ms = wb_clock_ms();
-    wb_engine_tell_leaving(start_announce(fleet, 100), DRAIN_MS, now_ms);
+    wb_engine_set_draining(start_announce(fleet, 100), DRAIN_MS, now_ms);
     const wb_engine_t *later = start_announce(fleet, 200);
-    g_assert_true(wb_engine_stays(later));
+    g_assert_true(wb_engine_is_available(later));
     wb_fleet_sweep(fleet, now_ms + 60000);
     wb_fleet_remove(fleet, "e1", 0);
     wb_fleet_sweep(fleet, now_ms + 60000);
     later = start_announce(fleet, 200);
-    g_assert_true(wb_engine_stays(later));
+    g_assert_true(wb_engine_is_available(later));
 }
 
 /* An engine that starts again under its id is another one: it holds nothing of before, nothing runs
@@ -194,7 +194,7 @@
     int64_t now_ms = wb_clock_ms();
     wb_engine_t *before = wb_engine_ref(start_announce(fleet, 1000));
     wb_engine_state_add_model(before->state, "m1", 1);
-    wb_engine_note(before, "m2", "", TRUE, now_ms, 100, 60000);
+    wb_engine_apply_placement(before, "m2", "", TRUE, now_ms, 100, 60000);
     before->running = 7;
     before->failures = 3;
     uint64_t digest = wb_fleet_digest(fleet, now_ms);
@@ -206,8 +206,8 @@
     g_assert_false(wb_engine_holds(after, "m2", "", now_ms));
     g_assert_cmpuint(after->running, ==, 0);
     g_assert_cmpuint(after->failures, ==, 0);
-    g_assert_false(wb_engine_is_open(before, now_ms));
-    g_assert_true(wb_engine_is_open(after, now_ms));
+    g_assert_false(wb_engine_is_usable(before, now_ms));
+    g_assert_true(wb_engine_is_usable(after, now_ms));
     g_assert_cmpuint(wb_fleet_digest(fleet, now_ms), !=, digest);
     wb_engine_unref(before);
 }
@@ -252,19 +252,19 @@
     state->zone = g_strdup("z1");
     wb_engine_state_add_model(state, "m1", 1);
     wb_engine_t *engine = wb_fleet_announce(fleet, state);
-    g_assert_cmpuint(wb_fleet_close_zone(fleet, "z1", now_ms + 1000), ==, 1);
-    g_assert_cmpuint(wb_fleet_close_zone(fleet, "nowhere", now_ms), ==, 0);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 999));
-    g_assert_false(wb_engine_is_open(engine, now_ms + 1000));
-    g_assert_false(wb_engine_stays(engine));
+    g_assert_cmpuint(wb_fleet_evacuate_zone(fleet, "z1", now_ms + 1000), ==, 1);
+    g_assert_cmpuint(wb_fleet_evacuate_zone(fleet, "nowhere", now_ms), ==, 0);
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 999));
+    g_assert_false(wb_engine_is_usable(engine, now_ms + 1000));
+    g_assert_false(wb_engine_is_available(engine));
     g_assert_false(wb_fleet_holds(fleet, "llm", "m1", "", now_ms));
     wb_engine_state_t *other = wb_engine_state_create("e2");
     other->service = g_strdup("llm");
     other->zone = g_strdup("z1");
-    g_assert_false(wb_engine_is_open(wb_fleet_announce(fleet, other), now_ms + 1000));
-    g_assert_cmpuint(wb_fleet_open_zone(fleet, "z1"), ==, 2);
-    g_assert_true(wb_engine_is_open(engine, now_ms + 2000));
-    g_assert_true(wb_engine_stays(engine));
+    g_assert_false(wb_engine_is_usable(wb_fleet_announce(fleet, other), now_ms + 1000));
+    g_assert_cmpuint(wb_fleet_end_evacuation(fleet, "z1"), ==, 2);
+    g_assert_true(wb_engine_is_usable(engine, now_ms + 2000));
+    g_assert_true(wb_engine_is_available(engine));
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -41,9 +41,9 @@
     wb_lease_on_row(b, NULL, 0, 100);
     g_assert_true(lease_write(a, &store, 100));
     g_assert_false(lease_write(b, &store, 100)); /* lost the race */
-    g_assert_cmpint(wb_lease_ask_order(a, "e1", 105), ==, -1);
+    g_assert_cmpint(wb_lease_authorize_order(a, "e1", 105), ==, -1);
     g_assert_true(lease_write(a, &store, 105));
-    g_assert_cmpint(wb_lease_ask_order(a, "e1", 105), ==, 0);
+    g_assert_cmpint(wb_lease_authorize_order(a, "e1", 105), ==, 0);
     wb_lease_on_row(b, &store.row, store.version, 110);
     g_assert_true(wb_lease_is_held(a, 1504));
     g_assert_false(wb_lease_is_held(a, 1505)); /* its own margin ends it early */
@@ -53,11 +53,11 @@
             taken_ms = now_ms;
     g_assert_cmpint(taken_ms, >=, 1500 + 200);
     /* What the first may have ordered waits on for the quiet time; the rest needs only a row. */
-    g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), >=, 3000);
-    g_assert_cmpint(wb_lease_ask_order(b, "e1", taken_ms), <=, 3200 + 200);
-    g_assert_cmpint(wb_lease_ask_order(b, "e2", taken_ms), ==, -1);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e1", taken_ms), >=, 3000);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e1", taken_ms), <=, 3200 + 200);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e2", taken_ms), ==, -1);
     g_assert_true(lease_write(b, &store, taken_ms + 10));
-    g_assert_cmpint(wb_lease_ask_order(b, "e2", taken_ms + 10), ==, 0);
+    g_assert_cmpint(wb_lease_authorize_order(b, "e2", taken_ms + 10), ==, 0);
     g_assert_cmpuint(wb_lease_token(b), ==, 2);
     g_assert_true(wb_lease_is_held(b, taken_ms));
     wb_lease_on_row(a, &store.row, store.version, taken_ms + 5);
@@ -75,7 +75,7 @@
     row_t store = {{0}, 0};
     wb_lease_on_row(a, NULL, 0, 100);
     g_assert_true(lease_write(a, &store, 100));
-    wb_lease_set_spread(b, 300, 0);
+    wb_lease_set_takeover_delay(b, 300, 0);
     wb_lease_on_row(b, &store.row, store.version, 100);
     int64_t due_ms = wb_lease_takeover_at_ms(b);
     g_assert_false(lease_write(b, &store, due_ms + 299));
@@ -94,7 +94,7 @@
     wb_lease_on_row(lease, NULL, 0, 0);
     g_assert_true(wb_lease_next_write(lease, 0, &row, &expected));
     row_set(&store, &row); /* done, and not answered */
-    wb_lease_on_unknown(lease, 900);
+    wb_lease_on_write_unknown(lease, 900);
     g_assert_false(wb_lease_is_held(lease, 900));
     g_assert_true(wb_lease_next_write(lease, 900, &row, &expected)); /* the same condition again */
     g_assert_cmpint(expected, ==, 0);
@@ -127,11 +127,11 @@
     int other_tries = 0;
     for (int64_t now_ms = 5000; now_ms < 10000; now_ms += 10) {
         if (wb_lease_next_write(holder, now_ms, &row, &expected)) {
-            wb_lease_on_unknown(holder, now_ms);
+            wb_lease_on_write_unknown(holder, now_ms);
             holder_tries++;
         }
         if (wb_lease_next_write(other, now_ms, &row, &expected)) {
-            wb_lease_on_unknown(other, now_ms);
+            wb_lease_on_write_unknown(other, now_ms);
             other_tries++;
         }
     }
@@ -149,7 +149,7 @@
     wb_lease_t *lease = lease_of_another(&settings);
     wb_lease_row_t row;
     int64_t expected;
-    wb_lease_store_back(lease, 9000);
+    wb_lease_on_store_recovered(lease, 9000);
     g_assert_false(wb_lease_next_write(lease, 9990, &row, &expected));
     g_assert_true(wb_lease_next_write(lease, 10000, &row, &expected));
     wb_lease_free(lease);
--- a/tests/unit/test_load_faults.c
+++ b/tests/unit/test_load_faults.c
@@ -7,39 +7,39 @@
 
 static void test_pause_grows(void) {
     wb_load_faults_t *faults = wb_load_faults_create();
-    for (int i = 1; i < WB_LOAD_FAULTS_MOST; i++) {
-        g_assert_cmpuint(wb_load_faults_crashed(faults, "s", "m1", NOW_MS), ==, i);
-        g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", NOW_MS), ==, 0);
+    for (int i = 1; i < WB_LOAD_FAULTS_MAX_CRASHES; i++) {
+        g_assert_cmpuint(wb_load_faults_record_crash(faults, "s", "m1", NOW_MS), ==, i);
+        g_assert_cmpint(wb_load_faults_backoff_ms(faults, "s", "m1", NOW_MS), ==, 0);
     }
     int64_t now_ms = NOW_MS;
-    int64_t pause_ms = WB_LOAD_FAULTS_PAUSE_MS;
+    int64_t pause_ms = WB_LOAD_FAULTS_BACKOFF_MIN_MS;
     for (int i = 0; i < 8; i++) {
-        wb_load_faults_crashed(faults, "s", "m1", now_ms);
-        g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", now_ms), ==, pause_ms);
+        wb_load_faults_record_crash(faults, "s", "m1", now_ms);
+        g_assert_cmpint(wb_load_faults_backoff_ms(faults, "s", "m1", now_ms), ==, pause_ms);
         now_ms += pause_ms;
-        g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", now_ms), ==, 0);
-        pause_ms = MIN(2 * pause_ms, WB_LOAD_FAULTS_PAUSE_LIMIT_MS);
+        g_assert_cmpint(wb_load_faults_backoff_ms(faults, "s", "m1", now_ms), ==, 0);
+        pause_ms = MIN(2 * pause_ms, WB_LOAD_FAULTS_BACKOFF_MAX_MS);
     }
     wb_load_faults_free(faults);
 }
 
 static void test_good_load_forgets(void) {
     wb_load_faults_t *faults = wb_load_faults_create();
-    wb_load_faults_crashed(faults, "s", "m1", NOW_MS);
-    wb_load_faults_crashed(faults, "s", "m1", NOW_MS);
-    wb_load_faults_loaded(faults, "s", "m1");
-    g_assert_cmpuint(wb_load_faults_crashed(faults, "s", "m1", NOW_MS), ==, 1);
+    wb_load_faults_record_crash(faults, "s", "m1", NOW_MS);
+    wb_load_faults_record_crash(faults, "s", "m1", NOW_MS);
+    wb_load_faults_record_success(faults, "s", "m1");
+    g_assert_cmpuint(wb_load_faults_record_crash(faults, "s", "m1", NOW_MS), ==, 1);
     wb_load_faults_free(faults);
 }
 
 static void test_models_are_apart(void) {
     wb_load_faults_t *faults = wb_load_faults_create();
-    for (int i = 0; i < WB_LOAD_FAULTS_MOST; i++) {
-        wb_load_faults_crashed(faults, "s", "m1", NOW_MS);
+    for (int i = 0; i < WB_LOAD_FAULTS_MAX_CRASHES; i++) {
+        wb_load_faults_record_crash(faults, "s", "m1", NOW_MS);
     }
-    g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m1", NOW_MS), >, 0);
-    g_assert_cmpint(wb_load_faults_paused_ms(faults, "s", "m2", NOW_MS), ==, 0);
-    g_assert_cmpint(wb_load_faults_paused_ms(faults, "t", "m1", NOW_MS), ==, 0);
+    g_assert_cmpint(wb_load_faults_backoff_ms(faults, "s", "m1", NOW_MS), >, 0);
+    g_assert_cmpint(wb_load_faults_backoff_ms(faults, "s", "m2", NOW_MS), ==, 0);
+    g_assert_cmpint(wb_load_faults_backoff_ms(faults, "t", "m1", NOW_MS), ==, 0);
     wb_load_faults_free(faults);
 }
 
--- a/tests/unit/test_load_queue.c
+++ b/tests/unit/test_load_queue.c
@@ -9,7 +9,7 @@
         {&specs[0], 0, G_MAXUINT}, {&specs[1], 2, 900}, {&specs[2], 5, 4000}, {&specs[3], 2, 100}};
     g_autoptr(GArray) missing = g_array_new(FALSE, FALSE, sizeof(wb_missing_model_t));
     g_array_append_vals(missing, models, G_N_ELEMENTS(models));
-    g_array_sort(missing, wb_load_queue_order);
+    g_array_sort(missing, wb_load_queue_compare);
     static const int order[] = {2, 3, 1, 0};
     for (guint i = 0; i < missing->len; i++) {
         g_assert_true(g_array_index(missing, wb_missing_model_t, i).spec == &specs[order[i]]);
--- a/tests/unit/test_load_window.c
+++ b/tests/unit/test_load_window.c
@@ -10,10 +10,10 @@
     wb_load_window_set_rate(window, 4);
     int64_t begun[1000] = {0};
     int count = 0;
-    wb_load_window_assume(window, 5, G_MAXUINT, 0);
+    wb_load_window_add_predecessor(window, 5, G_MAXUINT, 0);
     for (int64_t now_ms = 0; now_ms < 60000; now_ms += 10)
-        if (wb_load_window_has_room(window, now_ms)) {
-            wb_load_window_count(window, now_ms);
+        if (wb_load_window_allows(window, now_ms)) {
+            wb_load_window_record(window, now_ms);
             begun[count++] = now_ms;
         }
     g_assert_cmpint(count, >=, 200); /* the rate is used */
@@ -27,16 +27,16 @@
 static void test_load_window_after_takeover(void) {
     wb_load_window_t *window = wb_load_window_create(5000, 1500);
     wb_load_window_set_rate(window, 4);
-    wb_load_window_assume(window, 3, 2, 900);
-    g_assert_cmpuint(wb_load_window_counted(window, 1000), ==, 5);
+    wb_load_window_add_predecessor(window, 3, 2, 900);
+    g_assert_cmpuint(wb_load_window_used(window, 1000), ==, 5);
     unsigned begun = 0;
-    while (wb_load_window_has_room(window, 1000)) {
-        wb_load_window_count(window, 1000);
+    while (wb_load_window_allows(window, 1000)) {
+        wb_load_window_record(window, 1000);
         begun++;
     }
     g_assert_cmpuint(begun, ==, 6);
-    g_assert_cmpuint(wb_load_window_counted(window, 5899), ==, 11);
-    g_assert_cmpuint(wb_load_window_counted(window, 5900), ==, 6);
+    g_assert_cmpuint(wb_load_window_used(window, 5899), ==, 11);
+    g_assert_cmpuint(wb_load_window_used(window, 5900), ==, 6);
     wb_load_window_free(window);
 }
 
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -24,7 +24,7 @@
     scene->snapshot.engines = g_array_new(FALSE, TRUE, sizeof(wb_placement_engine_t));
     scene->snapshot.uses = g_hash_table_new(g_str_hash, g_str_equal);
     scene->snapshot.power.tokens_per_ms = 30;
-    scene->snapshot.store_room = 8;
+    scene->snapshot.store_loads_allowed = 8;
     for (int i = 0; i < 6; i++) {
         wb_model_spec_t *model = wb_service_add_model(scene->service, names[i]);
         model->weights_mb = 40;
@@ -122,7 +122,7 @@
     scene.uses[1].work_per_s = scene.uses[1].recent_work_per_s = 60000;
     wb_model_use_t one = scene.uses[1];
     one.replicas = 1;
-    g_assert_cmpuint(wb_placement_wanted(&one, &scene.snapshot.power), >, 1);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&one, &scene.snapshot.power), >, 1);
     double gain_ms = wb_placement_gain_ms(&one, &scene.snapshot.power, 1);
     double cost_ms;
     const wb_model_spec_t *model = g_hash_table_lookup(scene.service->models, "m0");
@@ -137,16 +137,16 @@
 static void test_placement_spreads_by_slots(void) {
     scene_t scene;
     scene_open(&scene);
-    wb_engine_power_t power = {30, 24};
+    wb_engine_capacity_t power = {30, 24};
     wb_model_use_t use = {.rate_per_s = 45, .recent_rate_per_s = 45, .replicas = 2, .running = 20};
     use.work_per_s = use.recent_work_per_s = 9000;
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), <=, 2);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), <=, 2);
     g_assert_cmpfloat(wb_placement_gain_ms(&use, &power, 1), <, 100);
     use.running = 140; /* 70 at each of two engines that run 24 at once */
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), >=, 6);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), >=, 6);
     g_assert_cmpfloat(wb_placement_gain_ms(&use, &power, 1), >, 10000);
     power.slots = 0; /* not told: by prompts alone */
-    g_assert_cmpuint(wb_placement_wanted(&use, &power), <=, 2);
+    g_assert_cmpuint(wb_placement_wanted_replicas(&use, &power), <=, 2);
     scene_close(&scene);
 }
 
@@ -157,11 +157,11 @@
     wb_placement_engine_t *places = (wb_placement_engine_t *)(void *)scene.snapshot.engines->data;
     places[0].speed = 0.8;
     places[1].speed = 1.8;
-    scene.snapshot.place_rate_per_s = 1;
+    scene.snapshot.replica_rate_per_s = 1;
     wb_model_use_t *busy = &scene.uses[0];
     *busy = (wb_model_use_t){.rate_per_s = 8, .replicas = 1, .running = 12, .speed = 0.8};
     g_assert_cmpstr(scene_choose(&scene, "m0"), ==, "e1");
-    g_assert_true(wb_placement_is_slow(busy, wb_placement_fastest(&scene.snapshot)));
+    g_assert_true(wb_placement_engines_are_slow(busy, wb_placement_max_speed(&scene.snapshot)));
     wb_model_use_t *rare = &scene.uses[1];
     *rare = (wb_model_use_t){.rate_per_s = 0.2, .replicas = 1, .running = 0.4, .speed = 0.8};
     g_assert_cmpstr(scene_choose(&scene, "m1"), ==, "e0");
@@ -173,7 +173,7 @@
     g_assert_cmpfloat(fast_ms, >, 5000);
     g_assert_cmpfloat(slow_ms, <, 100);
     busy->speed = 1.8;
-    g_assert_false(wb_placement_is_slow(busy, wb_placement_fastest(&scene.snapshot)));
+    g_assert_false(wb_placement_engines_are_slow(busy, wb_placement_max_speed(&scene.snapshot)));
     scene_close(&scene);
 }
 
@@ -181,7 +181,7 @@
 static void test_placement_waits_for_the_store(void) {
     scene_t scene;
     scene_open(&scene);
-    scene.snapshot.store_room = 0;
+    scene.snapshot.store_loads_allowed = 0;
     g_assert_null(scene_choose(&scene, "m0"));
     g_hash_table_add(scene.engines[1].state->on_disk, g_strdup("m0"));
     g_assert_cmpstr(scene_choose(&scene, "m0"), ==, "e1");
@@ -270,7 +270,7 @@
             wb_placement_choose(&scene.snapshot, g_hash_table_lookup(scene.service->models, "m0"),
                                 &cost_ms, &victims_ms);
         g_assert_true(g_hash_table_contains(place->state->on_disk, "m0"));
-        g_assert_cmpuint(asked, ==, MIN(sizes[i], WB_PLACES_JUDGED));
+        g_assert_cmpuint(asked, ==, MIN(sizes[i], WB_PLACEMENT_MAX_CANDIDATES));
         scene_close(&scene);
     }
 }
--- a/tests/unit/test_quota_book.c
+++ b/tests/unit/test_quota_ledger.c
@@ -2,7 +2,7 @@
 #include "unit.h"
 
 #include "fuzz/quota_sim.h"
-#include "quota/quota_book.h"
+#include "quota/quota_ledger.h"
 
 #define SEEDS 4
 #define NODES 84
@@ -16,91 +16,91 @@
 }
 
 /* Reports so much a second for a while. Returns the share at the end, 1 when it isn't short. */
-static double report_for(wb_quota_book_t *book, double per_s, int64_t from_ms, int64_t for_ms) {
+static double report_for(wb_quota_ledger_t *book, double per_s, int64_t from_ms, int64_t for_ms) {
     gboolean changed;
     double share = 1;
     for (int64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 100) {
-        wb_quota_use_t use = {"north", WB_QUOTA_OTHER_KINDS, per_s / 10, 1, share * per_s / 10};
-        wb_quota_book_report(book, "node-1", &use, now_ms);
-        const GArray *shares = wb_quota_book_shares(book, now_ms, &changed);
+        wb_quota_usage_t use = {"north", WB_QUOTA_OTHER_CLASSES, per_s / 10, 1, share * per_s / 10};
+        wb_quota_ledger_report(book, "node-1", &use, now_ms);
+        const GArray *shares = wb_quota_ledger_shares(book, now_ms, &changed);
         share = shares->len > 0 ? g_array_index(shares, wb_quota_share_t, 0).share : 1;
     }
     return share;
 }
 
 static void test_short_or_not(void) {
-    wb_quota_book_t *book = wb_quota_book_create();
+    wb_quota_ledger_t *book = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
-    wb_quota_book_set_tenants(book, tenants, 0);
+    wb_quota_ledger_set_tenants(book, tenants, 0);
     g_assert_cmpfloat(report_for(book, 6000, 1000, 10000), ==, 1);
     double share = report_for(book, 40000, 11000, 10000);
     g_assert_cmpfloat(share, >, 0.24);
     g_assert_cmpfloat(share, <, 0.26);
     g_assert_cmpfloat(report_for(book, 6000, 21000, 10000), ==, 1);
     wb_tenants_free(tenants);
-    wb_quota_book_free(book);
+    wb_quota_ledger_free(book);
 }
 
 /* A tenant that leaves the configuration, or has no limit there, is no matter of the book. */
 static void test_limits_change(void) {
-    wb_quota_book_t *book = wb_quota_book_create();
+    wb_quota_ledger_t *book = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(book, tenants, 0);
-    g_assert_true(wb_quota_book_state(book, "north", 0, &state));
+    wb_quota_ledger_set_tenants(book, tenants, 0);
+    g_assert_true(wb_quota_ledger_state(book, "north", 0, &state));
     wb_tenants_t *without = one_tenant(0);
-    wb_quota_book_set_tenants(book, without, 1000);
-    g_assert_false(wb_quota_book_state(book, "north", 1000, &state));
+    wb_quota_ledger_set_tenants(book, without, 1000);
+    g_assert_false(wb_quota_ledger_state(book, "north", 1000, &state));
     g_assert_cmpfloat(report_for(book, 1e9, 1000, 1000), ==, 1);
-    wb_quota_book_set_tenants(book, NULL, 3000);
+    wb_quota_ledger_set_tenants(book, NULL, 3000);
     wb_tenants_free(without);
     wb_tenants_free(tenants);
-    wb_quota_book_free(book);
+    wb_quota_ledger_free(book);
 }
 
 /* A node that is lost goes on: what it may spend is taken off the others' share. */
 static void test_lost_node_counts(void) {
-    wb_quota_book_t *book = wb_quota_book_create();
+    wb_quota_ledger_t *book = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(book, tenants, 0);
+    wb_quota_ledger_set_tenants(book, tenants, 0);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
-        wb_quota_use_t use = {"north", WB_QUOTA_OTHER_KINDS, 400, 1, 400};
-        wb_quota_book_report(book, "node-2", &use, now_ms);
+        wb_quota_usage_t use = {"north", WB_QUOTA_OTHER_CLASSES, 400, 1, 400};
+        wb_quota_ledger_report(book, "node-2", &use, now_ms);
     }
-    wb_quota_book_node_lost(book, "node-2", 10000);
+    wb_quota_ledger_node_lost(book, "node-2", 10000);
     report_for(book, 40000, 10000, 9000);
-    g_assert_true(wb_quota_book_state(book, "north", 19000, &state));
+    g_assert_true(wb_quota_ledger_state(book, "north", 19000, &state));
     g_assert_cmpfloat(state.assumed_per_s, >=, 3500);
     g_assert_cmpfloat(state.admitted_per_s, <, 5000);
-    wb_quota_book_node_reached(book, "node-2");
+    wb_quota_ledger_node_connected(book, "node-2");
     report_for(book, 40000, 19000, 20000);
-    g_assert_true(wb_quota_book_state(book, "north", 39000, &state));
+    g_assert_true(wb_quota_ledger_state(book, "north", 39000, &state));
     g_assert_cmpfloat(state.assumed_per_s, ==, 0);
     g_assert_cmpfloat(state.admitted_per_s, >, 9000);
     wb_tenants_free(tenants);
-    wb_quota_book_free(book);
+    wb_quota_ledger_free(book);
 }
 
 /* A lost node of which little was asked may spend an equal part of the limit, as its gate does:
  * that is taken for it, too. */
 static void test_lost_node_with_little_demand(void) {
-    wb_quota_book_t *book = wb_quota_book_create();
+    wb_quota_ledger_t *book = wb_quota_ledger_create();
     wb_tenants_t *tenants = one_tenant(10000);
     wb_quota_state_t state;
-    wb_quota_book_set_tenants(book, tenants, 0);
+    wb_quota_ledger_set_tenants(book, tenants, 0);
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 100) {
-        wb_quota_use_t little = {"north", WB_QUOTA_OTHER_KINDS, 1, 1, 1};
-        wb_quota_book_report(book, "node-2", &little, now_ms);
+        wb_quota_usage_t little = {"north", WB_QUOTA_OTHER_CLASSES, 1, 1, 1};
+        wb_quota_ledger_report(book, "node-2", &little, now_ms);
     }
     report_for(book, 100, 9000, 1000);
-    wb_quota_book_node_lost(book, "node-2", 10000);
+    wb_quota_ledger_node_lost(book, "node-2", 10000);
     report_for(book, 100, 10000, 1000);
-    g_assert_true(wb_quota_book_state(book, "north", 11000, &state));
-    double equal_per_s = WB_QUOTA_UNREACHED_PART * 10000 / 2;
+    g_assert_true(wb_quota_ledger_state(book, "north", 11000, &state));
+    double equal_per_s = WB_QUOTA_OFFLINE_SHARE * 10000 / 2;
     g_assert_cmpfloat_with_epsilon(state.assumed_per_s, equal_per_s, 1);
     wb_tenants_free(tenants);
-    wb_quota_book_free(book);
+    wb_quota_ledger_free(book);
 }
 
 /* The size at which a third of the nodes, cut off before a surge, once spent 1.01 of the rule. */
--- a/tests/unit/test_quota_order.c
+++ b/tests/unit/test_quota_order.c
@@ -2,7 +2,7 @@
  */
 #include "unit.h"
 
-#include "quota/quota_gate.h"
+#include "quota/quota_limiter.h"
 
 #include <math.h>
 
@@ -10,10 +10,10 @@
 
 /* A tenant's requests a second by kind, as their shares on the sheet; 7.5 times the usual. */
 static void claims_make(wb_quota_claim_t *claims, double times) {
-    claims[LEDGER] = (wb_quota_claim_t){wb_quota_kind("ledger", 2), 1450 * times, 200, 0};
-    claims[CHAT] = (wb_quota_claim_t){wb_quota_kind("models", 0), 12600 * times, 1750, 0};
-    claims[BATCH] = (wb_quota_claim_t){wb_quota_kind("models", 1), 55500 * times, 9800, 0};
-    claims[AUDIT] = (wb_quota_claim_t){wb_quota_kind("models", 2), 41400 * times, 9700, 0};
+    claims[LEDGER] = (wb_quota_claim_t){wb_quota_class("ledger", 2), 1450 * times, 200, 0};
+    claims[CHAT] = (wb_quota_claim_t){wb_quota_class("models", 0), 12600 * times, 1750, 0};
+    claims[BATCH] = (wb_quota_claim_t){wb_quota_class("models", 1), 55500 * times, 9800, 0};
+    claims[AUDIT] = (wb_quota_claim_t){wb_quota_class("models", 2), 41400 * times, 9700, 0};
 }
 
 static double sum_of(const wb_quota_claim_t *claims, size_t count) {
@@ -29,7 +29,7 @@
     wb_quota_claim_t claims[KINDS];
     claims_make(claims, 7.5);
     double limit = 1.8 * 111000;
-    wb_quota_order_share(claims, KINDS, limit);
+    wb_quota_order_allocate(claims, KINDS, limit);
     g_assert_cmpfloat_with_epsilon(sum_of(claims, KINDS), limit, 1);
     g_assert_cmpfloat(claims[LEDGER].share, ==, 1);
     g_assert_cmpfloat(claims[CHAT].share, ==, 1);
@@ -51,23 +51,23 @@
     wb_quota_claim_t claims[KINDS];
     claims_make(claims, 20);
     double limit = 30000;
-    wb_quota_order_share(claims, KINDS, limit);
+    wb_quota_order_allocate(claims, KINDS, limit);
     double chance = limit / (20 * 110950.0);
     for (unsigned i = 0; i < KINDS; i++) {
         g_assert_cmpfloat(claims[i].share, >, 0.25 * chance);
     }
     g_assert_cmpfloat_with_epsilon(sum_of(claims, KINDS), limit, 1);
-    wb_quota_order_share(claims, KINDS, 0);
+    wb_quota_order_allocate(claims, KINDS, 0);
     g_assert_cmpfloat(sum_of(claims, KINDS), ==, 0);
-    wb_quota_order_share(claims, KINDS, 1e9);
+    wb_quota_order_allocate(claims, KINDS, 1e9);
     g_assert_cmpfloat(claims[AUDIT].share, ==, 1);
 }
 
 /* A cheap kind that is less urgent doesn't go before a dear one of its service. */
 static void test_ranks_are_kept(void) {
-    wb_quota_claim_t claims[] = {{wb_quota_kind("models", 0), 9000, 9000, 0},
-                                 {wb_quota_kind("models", 3), 9000, 100, 0}};
-    wb_quota_order_share(claims, 2, 6000);
+    wb_quota_claim_t claims[] = {{wb_quota_class("models", 0), 9000, 9000, 0},
+                                 {wb_quota_class("models", 3), 9000, 100, 0}};
+    wb_quota_order_allocate(claims, 2, 6000);
     g_assert_cmpfloat(claims[0].share, >=, claims[1].share - 1e-9);
 }
 
@@ -107,12 +107,12 @@
         for (unsigned i = 0; i < 5; i++) {
             g_autofree char *service = g_strdup_printf("s%u", i);
             claims[i] =
-                (wb_quota_claim_t){wb_quota_kind(service, 0), g_rand_double_range(rand, 0, 1e5),
+                (wb_quota_claim_t){wb_quota_class(service, 0), g_rand_double_range(rand, 0, 1e5),
                                    pow(10, g_rand_double_range(rand, 1, 5)), 0};
             asked += claims[i].asked_per_s;
         }
         double limit = g_rand_double_range(rand, 0, 1) * asked;
-        wb_quota_order_share(claims, 5, limit);
+        wb_quota_order_allocate(claims, 5, limit);
         double requests = 0;
         double shares[5];
         for (unsigned i = 0; i < 5; i++) {
@@ -125,7 +125,7 @@
         /* Kinds within twice the cost of another share alike, so up to half may be left. */
         g_assert_cmpfloat(requests, >=,
                           0.5 * oracle_requests(claims, 5, limit, 0.35 * limit / asked));
-        wb_quota_order_share(claims, 5, limit * 1.1);
+        wb_quota_order_allocate(claims, 5, limit * 1.1);
         for (unsigned i = 0; i < 5; i++) {
             g_assert_cmpfloat(claims[i].share, >=, shares[i] - 1e-9);
         }
@@ -135,27 +135,27 @@
 
 /* At a gateway: each kind gets what is told of it, and one that isn't named what is told of all. */
 static void test_at_the_gate(void) {
-    wb_quota_gate_t *gate = wb_quota_gate_create();
+    wb_quota_limiter_t *gate = wb_quota_limiter_create();
     wb_tenant_t tenant = {.name = "north", .unit = WB_QUOTA_TOKENS, .rate_per_s = 1e5};
-    wb_quota_kind_t chat = wb_quota_kind("models", 0);
-    wb_quota_kind_t draft = wb_quota_kind("models", 1);
-    wb_quota_kind_t lookup = wb_quota_kind("ledger", 2);
+    wb_quota_class_t chat = wb_quota_class("models", 0);
+    wb_quota_class_t draft = wb_quota_class("models", 1);
+    wb_quota_class_t lookup = wb_quota_class("ledger", 2);
     wb_quota_share_t told[] = {
-        {"north", WB_QUOTA_OTHER_KINDS, 0.3}, {"north", chat, 1}, {"north", draft, 0.1}};
-    wb_quota_gate_set_reached(gate, TRUE);
-    wb_quota_gate_tell(gate, told, G_N_ELEMENTS(told), 0);
+        {"north", WB_QUOTA_OTHER_CLASSES, 0.3}, {"north", chat, 1}, {"north", draft, 0.1}};
+    wb_quota_limiter_set_connected(gate, TRUE);
+    wb_quota_limiter_set_shares(gate, told, G_N_ELEMENTS(told), 0);
     unsigned admitted[3] = {0};
     for (int64_t now_ms = 0; now_ms < 10000; now_ms += 10) {
-        admitted[0] += wb_quota_gate_ask(gate, &tenant, chat, 1750, 1, now_ms).admitted;
-        admitted[1] += wb_quota_gate_ask(gate, &tenant, draft, 9800, 1, now_ms).admitted;
-        admitted[2] += wb_quota_gate_ask(gate, &tenant, lookup, 200, 1, now_ms).admitted;
+        admitted[0] += wb_quota_limiter_admit(gate, &tenant, chat, 1750, 1, now_ms).admitted;
+        admitted[1] += wb_quota_limiter_admit(gate, &tenant, draft, 9800, 1, now_ms).admitted;
+        admitted[2] += wb_quota_limiter_admit(gate, &tenant, lookup, 200, 1, now_ms).admitted;
     }
     g_assert_cmpuint(admitted[0], ==, 1000);
     g_assert_cmpuint(admitted[1], >=, 99);
     g_assert_cmpuint(admitted[1], <=, 101);
     g_assert_cmpuint(admitted[2], >=, 299);
     g_assert_cmpuint(admitted[2], <=, 301);
-    wb_quota_gate_free(gate);
+    wb_quota_limiter_free(gate);
 }
 
 static void tests_add(void) {
--- a/tests/unit/test_request_digest.c
+++ b/tests/unit/test_request_digest.c
@@ -26,7 +26,7 @@
 static void test_value_is_fixed(void) {
     char text[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_request_digest_t digest = digest_of("POST", "a.example", "/x", "t1", "body");
-    g_assert_cmpstr(wb_request_digest_write(&digest, text), ==, "f58b869447b9bab86a3e6d65b58d1e53");
+    g_assert_cmpstr(wb_request_digest_format(&digest, text), ==, "f58b869447b9bab86a3e6d65b58d1e53");
 }
 
 static void test_other_content(void) {
@@ -44,13 +44,13 @@
     char text[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_request_digest_t digest = digest_of("POST", "a.example", "/x", "t1", "body");
     wb_request_digest_t read;
-    g_assert_true(wb_request_digest_read(wb_request_digest_write(&digest, text), &read));
+    g_assert_true(wb_request_digest_parse(wb_request_digest_format(&digest, text), &read));
     g_assert_true(wb_request_digest_equal(&digest, &read));
     const char *const bad[] = {"", "f5", "f58b869447b9bab86a3e6d65b58d1e5",
                                "f58b869447b9bab86a3e6d65b58d1e533",
                                "g58b869447b9bab86a3e6d65b58d1e53"};
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_false(wb_request_digest_read(bad[i], &read));
+        g_assert_false(wb_request_digest_parse(bad[i], &read));
     }
 }
 
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -26,7 +26,7 @@
     for (int tick = 0; tick < SECONDS * 10; tick++) {
         int64_t now_ms = 1000000 + tick * 100;
         for (int i = 0; i < PER_S / 10; i++) {
-            wb_retry_budget_request(budget, now_ms);
+            wb_retry_budget_note_request(budget, now_ms);
             budget_oracle_request(oracle, now_ms);
         }
         for (int i = 0; i < g_rand_int_range(random, 0, 8); i++) {
@@ -63,7 +63,7 @@
         }
         for (node = 0; node < NODES; node++) {
             for (int due = rates[node] - g_rand_int_range(random, 0, 100); due > 0; due -= 100) {
-                wb_retry_budget_request(budgets[node], now_ms);
+                wb_retry_budget_note_request(budgets[node], now_ms);
                 budget_oracle_request(oracle, now_ms - g_rand_int_range(random, 0, DELAY_MS));
             }
             while (wb_retry_budget_take(budgets[node], SHARE, now_ms)) {
@@ -96,7 +96,7 @@
     wb_retry_budget_t *budget = wb_retry_budget_create(RATIO, WINDOW_MS);
     int taken = 0;
     for (int64_t now_ms = 100000; now_ms < 130000; now_ms += 50) {
-        wb_retry_budget_request(budget, now_ms);
+        wb_retry_budget_note_request(budget, now_ms);
         taken += now_ms >= 120000 && wb_retry_budget_take(budget, 7, now_ms);
     }
     g_assert_cmpint(taken, >=, 7 + (int)(0.8 * RATIO * 200));
--- a/tests/unit/test_served_set.c
+++ b/tests/unit/test_served_set.c
@@ -31,7 +31,7 @@
 static void test_shared_place(void) {
     wb_served_set_t *set = wb_served_set_create();
     wb_request_digest_t digest = digest_of(7);
-    wb_request_digest_t other = digest_of(7 + WB_SERVED_PLACES);
+    wb_request_digest_t other = digest_of(7 + WB_SERVED_SLOTS);
     wb_served_set_add(set, &digest, NOW_MS);
     g_assert_false(wb_served_set_has(set, &other, NOW_MS));
     wb_served_set_add(set, &other, NOW_MS);
--- a/tests/unit/test_told_state.c
+++ b/tests/unit/test_state_headers.c
@@ -1,13 +1,13 @@
 /* What an engine tells of itself at the head of an answer, as far as it can be. */
 #include "unit.h"
 
-#include "dispatch/told_state.h"
+#include "dispatch/state_headers.h"
 
 static const wb_dialect_t dialect = {.engine_limit = "Server-Limit",
-                                     .engine_leaving = "Server-Leaving"};
+                                     .engine_draining = "Server-Leaving"};
 
 /* Reads an answer with up to two headers. */
-static wb_told_state_t told_by(unsigned status, const char *name, const char *value,
+static wb_state_headers_t told_by(unsigned status, const char *name, const char *value,
                                const char *again) {
     wb_http_head_t *head = wb_http_head_create();
     head->status = status;
@@ -18,14 +18,14 @@
             g_array_append_val(head->headers, header);
         }
     }
-    wb_told_state_t told = wb_told_state_read(head, &dialect);
+    wb_state_headers_t told = wb_state_headers_parse(head, &dialect);
     wb_http_head_free(head);
     return told;
 }
 
 static void test_nothing(void) {
-    wb_told_state_t told = told_by(200, "X-Other", "1", NULL);
-    g_assert_false(told.limit_named || told.limit_known || told.leaving);
+    wb_state_headers_t told = told_by(200, "X-Other", "1", NULL);
+    g_assert_false(told.limit_present || told.limit_valid || told.leaving);
     g_assert_cmpint(told.rest_ms, ==, 0);
     g_assert_cmpuint(told.refused, ==, 0);
 }
@@ -36,8 +36,8 @@
         double per_s;
     } limits[] = {{"1", 1}, {"0.4", 0.4}, {"0", 0}, {"250", 250}};
     for (gsize i = 0; i < G_N_ELEMENTS(limits); i++) {
-        wb_told_state_t told = told_by(200, "server-limit", limits[i].text, NULL);
-        g_assert_true(told.limit_named && told.limit_known);
+        wb_state_headers_t told = told_by(200, "server-limit", limits[i].text, NULL);
+        g_assert_true(told.limit_present && told.limit_valid);
         g_assert_cmpfloat(told.limit_per_s, ==, limits[i].per_s);
         g_assert_cmpuint(told.refused, ==, 0);
     }
@@ -48,14 +48,14 @@
     static const char *const texts[] = {"",    "-1",  "nan", "inf",  "1e3",  "1000000000000",
                                         "1,2", "1 2", ".",   "0x10", "1.2.3"};
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
-        wb_told_state_t told = told_by(200, "Server-Limit", texts[i], NULL);
-        g_assert_true(told.limit_named);
-        g_assert_false(told.limit_known);
+        wb_state_headers_t told = told_by(200, "Server-Limit", texts[i], NULL);
+        g_assert_true(told.limit_present);
+        g_assert_false(told.limit_valid);
         g_assert_cmpuint(told.refused, ==, 1);
     }
-    wb_told_state_t twice = told_by(200, "Server-Limit", "1", "5");
-    g_assert_true(twice.limit_named);
-    g_assert_false(twice.limit_known);
+    wb_state_headers_t twice = told_by(200, "Server-Limit", "1", "5");
+    g_assert_true(twice.limit_present);
+    g_assert_false(twice.limit_valid);
     g_assert_cmpuint(twice.refused, ==, 1);
 }
 
@@ -68,7 +68,7 @@
     } words[] = {
         {"1", NULL, TRUE, 0}, {"0", NULL, FALSE, 0}, {"yes", NULL, FALSE, 1}, {"1", "1", FALSE, 1}};
     for (gsize i = 0; i < G_N_ELEMENTS(words); i++) {
-        wb_told_state_t told = told_by(200, "Server-Leaving", words[i].text, words[i].again);
+        wb_state_headers_t told = told_by(200, "Server-Leaving", words[i].text, words[i].again);
         g_assert_cmpint(told.leaving, ==, words[i].leaving);
         g_assert_cmpuint(told.refused, ==, words[i].refused);
     }
@@ -92,7 +92,7 @@
                  {503, "Thu, 03 Dec 2026 08:00:00 GMT", NULL, 0, 1},
                  {503, "3", "5", 0, 1}};
     for (gsize i = 0; i < G_N_ELEMENTS(words); i++) {
-        wb_told_state_t told =
+        wb_state_headers_t told =
             told_by(words[i].status, "Retry-After", words[i].text, words[i].again);
         g_assert_cmpint(told.rest_ms, ==, words[i].rest_ms);
         g_assert_cmpuint(told.refused, ==, words[i].refused);
--- a/tests/unit/test_store_calls.c
+++ b/tests/unit/test_store_calls.c
@@ -7,8 +7,8 @@
 
 static void test_store_calls_by_cause(void) {
     wb_store_calls_t calls = {0};
-    wb_store_calls_note(&calls, WB_TABLE_ENGINES, WB_STORE_CAUSE_LAPSED);
-    wb_store_calls_note(&calls, WB_TABLE_ENGINES, WB_STORE_CAUSE_LAPSED);
+    wb_store_calls_note(&calls, WB_TABLE_ENGINES, WB_STORE_CAUSE_STALE);
+    wb_store_calls_note(&calls, WB_TABLE_ENGINES, WB_STORE_CAUSE_STALE);
     wb_store_calls_note(&calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
     wb_store_calls_note_failure(&calls);
     g_assert_cmpuint(wb_store_calls_sum(&calls), ==, 3);
--- a/tests/unit/test_table_readers.c
+++ b/tests/unit/test_table_readers.c
@@ -46,7 +46,7 @@
     g_autoptr(GArray) nobody = g_array_new(FALSE, FALSE, sizeof(wb_table_reader_t));
     wb_table_readers_select(nobody, 5);
     g_assert_cmpuint(nobody->len, ==, 0);
-    g_assert_null(wb_table_readers_relay(nobody, "edge-1", NULL));
+    g_assert_null(wb_table_readers_choose_relay(nobody, "edge-1", NULL));
 }
 
 /* In whatever order nodes know each other. */
@@ -80,8 +80,8 @@
     g_hash_table_add(failed, (gpointer) "edge-7");
     for (guint i = 60; i < 985; i++) {
         const char *own = g_ptr_array_index(nodes.ids, i);
-        const char *relay = wb_table_readers_relay(nodes.readers, own, NULL);
-        const char *then = wb_table_readers_relay(nodes.readers, own, failed);
+        const char *relay = wb_table_readers_choose_relay(nodes.readers, own, NULL);
+        const char *then = wb_table_readers_choose_relay(nodes.readers, own, failed);
         counts[g_ascii_strtoull(relay + strlen("edge-"), NULL, 10)]++;
         g_assert_cmpstr(then, !=, "edge-7");
         g_assert_true(strcmp(relay, "edge-7") == 0 || strcmp(relay, then) == 0);
--- a/tests/unit/test_table_watch.c
+++ b/tests/unit/test_table_watch.c
@@ -66,7 +66,7 @@
     script->calls++;
     if (script->calls > 1) {
         g_assert_cmpint(after, ==, 12);
-        answer_give(on_answer, context, WB_TABLE_HISTORY_GONE, rows, 0);
+        answer_give(on_answer, context, WB_TABLE_HISTORY_EXPIRED, rows, 0);
         return;
     }
     g_assert_cmpint(after, ==, 11);
@@ -93,7 +93,7 @@
     g_assert_cmpint(wb_loop_create(&script.loop, "test", 16, &error), ==, APR_SUCCESS);
     script.table = (wb_table_t){script_read, script_changes, NULL};
     script.seen = g_string_new(NULL);
-    wb_table_pace_t pace = {10, 20, 0, 20, 0};
+    wb_table_watch_intervals_t pace = {10, 20, 0, 20, 0};
     wb_table_watch_create(script.loop, &script.table, WB_TABLE_ENGINES, &pace, &events);
     wb_loop_run(script.loop);
     g_assert_cmpstr(script.seen->str, ==, "+a@10 +b@11 +b@12 +c@18 -b@20 ");
@@ -137,7 +137,7 @@
     held_t *held = context;
     wb_error_t error;
     wb_table_watch_events_t events = {row_seen, batch_seen, NULL, &held->script};
-    wb_table_pace_t pace = {10, 20, 500, 20, 300};
+    wb_table_watch_intervals_t pace = {10, 20, 500, 20, 300};
     g_assert_cmpint(wb_loop_create(&held->loop, "test", 16, &error), ==, APR_SUCCESS);
     held->table = (wb_table_t){held_read, held_changes, NULL};
     held->script.seen = g_string_new(NULL);
@@ -150,13 +150,13 @@
 static void removal_play(void *context) {
     held_t *held = context;
     wb_table_row_t removed = {(char *)"a", NULL, 0, 9};
-    wb_table_watch_take(held->watch, &removed);
+    wb_table_watch_apply_row(held->watch, &removed);
     GPtrArray *rows = rows_make();
     g_ptr_array_add(rows, row_make("a", 8)); /* the held call's answer is from before */
     answer_give(held->on_answer, held->context, WB_TABLE_DONE, rows, 8);
     g_assert_cmpstr(held->script.seen->str, ==, "+a@5 -a@9 ");
     wb_table_row_t back = {(char *)"a", (guchar *)"v", 1, 12};
-    wb_table_watch_take(held->watch, &back);
+    wb_table_watch_apply_row(held->watch, &back);
     g_assert_cmpstr(held->script.seen->str, ==, "+a@5 -a@9 +a@12 ");
     wb_loop_quit(held->loop);
 }
@@ -178,7 +178,7 @@
     held_t *held = context;
     g_assert_cmpint(held->calls, ==, 2);
     answer_give(held->on_answer, held->context, WB_TABLE_DONE, rows_make(), 6);
-    wb_table_watch_vouch(held->watch, 6, wb_clock_ms());
+    wb_table_watch_note_peer_read(held->watch, 6, wb_clock_ms());
     wb_loop_after(held->loop, 360, vouched_end, held);
 }
 
@@ -186,10 +186,10 @@
     held_t *held = context;
     g_assert_cmpint(held->calls, ==, 1);
     answer_give(held->on_answer, held->context, WB_TABLE_DONE, rows_make(), 5);
-    wb_table_watch_vouch(held->watch, 5, wb_clock_ms());
+    wb_table_watch_note_peer_read(held->watch, 5, wb_clock_ms());
     g_assert_cmpint(held->calls, ==, 1);
     /* The other node knows a newer row: that is asked for at once. */
-    wb_table_watch_vouch(held->watch, 6, wb_clock_ms());
+    wb_table_watch_note_peer_read(held->watch, 6, wb_clock_ms());
     wb_loop_after(held->loop, 40, vouched_later, held);
 }
 
@@ -211,8 +211,8 @@
 
 static void page_play(void *context) {
     held_t *held = context;
-    wb_table_pace_t slow = {10, 60000, 500, 20, 300};
-    wb_table_watch_set_pace(held->watch, &slow);
+    wb_table_watch_intervals_t slow = {10, 60000, 500, 20, 300};
+    wb_table_watch_set_intervals(held->watch, &slow);
     held->asked_ms = wb_clock_ms();
     g_autoptr(GPtrArray) rows = rows_make();
     g_ptr_array_add(rows, row_make("b", 7));
@@ -241,7 +241,7 @@
     held_t *held = context;
     g_assert_cmpint(held->calls, ==, 3);
     failed_answer(held); /* the next try of its own would come after 9.6 s */
-    wb_table_watch_vouch(held->watch, 99, wb_clock_ms());
+    wb_table_watch_note_peer_read(held->watch, 99, wb_clock_ms());
     wb_loop_after(held->loop, 1100, look_retried, held);
 }
 
@@ -254,8 +254,8 @@
 
 static void look_play(void *context) {
     held_t *held = context;
-    wb_table_pace_t pace = {.wait_ms = 10, .pause_ms = 20, .trust_ms = 500, .retry_ms = 60000};
-    wb_table_watch_set_pace(held->watch, &pace);
+    wb_table_watch_intervals_t pace = {.wait_ms = 10, .pause_ms = 20, .peer_read_valid_ms = 500, .retry_ms = 60000};
+    wb_table_watch_set_intervals(held->watch, &pace);
     failed_answer(held);
     wb_loop_after(held->loop, 250, look_second, held);
 }
@@ -284,7 +284,7 @@
     held_t held = {0};
     wb_error_t error;
     wb_table_watch_events_t events = {row_seen, batch_seen, NULL, &held.script};
-    wb_table_pace_t pace = {.wait_ms = 10, .pause_ms = 20, .read_trust_ms = 150};
+    wb_table_watch_intervals_t pace = {.wait_ms = 10, .pause_ms = 20, .full_read_valid_ms = 150};
     g_assert_cmpint(wb_loop_create(&held.loop, "test", 16, &error), ==, APR_SUCCESS);
     held.table = (wb_table_t){held_read, held_changes, NULL};
     held.script.seen = g_string_new(NULL);
@@ -339,14 +339,14 @@
     growing_t *growing = context;
     growing->larges++;
     if (growing->goes_on) {
-        wb_table_watch_go_on(growing->watch);
+        wb_table_watch_read_all(growing->watch);
     } else {
-        wb_table_watch_follow_part(growing->watch);
+        wb_table_watch_follow_subset(growing->watch);
         wb_table_row_t told = {(char *)"b", (guchar *)"v", 1, 11};
         wb_table_row_t later = {(char *)"b", (guchar *)"v", 1, 15};
-        wb_table_watch_take(growing->watch, &told);
-        wb_table_watch_take(growing->watch, &later);
-        wb_table_watch_take(growing->watch, &told);
+        wb_table_watch_apply_row(growing->watch, &told);
+        wb_table_watch_apply_row(growing->watch, &later);
+        wb_table_watch_apply_row(growing->watch, &told);
         wb_loop_quit(growing->script.loop);
     }
 }
@@ -355,14 +355,14 @@
     growing_t growing = {.goes_on = goes_on};
     wb_error_t error;
     wb_table_watch_events_t events = {
-        .on_row = row_seen, .on_batch = batch_seen, .context = &growing, .on_large = growing_large};
+        .on_row = row_seen, .on_batch = batch_seen, .context = &growing, .on_row_limit = growing_large};
     g_assert_cmpint(wb_loop_create(&growing.script.loop, "test", 16, &error), ==, APR_SUCCESS);
     growing.script.table = (wb_table_t){growing_read, growing_changes, NULL};
     growing.script.seen = g_string_new(NULL);
-    wb_table_pace_t pace = {10, 20, 0, 20, 0};
+    wb_table_watch_intervals_t pace = {10, 20, 0, 20, 0};
     growing.watch = wb_table_watch_create(growing.script.loop, &growing.script.table,
                                           WB_TABLE_ENGINES, &pace, &events);
-    wb_table_watch_limit(growing.watch, 2);
+    wb_table_watch_set_row_limit(growing.watch, 2);
     wb_loop_run(growing.script.loop);
     g_assert_cmpint(growing.larges, ==, 1);
     g_assert_true(wb_table_watch_is_synced(growing.watch));
--- a/tests/unit/test_tenant.c
+++ b/tests/unit/test_tenant.c
@@ -14,11 +14,11 @@
     wb_tenants_add_key(tenants, south, "k-south");
     g_assert_true(wb_tenants_add(tenants, "north") == north);
     wb_key_digest_t digest = wb_key_digest("k-north-2", strlen("k-north-2"));
-    g_assert_true(wb_tenants_of_key(tenants, &digest) == north);
+    g_assert_true(wb_tenants_find_by_key(tenants, &digest) == north);
     digest = wb_key_digest("k-south", strlen("k-south"));
-    g_assert_true(wb_tenants_of_key(tenants, &digest) == south);
+    g_assert_true(wb_tenants_find_by_key(tenants, &digest) == south);
     digest = wb_key_digest("k-sout", strlen("k-sout"));
-    g_assert_null(wb_tenants_of_key(tenants, &digest));
+    g_assert_null(wb_tenants_find_by_key(tenants, &digest));
     wb_tenants_free(tenants);
 }
 
@@ -38,7 +38,7 @@
 }
 
 static void test_cost(void) {
-    wb_tenant_t tenant = {.unit = WB_QUOTA_TOKENS, .plain_tokens = 200};
+    wb_tenant_t tenant = {.unit = WB_QUOTA_TOKENS, .default_tokens = 200};
     g_assert_cmpfloat(wb_tenant_cost(&tenant, 1540), ==, 1540);
     g_assert_cmpfloat(wb_tenant_cost(&tenant, -1), ==, 200);
     tenant.unit = WB_QUOTA_REQUESTS;
