--- a/tests/fuzz/sim_claims.c
+++ b/tests/fuzz/sim_claims.c
@@ -1,72 +1,73 @@
-/* Simulated gateways that run requests with keys, as src/gateway does. */
+/* Simulated gateways that claim idempotency keys and run the requests, as src/gateway does. */
 #include "world_types.h"
 
 #include <string.h>
 
-/* A claim that waits for its command to count. */
-typedef struct sim_claim_wait_t {
+/* A claim whose command is not committed yet. */
+typedef struct sim_pending_claim_t {
     uint64_t sequence;
     char key[16];
     char stream[24];
     char engine[24];
-} sim_claim_wait_t;
+} sim_pending_claim_t;
 
 void claims_clear(sim_node_t *node) {
-    g_queue_clear_full(&node->claim_waits, g_free);
+    g_queue_clear_full(&node->pending_claims, g_free);
 }
 
 void claims_lost(sim_node_t *node) {
     claims_clear(node);
 }
 
-/* Granted: the gateway sends the request, and it may arrive late or never. */
-static void run_send(world_t *world, const char *key, const char *stream, const char *engine) {
+/* Sends the request of a granted claim; it may arrive late or never. */
+static void request_send(world_t *world, const char *key, const char *stream, const char *engine) {
     if (world_chance(world, world->loss_percent))
         return;
-    event_t *event = event_add(world, EVENT_RUN, 1 + world_choose(world, 250) * 4);
+    event_t *event = event_add(world, EVENT_REQUEST, 1 + world_choose(world, 250) * 4);
     g_strlcpy(event->to, engine, sizeof(event->to));
     g_strlcpy(event->key, key, sizeof(event->key));
     g_strlcpy(event->stream, stream, sizeof(event->stream));
 }
 
 void claims_committed(sim_node_t *node, uint64_t sequence) {
-    sim_claim_wait_t *wait;
-    while ((wait = g_queue_peek_head(&node->claim_waits)) != NULL && wait->sequence <= sequence) {
-        g_queue_pop_head(&node->claim_waits);
-        run_send(node->world, wait->key, wait->stream, wait->engine);
-        g_free(wait);
+    sim_pending_claim_t *pending;
+    while ((pending = g_queue_peek_head(&node->pending_claims)) != NULL &&
+           pending->sequence <= sequence) {
+        g_queue_pop_head(&node->pending_claims);
+        request_send(node->world, pending->key, pending->stream, pending->engine);
+        g_free(pending);
     }
 }
 
 static void claim_propose(sim_node_t *node, const wb_wire_claim_want *want, uint64_t attempt) {
     wb_wire_command command;
     wb_claim_command(want, attempt, &command);
-    sim_claim_wait_t *wait = g_new0(sim_claim_wait_t, 1);
-    wait->sequence = wb_group_sequence(node->group) + 1;
-    g_strlcpy(wait->key, want->key, sizeof(wait->key));
-    g_strlcpy(wait->stream, want->stream, sizeof(wait->stream));
-    g_strlcpy(wait->engine, want->engine, sizeof(wait->engine));
-    g_queue_push_tail(&node->claim_waits, wait);
+    sim_pending_claim_t *pending = g_new0(sim_pending_claim_t, 1);
+    pending->sequence = wb_group_sequence(node->group) + 1;
+    g_strlcpy(pending->key, want->key, sizeof(pending->key));
+    g_strlcpy(pending->stream, want->stream, sizeof(pending->stream));
+    g_strlcpy(pending->engine, want->engine, sizeof(pending->engine));
+    g_queue_push_tail(&node->pending_claims, pending);
     if (wb_group_propose(node->group, &command, node->world->now_ms) == 0 &&
-        g_queue_remove(&node->claim_waits, wait))
-        g_free(wait);
+        g_queue_remove(&node->pending_claims, pending))
+        g_free(pending);
 }
 
-/* The key is taken: its stream is looked for, and forbidden when the engine never saw it. Then the
- * run did not happen and may be tried again. */
-static void taken_follow(world_t *world, sim_node_t *node, wb_wire_claim_want *want) {
+/* The key is already claimed: fences its stream off at the engine. If the engine never saw the
+ * stream, the request did not run and may be retried. */
+static void claimed_key_resolve(world_t *world, sim_node_t *node, wb_wire_claim_want *want) {
     const wb_claim_t *claim = wb_record_claim(wb_group_record(node->group), want->model, want->key);
     sim_engine_t *engine = engine_find(world, claim->engine);
     if (engine == NULL || engine->dead || world_chance(world, world->loss_percent))
-        return; /* the engine is lost: the verdict is "may have run", and nothing is sent */
+        return; /* the engine is unreachable: the request may have run, so it is not retried */
     if (!g_hash_table_add(engine->streams, g_strdup(claim->stream)))
-        return; /* it ran, or was forbidden before by someone who tries again */
+        return; /* it ran, or another retry has fenced it off */
     want->retry_of = claim->attempt;
     if (wb_claim_decide(wb_group_record(node->group), want, world->now_ms) == WB_CLAIM_PROPOSE)
         claim_propose(node, want, claim->attempt + 1);
 }
 
-void claim_make(world_t *world) {
+void claim_start(world_t *world) {
     sim_node_t *node = &world->nodes[world_choose(world, NODES)];
     if (node->cell == NULL || node->frozen || !wb_group_has_quorum(node->group, world->now_ms))
         return;
@@ -87,7 +88,7 @@
         claim_propose(node, &want, 1);
         break;
     case WB_CLAIM_TAKEN:
-        taken_follow(world, node, &want);
+        claimed_key_resolve(world, node, &want);
         break;
     default:
         break;
--- a/tests/fuzz/sim_founding.c
+++ b/tests/fuzz/sim_founding.c
@@ -1,31 +1,31 @@
-/* The table's row and the rules by which nodes found groups and change members, in short form.
- * src/cell/cell_founding.c is the real one; it reads and writes the row over HTTP. */
+/* Simplified group founding and membership changes through the row in the table service. Follows
+ * the rules of src/cell/cell_founding.c, which reads and writes the row over HTTP. */
 #include "world_types.h"
 
 #include <string.h>
 
 #define MAINTAIN_MS 200
-#define UNSURE_MS 1000000 /* longer than a run: a lost claim is never forgotten too early here */
+#define UNSURE_MS 1000000 /* longer than a run, so that lost claims are never dropped too early */
 
 static gboolean row_has(const world_t *world, const char *name) {
     return g_ptr_array_find_with_equal_func(world->row_members, name, g_str_equal, NULL);
 }
 
-static gboolean others_are_gone(const world_t *world, const char *self) {
+static gboolean others_are_removed(const world_t *world, const char *self) {
     for (guint i = 0; i < world->row_members->len; i++) {
         const char *name = world->row_members->pdata[i];
-        if (strcmp(name, self) != 0 && !node_is_gone(world, name))
+        if (strcmp(name, self) != 0 && !node_is_removed(world, name))
             return FALSE;
     }
     return TRUE;
 }
 
-static gboolean majority_is_gone(const world_t *world) {
-    guint gone = 0;
+static gboolean majority_is_removed(const world_t *world) {
+    guint removed = 0;
     for (guint i = 0; i < world->row_members->len; i++)
-        if (node_is_gone(world, world->row_members->pdata[i]))
-            gone++;
-    return world->row_members->len - gone < world->row_members->len / 2 + 1;
+        if (node_is_removed(world, world->row_members->pdata[i]))
+            removed++;
+    return world->row_members->len - removed < world->row_members->len / 2 + 1;
 }
 
 static void row_write(world_t *world, const GPtrArray *members) {
@@ -59,10 +59,10 @@
 void founding_try(world_t *world, sim_node_t *node) {
     if (node->frozen || (node->group != NULL && wb_group_owner(node->group) != NULL))
         return;
-    gboolean again = world->row_members->len > 0;
-    if (again && !(majority_is_gone(world) && others_are_gone(world, node->name)))
+    gboolean is_refounding = world->row_members->len > 0;
+    if (is_refounding && !(majority_is_removed(world) && others_are_removed(world, node->name)))
         return;
-    wb_group_t *group = node_group(node);
+    wb_group_t *group = node_ensure_group(node);
     uint64_t era = world->row_era + 1;
     if (row_has(world, node->name))
         wb_group_yield(group, era << WB_GROUP_ERA_SHIFT);
@@ -71,18 +71,18 @@
     row_write(world, members);
     world->row_era = era;
     if (world_chance(world, 10))
-        return; /* killed or cut off behind the transaction: the row stands, nobody acts on it */
+        return; /* killed or cut off after the transaction: the row is written, but not acted on */
     wb_record_t *record = record_copy(group, world->now_ms);
-    if (again) {
+    if (is_refounding) {
         record->slots_unsure = TRUE;
         record->unsure_until_ms = world->now_ms + UNSURE_MS;
     }
-    world->figures->foundings++;
+    world->counters->foundings++;
     wb_group_found(group, record, members, world->row_generation, (era << WB_GROUP_ERA_SHIFT) | 1,
                    world->now_ms);
 }
 
-/* One step: a lost member goes, or another comes. */
+/* Changes one member: removes a lost one, or adds one while the group is too small. */
 static gboolean members_next(sim_node_t *node, GPtrArray *next) {
     world_t *world = node->world;
     const wb_record_t *record = wb_group_record(node->group);
--- a/tests/fuzz/sim_worker.c
+++ b/tests/fuzz/sim_worker.c
@@ -1,4 +1,4 @@
-/* Engines on a virtual clock: what they hold, what they are ordered, what goes wrong. */
+/* Simulated engines on a virtual clock: their state, the orders they receive, and faults. */
 #include "sim_worker.h"
 
 #include "wickbridge/http_peer.h"
@@ -7,41 +7,45 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LATE_LEAST_MS 2000
-#define LATE_MOST_MS 12000
-#define ANSWER_MS 4
+#define LATE_MIN_MS 2000
+#define LATE_MAX_MS 12000
+#define RESPONSE_MAX_MS 4
 #define REPORT_LAG_MS 150
-#define UNLOAD_MOST_MS 900
-#define ADAPTER_MOST_MS 80
-#define ADAPTERS_COMING 4
+#define UNLOAD_MAX_MS 900
+#define ADAPTER_LOAD_MAX_MS 80
+#define MAX_ADAPTERS_LOADING 4
 #define COPIES_KEPT 3
-#define CALLS_KEPT 4096
+#define REPORTS_KEPT 4096
 
-typedef enum sim_hold_t { SIM_ABSENT, SIM_LOADING, SIM_HELD, SIM_UNLOADING } sim_hold_t;
+typedef enum sim_load_state_t {
+    SIM_ABSENT,
+    SIM_LOADING,
+    SIM_LOADED,
+    SIM_UNLOADING
+} sim_load_state_t;
 
 typedef struct sim_model_t {
-    sim_hold_t hold;
-    sim_hold_t adapters[SIM_ADAPTERS];
+    sim_load_state_t load_state;
+    sim_load_state_t adapters[SIM_ADAPTERS];
     gboolean in_memory;
     gboolean on_disk;
 } sim_model_t;
 
-/* What an engine is, as one value, so that a report can show it as it was. */
-typedef struct sim_picture_t {
+/* An engine's state as one value, so that a report can return an earlier one. */
+typedef struct sim_snapshot_t {
     sim_model_t models[SIM_MODELS];
     gboolean busy;
     int64_t sequence;
-} sim_picture_t;
+} sim_snapshot_t;
 
 typedef struct sim_worker_t {
     char id[16];
-    int life;
-    sim_picture_t now;
-    sim_picture_t before; /* as it was before the last change */
+    int incarnation;
+    sim_snapshot_t current;
+    sim_snapshot_t previous; /* state before the last change */
     int64_t changed_ms;
 } sim_worker_t;
 
-/* An order as it was sent. */
 typedef struct sim_order_t {
     int worker;
     char expected_id[16];
@@ -53,14 +57,14 @@
     char holder[32];
 } sim_order_t;
 
-/* A change that comes due at an engine. */
+/* A delayed change of an engine's state. */
 typedef struct sim_change_t {
     int worker;
-    int life;
+    int incarnation;
     int model;
     int adapter;
-    sim_hold_t becomes;
-    sim_order_t *late; /* an order that is carried out now, or NULL */
+    sim_load_state_t becomes;
+    sim_order_t *late; /* the delayed order to execute, or NULL */
 } sim_change_t;
 
 struct wb_http_peer_t {
@@ -69,14 +73,14 @@
     unsigned calls;
 };
 
-/* An answer on its way. */
-typedef struct sim_answer_t {
+/* A response in transit. */
+typedef struct sim_response_t {
     wb_http_peer_t *peer;
     wb_http_request_t request;
     wb_http_outcome_t outcome;
     unsigned status;
     char body[32];
-} sim_answer_t;
+} sim_response_t;
 
 static struct {
     GRand *random;
@@ -84,7 +88,7 @@
     sim_oracle_t oracle;
     sim_faults_t faults;
     sim_worker_t workers[SIM_WORKERS];
-    sim_picture_t reports[CALLS_KEPT]; /* a ring: what each report's body stands for */
+    sim_snapshot_t reports[REPORTS_KEPT]; /* a ring; a report's body is an index into it */
     unsigned report_next;
     int ids;
 } sim;
@@ -99,41 +103,41 @@
     return atoi(name + 1);
 }
 
-static void worker_touch(sim_worker_t *worker) {
-    worker->before = worker->now;
+static void worker_save_previous(sim_worker_t *worker) {
+    worker->previous = worker->current;
     worker->changed_ms = wb_clock_ms();
 }
 
-static void worker_begin(int number) {
+static void worker_start(int number) {
     sim_worker_t *worker = &sim.workers[number];
-    sim_picture_t fresh = {0};
+    sim_snapshot_t fresh = {0};
     for (int i = 0; i < SIM_MODELS; i++) {
-        fresh.models[i].on_disk = worker->now.models[i].on_disk;
+        fresh.models[i].on_disk = worker->current.models[i].on_disk;
     }
-    worker->life++;
-    worker->now = fresh;
-    worker->before = fresh;
+    worker->incarnation++;
+    worker->current = fresh;
+    worker->previous = fresh;
     worker->changed_ms = wb_clock_ms();
     g_snprintf(worker->id, sizeof(worker->id), "w%d-%d", number, ++sim.ids);
 }
 
-void sim_workers_open(GRand *random, const wb_service_t *service, const sim_oracle_t *oracle) {
+void sim_workers_start(GRand *random, const wb_service_t *service, const sim_oracle_t *oracle) {
     memset(&sim, 0, sizeof(sim));
     sim.random = random;
     sim.service = service;
     sim.oracle = *oracle;
     for (int i = 0; i < SIM_WORKERS; i++) {
-        worker_begin(i);
+        worker_start(i);
         for (int model = i * 2; model < i * 2 + 2; model++) {
-            sim.workers[i].now.models[model].hold = SIM_HELD;
-            sim.workers[i].now.models[model].in_memory = TRUE;
-            sim.workers[i].now.models[model].on_disk = TRUE;
+            sim.workers[i].current.models[model].load_state = SIM_LOADED;
+            sim.workers[i].current.models[model].in_memory = TRUE;
+            sim.workers[i].current.models[model].on_disk = TRUE;
         }
-        worker_touch(&sim.workers[i]);
+        worker_save_previous(&sim.workers[i]);
     }
 }
 
-void sim_workers_close(void) {
+void sim_workers_stop(void) {
     sim.service = NULL;
 }
 
@@ -142,44 +146,44 @@
 }
 
 void sim_worker_restart(int worker) {
-    worker_begin(worker);
+    worker_start(worker);
 }
 
 const char *sim_worker_id(int worker) {
     return sim.workers[worker].id;
 }
 
-gboolean sim_worker_holds(int worker, const char *model) {
-    return sim.workers[worker].now.models[model_number(model)].hold == SIM_HELD;
+gboolean sim_worker_has_model(int worker, const char *model) {
+    return sim.workers[worker].current.models[model_number(model)].load_state == SIM_LOADED;
 }
 
-const char *sim_worker_overfull(int worker) {
-    const sim_picture_t *now = &sim.workers[worker].now;
-    double used_mb = 0;
-    int places = 0;
+const char *sim_worker_capacity_violation(int worker) {
+    const sim_snapshot_t *current = &sim.workers[worker].current;
+    double weights_used_mb = 0;
+    int adapters_used = 0;
     for (int i = 0; i < SIM_MODELS; i++) {
-        if (now->models[i].hold != SIM_ABSENT) {
-            used_mb += spec_of(i)->weights_mb;
+        if (current->models[i].load_state != SIM_ABSENT) {
+            weights_used_mb += spec_of(i)->weights_mb;
         }
         for (int j = 0; j < SIM_ADAPTERS; j++) {
-            if (now->models[i].adapters[j] != SIM_ABSENT) {
-                used_mb += spec_of(i)->adapter_mb;
-                places++;
+            if (current->models[i].adapters[j] != SIM_ABSENT) {
+                weights_used_mb += spec_of(i)->adapter_mb;
+                adapters_used++;
             }
         }
     }
-    if (used_mb > sim.service->weights_mb) {
+    if (weights_used_mb > sim.service->weights_mb) {
         return "loaded beyond its room";
     }
-    return places > sim.service->adapter_slots ? "adapters beyond its places" : NULL;
+    return adapters_used > sim.service->adapter_slots ? "adapters beyond its places" : NULL;
 }
 
-/* States as the product reads them. */
+/* Engine state as the server parses it. */
 
-static wb_engine_state_t *state_create(const char *id, const sim_picture_t *picture) {
+static wb_engine_state_t *state_create(const char *id, const sim_snapshot_t *snapshot) {
     wb_engine_state_t *state = wb_engine_state_create(id);
     for (int i = 0; i < SIM_MODELS; i++) {
-        const sim_model_t *held = &picture->models[i];
+        const sim_model_t *held = &snapshot->models[i];
         char name[16];
         g_snprintf(name, sizeof(name), "m%d", i);
         if (held->in_memory) {
@@ -188,24 +192,24 @@
         if (held->on_disk) {
             g_hash_table_add(state->on_disk, g_strdup(name));
         }
-        if (held->hold != SIM_HELD && held->hold != SIM_UNLOADING) {
+        if (held->load_state != SIM_LOADED && held->load_state != SIM_UNLOADING) {
             continue;
         }
         wb_engine_model_t *model = wb_engine_state_add_model(state, name, 1);
         for (int j = 0; j < SIM_ADAPTERS; j++) {
-            if (held->adapters[j] == SIM_HELD) {
+            if (held->adapters[j] == SIM_LOADED) {
                 g_hash_table_add(model->adapters, g_strdup_printf("a%d", j));
             }
             state->coming += held->adapters[j] == SIM_LOADING;
         }
     }
-    state->busy = picture->busy;
-    state->sequence = picture->sequence;
+    state->busy = snapshot->busy;
+    state->sequence = snapshot->sequence;
     return state;
 }
 
 wb_engine_state_t *sim_worker_announce(int worker) {
-    wb_engine_state_t *state = state_create(sim.workers[worker].id, &sim.workers[worker].now);
+    wb_engine_state_t *state = state_create(sim.workers[worker].id, &sim.workers[worker].current);
     state->service = g_strdup(sim.service->name);
     state->address = g_strdup_printf("%d", worker);
     state->zone = g_strdup("zone-1");
@@ -215,7 +219,7 @@
 
 static wb_engine_state_t *report_parse(const char *engine_id, const char *body, size_t length) {
     (void)length;
-    wb_engine_state_t *state = state_create(engine_id, &sim.reports[atoi(body) % CALLS_KEPT]);
+    wb_engine_state_t *state = state_create(engine_id, &sim.reports[atoi(body) % REPORTS_KEPT]);
     state->reported = TRUE;
     return state;
 }
@@ -235,25 +239,25 @@
 
 /* Orders. */
 
-static void order_carry_out(const sim_order_t *order, unsigned *status);
+static void order_execute(const sim_order_t *order, unsigned *status);
 
-static void change_run(void *context) {
+static void change_apply(void *context) {
     sim_change_t *change = context;
     sim_worker_t *worker = &sim.workers[change->worker];
     if (change->late != NULL) {
         unsigned status;
-        order_carry_out(change->late, &status);
+        order_execute(change->late, &status);
         g_free(change->late);
-    } else if (worker->life == change->life) {
-        worker_touch(worker);
-        sim_model_t *held = &worker->now.models[change->model];
-        if (change->adapter >= 0 && held->hold != SIM_ABSENT) {
+    } else if (worker->incarnation == change->incarnation) {
+        worker_save_previous(worker);
+        sim_model_t *held = &worker->current.models[change->model];
+        if (change->adapter >= 0 && held->load_state != SIM_ABSENT) {
             held->adapters[change->adapter] = change->becomes;
         } else if (change->adapter >= 0) {
-            held->adapters[change->adapter] = SIM_ABSENT; /* its model is gone */
+            held->adapters[change->adapter] = SIM_ABSENT; /* its model was unloaded */
         } else {
-            held->hold = change->becomes;
-            worker->now.busy = FALSE;
+            held->load_state = change->becomes;
+            worker->current.busy = FALSE;
             if (change->becomes == SIM_ABSENT) {
                 memset(held->adapters, 0, sizeof(held->adapters));
             }
@@ -262,56 +266,57 @@
     g_free(change);
 }
 
-static void change_plan(int worker, int model, int adapter, sim_hold_t becomes, int64_t delay_ms) {
+static void change_schedule(int worker, int model, int adapter, sim_load_state_t becomes,
+                            int64_t delay_ms) {
     sim_change_t *change = g_new0(sim_change_t, 1);
     change->worker = worker;
-    change->life = sim.workers[worker].life;
+    change->incarnation = sim.workers[worker].incarnation;
     change->model = model;
     change->adapter = adapter;
     change->becomes = becomes;
-    wb_loop_after(NULL, delay_ms, change_run, change);
+    wb_loop_after(NULL, delay_ms, change_apply, change);
 }
 
-static int coming_count(const sim_picture_t *now) {
+static int adapters_loading(const sim_snapshot_t *current) {
     int coming = 0;
     for (int i = 0; i < SIM_MODELS; i++) {
         for (int j = 0; j < SIM_ADAPTERS; j++) {
-            coming += now->models[i].adapters[j] == SIM_LOADING;
+            coming += current->models[i].adapters[j] == SIM_LOADING;
         }
     }
     return coming;
 }
 
 static unsigned adapter_order(const sim_order_t *order, sim_worker_t *worker) {
-    sim_hold_t *hold = &worker->now.models[order->model].adapters[order->adapter];
-    if (worker->now.models[order->model].hold != SIM_HELD) {
+    sim_load_state_t *load_state = &worker->current.models[order->model].adapters[order->adapter];
+    if (worker->current.models[order->model].load_state != SIM_LOADED) {
         return 400;
     }
     if (!order->is_load) {
-        if (*hold == SIM_HELD) {
-            *hold = SIM_ABSENT;
+        if (*load_state == SIM_LOADED) {
+            *load_state = SIM_ABSENT;
         }
-        worker->now.sequence++;
+        worker->current.sequence++;
         return 200;
     }
-    if (*hold != SIM_ABSENT) {
+    if (*load_state != SIM_ABSENT) {
         return 200;
     }
-    if (coming_count(&worker->now) >= ADAPTERS_COMING) {
+    if (adapters_loading(&worker->current) >= MAX_ADAPTERS_LOADING) {
         return 409;
     }
-    *hold = SIM_LOADING;
-    worker->now.sequence++;
-    change_plan(order->worker, order->model, order->adapter, SIM_HELD,
-                g_rand_int_range(sim.random, 5, ADAPTER_MOST_MS));
+    *load_state = SIM_LOADING;
+    worker->current.sequence++;
+    change_schedule(order->worker, order->model, order->adapter, SIM_LOADED,
+                    g_rand_int_range(sim.random, 5, ADAPTER_LOAD_MAX_MS));
     return 202;
 }
 
-/* A disk keeps few copies: some others go. */
-static void copies_make_room(sim_worker_t *worker, int model) {
+/* The disk keeps COPIES_KEPT other models; the rest are deleted. */
+static void disk_copies_evict(sim_worker_t *worker, int model) {
     int copies = 0;
     for (int i = 0; i < SIM_MODELS; i++) {
-        sim_model_t *other = &worker->now.models[i];
+        sim_model_t *other = &worker->current.models[i];
         copies += other->on_disk && i != model;
         if (copies > COPIES_KEPT) {
             other->on_disk = FALSE;
@@ -321,17 +326,17 @@
 }
 
 static unsigned model_order(const sim_order_t *order, sim_worker_t *worker) {
-    sim_model_t *held = &worker->now.models[order->model];
+    sim_model_t *held = &worker->current.models[order->model];
     const wb_model_spec_t *spec = spec_of(order->model);
-    if (order->is_load == (held->hold == SIM_HELD)) {
+    if (order->is_load == (held->load_state == SIM_LOADED)) {
         return 200;
     }
-    worker->now.sequence++;
-    worker->now.busy = TRUE;
+    worker->current.sequence++;
+    worker->current.busy = TRUE;
     if (!order->is_load) {
-        held->hold = SIM_UNLOADING;
-        change_plan(order->worker, order->model, -1, SIM_ABSENT,
-                    g_rand_int_range(sim.random, 20, UNLOAD_MOST_MS));
+        held->load_state = SIM_UNLOADING;
+        change_schedule(order->worker, order->model, -1, SIM_ABSENT,
+                        g_rand_int_range(sim.random, 20, UNLOAD_MAX_MS));
         return 202;
     }
     int64_t load_ms = spec->store_load_ms;
@@ -342,25 +347,26 @@
     } else {
         sim.oracle.store_load_began(sim.oracle.context);
     }
-    held->hold = SIM_LOADING;
-    copies_make_room(worker, order->model);
+    held->load_state = SIM_LOADING;
+    disk_copies_evict(worker, order->model);
     held->in_memory = TRUE;
     held->on_disk = TRUE;
-    change_plan(order->worker, order->model, -1, SIM_HELD, load_ms);
+    change_schedule(order->worker, order->model, -1, SIM_LOADED, load_ms);
     return 202;
 }
 
-static void order_carry_out(const sim_order_t *order, unsigned *status) {
+static void order_execute(const sim_order_t *order, unsigned *status) {
     sim_worker_t *worker = &sim.workers[order->worker];
     if (strcmp(order->expected_id, worker->id) != 0) {
         *status = 421;
         return;
     }
-    if (order->sequence != worker->now.sequence || (worker->now.busy && order->adapter < 0)) {
+    if (order->sequence != worker->current.sequence ||
+        (worker->current.busy && order->adapter < 0)) {
         *status = 409;
         return;
     }
-    worker_touch(worker);
+    worker_save_previous(worker);
     *status = order->adapter >= 0 ? adapter_order(order, worker) : model_order(order, worker);
 }
 
@@ -379,37 +385,37 @@
     order->token = token;
 }
 
-static gboolean happens(double share) {
-    return g_rand_double(sim.random) < share;
+static gboolean chance(double probability) {
+    return g_rand_double(sim.random) < probability;
 }
 
-/* The call reaches the engine. */
-static void order_arrive(sim_answer_t *answer, const sim_order_t *order) {
-    sim.oracle.order_taken(order->holder, order->token, order->worker, sim.oracle.context);
-    if (happens(sim.faults.order_late)) {
+/* The order reaches the engine, which executes it now or late. */
+static void order_receive(sim_response_t *response, const sim_order_t *order) {
+    sim.oracle.order_received(order->holder, order->token, order->worker, sim.oracle.context);
+    if (chance(sim.faults.order_late)) {
         sim_change_t *change = g_new0(sim_change_t, 1);
         change->worker = order->worker;
         change->late = g_memdup2(order, sizeof(*order));
-        wb_loop_after(NULL, g_rand_int_range(sim.random, LATE_LEAST_MS, LATE_MOST_MS), change_run,
+        wb_loop_after(NULL, g_rand_int_range(sim.random, LATE_MIN_MS, LATE_MAX_MS), change_apply,
                       change);
-        answer->outcome = WB_HTTP_UNKNOWN;
+        response->outcome = WB_HTTP_UNKNOWN;
         return;
     }
-    order_carry_out(order, &answer->status);
-    answer->outcome = happens(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    order_execute(order, &response->status);
+    response->outcome = chance(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
 }
 
-static void report_give(sim_answer_t *answer, int number) {
+static void report_respond(sim_response_t *response, int number) {
     const sim_worker_t *worker = &sim.workers[number];
-    unsigned place = sim.report_next++ % CALLS_KEPT;
-    gboolean lags = wb_clock_ms() - worker->changed_ms < REPORT_LAG_MS && happens(0.5);
-    sim.reports[place] = lags ? worker->before : worker->now;
-    answer->status = 200;
-    answer->outcome = happens(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
-    g_snprintf(answer->body, sizeof(answer->body), "%u", place);
+    unsigned index = sim.report_next++ % REPORTS_KEPT;
+    gboolean lags = wb_clock_ms() - worker->changed_ms < REPORT_LAG_MS && chance(0.5);
+    sim.reports[index] = lags ? worker->previous : worker->current;
+    response->status = 200;
+    response->outcome = chance(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    g_snprintf(response->body, sizeof(response->body), "%u", index);
 }
 
-/* Calls. */
+/* Replacement for http_peer. */
 
 wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
@@ -432,41 +438,41 @@
     peer_release(peer);
 }
 
-static void answer_give(void *context) {
-    sim_answer_t *answer = context;
-    wb_http_peer_t *peer = answer->peer;
+static void response_deliver(void *context) {
+    sim_response_t *response = context;
+    wb_http_peer_t *peer = response->peer;
     peer->calls--;
     if (!peer->freed) {
-        wb_http_result_t result = {answer->outcome, 0, NULL, 0};
-        if (answer->outcome == WB_HTTP_ANSWERED) {
-            result.status = answer->status;
-            result.body = answer->body;
-            result.length = strlen(answer->body);
+        wb_http_result_t result = {response->outcome, 0, NULL, 0};
+        if (response->outcome == WB_HTTP_ANSWERED) {
+            result.status = response->status;
+            result.body = response->body;
+            result.length = strlen(response->body);
         }
-        answer->request.on_result(&result, answer->request.context);
+        response->request.on_result(&result, response->request.context);
     }
     peer_release(peer);
-    g_free(answer);
+    g_free(response);
 }
 
 void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request) {
-    sim_answer_t *answer = g_new0(sim_answer_t, 1);
-    int64_t delay_ms = g_rand_int_range(sim.random, 1, ANSWER_MS);
-    answer->peer = peer;
-    answer->request = *request;
-    answer->outcome = WB_HTTP_NOT_SENT;
+    sim_response_t *response = g_new0(sim_response_t, 1);
+    int64_t delay_ms = g_rand_int_range(sim.random, 1, RESPONSE_MAX_MS);
+    response->peer = peer;
+    response->request = *request;
+    response->outcome = WB_HTTP_NOT_SENT;
     peer->calls++;
-    gboolean sent = !happens(sim.faults.call_broken) &&
+    gboolean sent = !chance(sim.faults.call_not_sent) &&
                     (request->may_send == NULL || request->may_send(request->context));
     if (sent && strcmp(request->target, "/report") == 0) {
-        report_give(answer, peer->worker);
+        report_respond(response, peer->worker);
     } else if (sent) {
         sim_order_t order;
         order_read(&order, peer, request);
-        order_arrive(answer, &order);
+        order_receive(response, &order);
     }
-    if (answer->outcome == WB_HTTP_UNKNOWN) {
+    if (response->outcome == WB_HTTP_UNKNOWN) {
         delay_ms = request->timeout_ms;
     }
-    wb_loop_after(NULL, delay_ms, answer_give, answer);
+    wb_loop_after(NULL, delay_ms, response_deliver, response);
 }
--- a/tests/fuzz/sim_worker.h
+++ b/tests/fuzz/sim_worker.h
@@ -1,11 +1,12 @@
 /**
  * @file sim_worker.h
- * @brief Engines that take orders on a virtual clock, and the calls that reach them.
+ * @brief Simulated engines on a virtual clock, behind a replacement for wb_http_peer_t.
  *
- * They do what the platform's pages say of engines: one order for models at a time, a sequence that
- * each order taken moves, four adapters on their way at most, reports that lag, orders whose answer
- * is lost and that may be carried out seconds later, restarts that forget the sequence and what is
- * loaded but keep the disk. What they hold is known to the oracle at each moment.
+ * They follow the platform's description of engines: one model order at a time, a sequence number
+ * that each accepted order advances, at most four adapters loading, and reports that lag. Orders
+ * may lose their response and may be executed seconds later. A restart resets the sequence and what
+ * is loaded, but keeps the disk. Times are in milliseconds, weights in MB. The state is global, so
+ * only one simulation runs at a time; a malformed order aborts the program.
  */
 #ifndef WICKBRIDGE_TEST_SIM_WORKER_H
 #define WICKBRIDGE_TEST_SIM_WORKER_H
@@ -17,34 +18,34 @@
 #define SIM_MODELS 14
 #define SIM_ADAPTERS 6
 
-/** How often things go wrong, each from 0 to 1. */
+/** Probabilities of faults, each from 0 to 1. */
 typedef struct sim_faults_t {
-    double order_lost;  /**< carried out, not answered */
-    double order_late;  /**< carried out 2 to 12 s later, not answered */
-    double call_broken; /**< not sent at all */
+    double order_lost;    /**< executed, response lost */
+    double order_late;    /**< executed 2 to 12 s later, response lost */
+    double call_not_sent; /**< not sent at all */
     double report_lost;
 } sim_faults_t;
 
-/** What the oracle is told. */
+/** Callbacks to the oracle: an order reached an engine; a load from the weight store began. */
 typedef struct sim_oracle_t {
-    void (*order_taken)(const char *holder, uint64_t token, int worker, void *context);
+    void (*order_received)(const char *holder, uint64_t token, int worker, void *context);
     void (*store_load_began)(void *context);
     void *context;
 } sim_oracle_t;
 
-/** The words that the product speaks with these engines. */
+/** Names and formats of the protocol with these engines. */
 extern const wb_dialect_t sim_dialect;
 
-void sim_workers_open(GRand *random, const wb_service_t *service, const sim_oracle_t *oracle);
-void sim_workers_close(void);
+void sim_workers_start(GRand *random, const wb_service_t *service, const sim_oracle_t *oracle);
+void sim_workers_stop(void);
 void sim_workers_set_faults(const sim_faults_t *faults);
-/** An engine falls and comes back under another id, empty, with its disk. */
+/** Restart an engine under another id: nothing is loaded, the disk is kept. */
 void sim_worker_restart(int worker);
-/** @return an engine's announcement, owned by the caller */
+/** @return an engine's announced state, owned by the caller */
 wb_engine_state_t *sim_worker_announce(int worker);
 const char *sim_worker_id(int worker);
-gboolean sim_worker_holds(int worker, const char *model);
-/** @return why an engine has more than it has room for, or NULL */
-const char *sim_worker_overfull(int worker);
+gboolean sim_worker_has_model(int worker, const char *model);
+/** @return how an engine exceeds its weights or adapter capacity (a static string), or NULL */
+const char *sim_worker_capacity_violation(int worker);
 
 #endif
--- a/tests/fuzz/world.c
+++ b/tests/fuzz/world.c
@@ -1,4 +1,4 @@
-/* Simulates nodes, network, engines and the table's row around the real decision code. */
+/* Main loop of the simulated cluster: nodes, network, demand and failures. */
 #include "world_types.h"
 
 #include <stdio.h>
@@ -37,7 +37,7 @@
     return event;
 }
 
-/* Messages may be late, lost, out of order or doubled. */
+/* Messages may be delayed, lost, reordered or duplicated. */
 static void group_send(const char *to, const wb_wire_message *message, void *context) {
     sim_node_t *node = context;
     world_t *world = node->world;
@@ -62,7 +62,7 @@
     sim_node_t *node = context;
     world_t *world = node->world;
     event_t *event = event_add(world, EVENT_ORDER, 1 + world_choose(world, 80));
-    event->lost_on_the_way = world_chance(world, world->loss_percent);
+    event->lost_in_transit = world_chance(world, world->loss_percent);
     event->action = order->action;
     event->fence = order->fence;
     event->bytes_needed = order->bytes;
@@ -73,18 +73,18 @@
     g_strlcpy(event->adapter, order->adapter != NULL ? order->adapter : "", sizeof(event->adapter));
 }
 
-static void cell_show(const char *gateway, const wb_route_t *route, void *context) {
+static void cell_send_route(const char *gateway, const wb_route_t *route, void *context) {
     (void)gateway;
     sim_node_t *node = context;
     if (route->state == WB_ROUTE_READY)
-        node->world->figures->served++;
+        node->world->counters->served++;
 }
 
-static void machines_tell(world_t *world, sim_node_t *node) {
+static void machines_report(world_t *world, sim_node_t *node) {
     for (int i = 0; i < world->engine_count; i++) {
         const sim_engine_t *engine = &world->engines[i];
-        wb_machine_state_t state = engine->leaving ? WB_MACHINE_LEAVING : WB_MACHINE_LIVE;
-        if (engine->dead && world->now_ms - engine->died_ms > LIST_LAG_MS)
+        wb_machine_state_t state = engine->draining ? WB_MACHINE_LEAVING : WB_MACHINE_LIVE;
+        if (engine->dead && world->now_ms - engine->died_ms > MACHINE_LIST_LAG_MS)
             state = WB_MACHINE_GONE;
         wb_cell_machine(node->cell, engine->id, "address", i % 2 ? "a" : "b", state, world->now_ms);
     }
@@ -95,8 +95,8 @@
     sim_node_t *node = context;
     world_t *world = node->world;
     wb_cell_options_t options = {"service/0", 4, 100, 50, 10};
-    wb_cell_events_t events = {cell_propose, cell_order, cell_show, node};
-    world->figures->owners++;
+    wb_cell_events_t events = {cell_propose, cell_order, cell_send_route, node};
+    world->counters->owners++;
     node->cell =
         wb_cell_create(&options, wb_group_record(node->group), epoch, &events, world->now_ms);
     wb_cell_committed(node->cell, wb_group_committed(node->group));
@@ -118,7 +118,7 @@
     claims_committed(node, sequence);
 }
 
-wb_group_t *node_group(sim_node_t *node) {
+wb_group_t *node_ensure_group(sim_node_t *node) {
     if (node->group != NULL)
         return node->group;
     wb_group_options_t options = {"service/0", node->name, 100, 400,
@@ -138,21 +138,21 @@
     node->group = NULL;
 }
 
-/* A process is killed; another one takes its place under a new name. */
+/* Kills a node process and starts another in its place under a new name. */
 static void node_replace(world_t *world, int index) {
     sim_node_t *node = &world->nodes[index];
-    g_hash_table_insert(world->gone, g_strdup(node->name),
+    g_hash_table_insert(world->killed_nodes, g_strdup(node->name),
                         g_memdup2(&world->now_ms, sizeof(world->now_ms)));
     node_clear(node);
     memset(node, 0, sizeof(*node));
     node->world = world;
-    g_queue_init(&node->claim_waits);
-    g_snprintf(node->name, sizeof(node->name), "n%d~%d", index, ++world->names);
+    g_queue_init(&node->pending_claims);
+    g_snprintf(node->name, sizeof(node->name), "n%d~%d", index, ++world->node_names_used);
 }
 
-gboolean node_is_gone(const world_t *world, const char *name) {
-    const int64_t *died_ms = g_hash_table_lookup(world->gone, name);
-    return died_ms != NULL && world->now_ms - *died_ms > LIST_LAG_MS;
+gboolean node_is_removed(const world_t *world, const char *name) {
+    const int64_t *died_ms = g_hash_table_lookup(world->killed_nodes, name);
+    return died_ms != NULL && world->now_ms - *died_ms > MACHINE_LIST_LAG_MS;
 }
 
 static void message_deliver(world_t *world, const event_t *event) {
@@ -168,13 +168,13 @@
         APR_SUCCESS)
         g_error("a message that was sent can't be read");
     if (message.kind == WB_WIRE_GROUP_STATE)
-        node_group(node);
+        node_ensure_group(node);
     if (node->group != NULL)
         wb_group_message(node->group, event->from, &message, world->now_ms);
     wb_message_clear(&message);
 }
 
-static void order_answer_deliver(world_t *world, event_t *event) {
+static void order_response_deliver(world_t *world, event_t *event) {
     int index = node_index(world, event->to);
     sim_node_t *node = index >= 0 ? &world->nodes[index] : NULL;
     if (node == NULL || node->cell == NULL)
@@ -184,9 +184,9 @@
     wb_cell_step(node->cell, world->now_ms);
 }
 
-/* Frozen nodes get what is due once they thaw. */
-static gboolean event_is_held(const world_t *world, const event_t *event) {
-    if (event->kind == EVENT_ORDER || event->kind == EVENT_RUN)
+/* Events for a frozen node are delivered once it resumes. */
+static gboolean event_is_deferred(const world_t *world, const event_t *event) {
+    if (event->kind == EVENT_ORDER || event->kind == EVENT_REQUEST)
         return FALSE;
     int index = node_index(world, event->to);
     return index >= 0 && world->nodes[index].frozen;
@@ -198,13 +198,13 @@
         message_deliver(world, event);
         break;
     case EVENT_ORDER:
-        engine_order(world, event);
+        engine_receive_order(world, event);
         break;
-    case EVENT_ORDER_ANSWER:
-        order_answer_deliver(world, event);
+    case EVENT_ORDER_RESPONSE:
+        order_response_deliver(world, event);
         break;
-    case EVENT_RUN:
-        engine_run(world, event);
+    case EVENT_REQUEST:
+        engine_receive_request(world, event);
         break;
     }
 }
@@ -214,7 +214,7 @@
         guint best = world->events->len;
         for (guint i = 0; i < world->events->len; i++) {
             const event_t *event = world->events->pdata[i];
-            if (event->at_ms > world->now_ms || event_is_held(world, event))
+            if (event->at_ms > world->now_ms || event_is_deferred(world, event))
                 continue;
             if (best == world->events->len ||
                 event->at_ms < ((event_t *)world->events->pdata[best])->at_ms)
@@ -228,9 +228,9 @@
     }
 }
 
-static void time_pass(world_t *world) {
-    static const int64_t spans_ms[] = {1, 5, 20, 20, 50, 50, 100, 300};
-    world->now_ms += spans_ms[world_choose(world, G_N_ELEMENTS(spans_ms))];
+static void time_advance(world_t *world) {
+    static const int64_t steps_ms[] = {1, 5, 20, 20, 50, 50, 100, 300};
+    world->now_ms += steps_ms[world_choose(world, G_N_ELEMENTS(steps_ms))];
     engines_tick(world);
     events_deliver(world);
     for (int i = 0; i < NODES; i++) {
@@ -239,15 +239,15 @@
             continue;
         wb_group_tick(node->group, world->now_ms);
         if (node->cell != NULL) {
-            machines_tell(world, node);
+            machines_report(world, node);
             members_maintain(node);
             wb_cell_step(node->cell, world->now_ms);
         }
     }
 }
 
-/* Someone asks a node that believes to be the owner, an outdated one among them. */
-static void demand_make(world_t *world) {
+/* A gateway sends demand to a node that believes it is the owner, possibly a former owner. */
+static void demand_create(world_t *world) {
     sim_node_t *node = &world->nodes[world_choose(world, NODES)];
     if (node->cell == NULL || node->frozen)
         return;
@@ -263,7 +263,7 @@
     wb_cell_demand(node->cell, &demand, world->now_ms);
 }
 
-static void failure_make(world_t *world) {
+static void failure_inject(world_t *world) {
     sim_node_t *node = &world->nodes[world_choose(world, NODES)];
     switch (world_choose(world, 8)) {
     case 0:
@@ -278,8 +278,8 @@
             node_replace(world, (int)(node - world->nodes));
         break;
     case 4: {
-        guint one = world_choose(world, NODES), two = world_choose(world, NODES);
-        world->cut[one][two] = world_chance(world, 40);
+        guint from = world_choose(world, NODES), to = world_choose(world, NODES);
+        world->cut[from][to] = world_chance(world, 40);
         break;
     }
     case 5:
@@ -313,16 +313,16 @@
     return config;
 }
 
-static void world_prepare(world_t *world) {
+static void world_init(world_t *world) {
     world->now_ms = 1000000;
     world->config = config_create();
     world->events = g_ptr_array_new_with_free_func(event_free);
-    world->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    world->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    world->killed_nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    world->keys_run = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     world->row_members = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < NODES; i++) {
         world->nodes[i].world = world;
-        g_queue_init(&world->nodes[i].claim_waits);
+        g_queue_init(&world->nodes[i].pending_claims);
         g_snprintf(world->nodes[i].name, sizeof(world->nodes[i].name), "n%d~0", i);
     }
     for (int i = 0; i < ENGINES; i++)
@@ -335,8 +335,8 @@
     for (int i = 0; i < world->engine_count; i++)
         engine_clear(&world->engines[i]);
     g_ptr_array_unref(world->events);
-    g_hash_table_unref(world->gone);
-    g_hash_table_unref(world->ran);
+    g_hash_table_unref(world->killed_nodes);
+    g_hash_table_unref(world->keys_run);
     g_ptr_array_unref(world->row_members);
     wb_config_unref(world->config);
     g_rand_free(world->random);
@@ -344,27 +344,27 @@
 }
 
 const char *world_run(const uint8_t *data, size_t size, guint32 seed, guint64 steps,
-                      world_figures_t *figures) {
+                      world_figures_t *counters) {
     world_t *world = g_new0(world_t, 1);
     world->data = data;
     world->size = size;
     world->random = g_rand_new_with_seed(seed);
-    world->figures = figures;
-    world_prepare(world);
+    world->counters = counters;
+    world_init(world);
     const char *fault = NULL;
     for (guint64 i = 0; fault == NULL && (steps > 0 ? i < steps : world->used < size); i++) {
-        figures->steps++;
+        counters->steps++;
         guint choice = world_choose(world, 20);
         if (choice < 11)
-            time_pass(world);
+            time_advance(world);
         else if (choice < 14)
-            demand_make(world);
+            demand_create(world);
         else if (choice < 16)
-            claim_make(world);
+            claim_start(world);
         else if (choice < 17)
             founding_try(world, &world->nodes[world_choose(world, NODES)]);
         else
-            failure_make(world);
+            failure_inject(world);
         fault = oracle_check(world);
     }
     world_clear(world);
