--- a/tests/bench/quota.c
+++ b/tests/bench/quota.c
@@ -1,4 +1,4 @@
-/* Compares ways to share tenants' limits over gateways: a table a number of nodes. */
+/* Compares ways to share tenants' limits among gateways: prints one table per number of nodes. */
 #include "fuzz/quota_sim.h"
 
 #include <stdio.h>
@@ -14,13 +14,13 @@
     worst.hot_served = 1e9;
     for (unsigned seed = 1; seed <= SEEDS; seed++) {
         quota_result_t result = quota_sim_play(create, nodes, trouble, seed);
-        worst.most = MAX(worst.most, result.most);
+        worst.max_of_limit = MAX(worst.max_of_limit, result.max_of_limit);
         worst.most_of_rule = MAX(worst.most_of_rule, result.most_of_rule);
         refused += result.refused / SEEDS;
         served += result.hot_served / SEEDS;
     }
     printf("%-24s %-8s %10.3f %10.3f %10.4f %10.3f\n", quota_trouble_name(trouble), name,
-           worst.most, worst.most_of_rule, refused, served);
+           worst.max_of_limit, worst.most_of_rule, refused, served);
 }
 
 int main(void) {
--- a/tests/fuzz/fuzz_parsers_check.c
+++ b/tests/fuzz/fuzz_parsers_check.c
@@ -1,4 +1,4 @@
-/* Gives the parsers valid inputs with a few bytes changed, for fixed seeds. */
+/* Runs the fuzz targets on valid inputs with a few random bytes changed, with a fixed seed. */
 #include "targets.h"
 
 #include "wickbridge/message.h"
@@ -54,7 +54,7 @@
     return bytes;
 }
 
-static void sample_mutate(GRand *random, GByteArray *bytes) {
+static void input_mutate(GRand *random, GByteArray *bytes) {
     int changes = g_rand_int_range(random, 1, 6);
     for (int i = 0; i < changes && bytes->len > 0; i++)
         bytes->data[g_rand_int_range(random, 0, (gint32)bytes->len)] =
@@ -63,13 +63,13 @@
         g_byte_array_set_size(bytes, (guint)g_rand_int_range(random, 0, (gint32)bytes->len));
 }
 
-static void rounds_run(const void *sample, size_t size,
+static void target_run(const void *sample, size_t size,
                        void (*target)(const uint8_t *data, size_t size)) {
     GRand *random = g_rand_new_with_seed(1);
     for (int i = 0; i < ROUNDS; i++) {
         g_autoptr(GByteArray) bytes = g_byte_array_new();
         g_byte_array_append(bytes, sample, (guint)size);
-        sample_mutate(random, bytes);
+        input_mutate(random, bytes);
         target(bytes->data, bytes->len);
     }
     g_rand_free(random);
@@ -77,13 +77,13 @@
 
 int main(void) {
     g_autoptr(GByteArray) message = message_sample();
-    rounds_run(message->data, message->len, target_message);
-    rounds_run(config_sample, sizeof(config_sample) - 1, target_config);
-    rounds_run(inventory_sample, sizeof(inventory_sample) - 1, target_inventory);
-    rounds_run(request_sample, sizeof(request_sample) - 1, target_api_key);
-    rounds_run(key_sample, sizeof(key_sample) - 1, target_api_key);
-    rounds_run(engine_row_sample, sizeof(engine_row_sample) - 1, target_engine_row);
-    rounds_run(head_sample, sizeof(head_sample) - 1, target_engine_head);
+    target_run(message->data, message->len, target_message);
+    target_run(config_sample, sizeof(config_sample) - 1, target_config);
+    target_run(inventory_sample, sizeof(inventory_sample) - 1, target_inventory);
+    target_run(request_sample, sizeof(request_sample) - 1, target_api_key);
+    target_run(key_sample, sizeof(key_sample) - 1, target_api_key);
+    target_run(engine_row_sample, sizeof(engine_row_sample) - 1, target_engine_row);
+    target_run(head_sample, sizeof(head_sample) - 1, target_engine_head);
     printf("%d changed inputs for each of 7 samples\n", ROUNDS);
     return 0;
 }
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -1,7 +1,10 @@
 /**
  * @file quota_sim.h
- * @brief Many gateways before tenants with limits, on a virtual clock: how exactly a way of sharing
- * the limits keeps them, against one bucket that sees each request.
+ * @brief Simulation of tenant limits shared by many gateways, on a virtual clock.
+ *
+ * Measures how closely a way of sharing keeps the limits, compared with one token bucket that sees
+ * every request. Times are in milliseconds, costs in tokens. The node that decides for all is the
+ * aggregator. Functions don't fail.
  */
 #ifndef WICKBRIDGE_TEST_QUOTA_SIM_H
 #define WICKBRIDGE_TEST_QUOTA_SIM_H
@@ -10,56 +13,56 @@
 
 typedef struct quota_way_t quota_way_t;
 
-/** A way of sharing limits: the first member of each. */
+/** Interface of a way of sharing limits; first member of each implementation. */
 struct quota_way_t {
     const char *name;
-    gboolean (*ask)(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
-                    int64_t now_ms);
+    gboolean (*admit)(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
+                      int64_t now_ms);
     void (*tick)(quota_way_t *way, int64_t now_ms); /**< each 10 ms */
     void (*set_limits)(quota_way_t *way, const wb_tenants_t *tenants, int64_t now_ms);
-    /** A node can, or can't, reach the one that decides. */
-    void (*set_reached)(quota_way_t *way, int node, gboolean reached, int64_t now_ms);
-    /** The one that decides is gone; another that knows nothing takes its place. */
-    void (*take_over)(quota_way_t *way, int64_t now_ms);
-    /** The one that decides is cut off with a third of the nodes, for which it goes on to decide;
-     * another begins for the others. Or that is over: the other one decides for all. */
+    /** A node connects to the aggregator or loses its connection. */
+    void (*set_connected)(quota_way_t *way, int node, gboolean connected, int64_t now_ms);
+    /** The aggregator is lost; another one with empty state replaces it. */
+    void (*replace_aggregator)(quota_way_t *way, int64_t now_ms);
+    /** Begin: the aggregator is partitioned off with a third of the nodes and continues to serve
+     * them; a second one serves the others. End: the second one serves all nodes. */
     void (*split)(quota_way_t *way, gboolean begins, int64_t now_ms);
-    void (*restart)(quota_way_t *way, int node, int64_t now_ms); /**< a node forgets all */
+    void (*restart)(quota_way_t *way, int node, int64_t now_ms); /**< a node loses its state */
     void (*destroy)(quota_way_t *way);
 };
 
 quota_way_t *quota_way_equal(int nodes, const wb_tenants_t *tenants);
 quota_way_t *quota_way_lots(int nodes, const wb_tenants_t *tenants);
-/** The product's own: quota_ledger.h and quota_limiter.h. */
+/** The server's own: quota_ledger.h and quota_limiter.h. */
 quota_way_t *quota_way_shares(int nodes, const wb_tenants_t *tenants);
 
 typedef enum quota_trouble_t {
     QUOTA_CALM,
-    QUOTA_HOT,           /**< one tenant asks 7.5 times its usual */
-    QUOTA_HOT_SMALL,     /**< the smallest one does */
-    QUOTA_HOT_CUT,       /**< and a sixth of the nodes is cut off a second before */
-    QUOTA_HOT_CUT_AFTER, /**< and a sixth of the nodes is cut off while it does */
-    QUOTA_HOT_CUT_MANY,  /**< and a third of the nodes is cut off a second before */
-    QUOTA_HOT_SPLIT,     /**< and a second one decides for two thirds of the nodes */
-    QUOTA_HOT_TAKE_OVER, /**< and the one that decides is gone for 3 s while it does */
-    QUOTA_HOT_ALONE,     /**< and no node reaches the one that decides from a second before on */
-    QUOTA_HOT_RESTART,   /**< and all nodes are killed and come back after 1 s */
-    QUOTA_LOWERED,       /**< the largest tenant's limit falls to a fifth */
-    QUOTA_CUT,           /**< a sixth of the nodes is cut off; all ask as usual */
-    QUOTA_SPLIT,         /**< a second one decides for two thirds of the nodes; all as usual */
-    QUOTA_TAKE_OVER,     /**< the one that decides is gone for 3 s; all ask as usual */
+    QUOTA_HOT,           /**< one tenant sends 7.5 times its baseline */
+    QUOTA_HOT_SMALL,     /**< hot, the smallest tenant */
+    QUOTA_HOT_CUT,       /**< hot; a sixth of the nodes cut off 1 s before */
+    QUOTA_HOT_CUT_AFTER, /**< hot; a sixth of the nodes cut off meanwhile */
+    QUOTA_HOT_CUT_MANY,  /**< hot; a third of the nodes cut off 1 s before */
+    QUOTA_HOT_SPLIT,     /**< hot; a second aggregator for two thirds of the nodes */
+    QUOTA_HOT_TAKE_OVER, /**< hot; no aggregator for 3 s meanwhile */
+    QUOTA_HOT_ALONE,     /**< hot; no node reaches the aggregator from 1 s before */
+    QUOTA_HOT_RESTART,   /**< hot; all nodes are killed and restart after 1 s */
+    QUOTA_LOWERED,       /**< the largest tenant's limit is reduced to a fifth */
+    QUOTA_CUT,           /**< a sixth of the nodes cut off; baseline demand */
+    QUOTA_SPLIT,         /**< a second aggregator for two thirds of the nodes; baseline demand */
+    QUOTA_TAKE_OVER,     /**< no aggregator for 3 s; baseline demand */
     QUOTA_TROUBLES
 } quota_trouble_t;
 
 typedef struct quota_result_t {
-    double most;         /**< most admitted in a window, over what the limit allows; all tenants */
-    double most_of_rule; /**< the same over what the users' rule allows */
-    double refused;      /**< of what one bucket would admit, the share that was not; all tenants */
-    double hot_served;   /**< of what one bucket would admit of the hot tenant, what was */
+    double max_of_limit; /**< max over tenants of max cost admitted in a window / limit */
+    double most_of_rule; /**< the same / limit with the permitted overage */
+    double refused;      /**< fraction of what one bucket admits that was refused, all tenants */
+    double hot_served;   /**< admitted cost of the hot tenant / what one bucket admits */
 } quota_result_t;
 
 const char *quota_trouble_name(quota_trouble_t trouble);
-/** Play 40 s. @param create one of the ways */
+/** Simulate 40 s. @param create one of the constructors above */
 quota_result_t quota_sim_play(quota_way_t *(*create)(int nodes, const wb_tenants_t *tenants),
                               int nodes, quota_trouble_t trouble, unsigned seed);
 
--- a/tests/fuzz/target_api_key.c
+++ b/tests/fuzz/target_api_key.c
@@ -1,5 +1,5 @@
-/* A caller's request and its key; apart from targets.c, as the own front's types have the same
- * names. */
+/* API key of a client's request. Separate from targets.c, since src/request declares types of
+ * the same names as the headers of targets.c. */
 #include "targets.h"
 
 #include "request/api_key.h"
@@ -11,27 +11,27 @@
 
 #define HEAD_LIMIT_BYTES 4096
 
-/* A key that is taken must come from the only header for keys, after the scheme. */
+/* An accepted key must come from a single key header, after the scheme. */
 static void key_check(wb_http_reader_t *reader, const wb_http_head_t *head, void *context) {
     static const wb_dialect_t dialect = {
         .api_key = "Authorization", .api_key_scheme = "Token", .tenant = "Tenant"};
     (void)reader;
     (void)context;
-    unsigned keys = 0;
+    unsigned key_headers = 0;
     for (guint i = 0; i < head->headers->len; i++) {
         const wb_http_header_t *header = &g_array_index(head->headers, wb_http_header_t, i);
-        keys += g_ascii_strcasecmp(header->name, dialect.api_key) == 0;
+        key_headers += g_ascii_strcasecmp(header->name, dialect.api_key) == 0;
     }
     wb_api_key_t key = wb_api_key_read(head, &dialect);
-    if ((key.state == WB_API_KEY_ABSENT) != (keys == 0))
+    if ((key.state == WB_API_KEY_ABSENT) != (key_headers == 0))
         abort();
     if (key.state != WB_API_KEY_PRESENT)
         return;
     const char *value = wb_http_head_get(head, dialect.api_key);
-    if (keys != 1 || g_ascii_strncasecmp(value, "Token ", 6) != 0)
+    if (key_headers != 1 || g_ascii_strncasecmp(value, "Token ", 6) != 0)
         abort();
-    g_autofree char *word = g_strstrip(g_strdup(value + 6));
-    wb_key_digest_t digest = wb_key_digest(word, strlen(word));
+    g_autofree char *secret = g_strstrip(g_strdup(value + 6));
+    wb_key_digest_t digest = wb_key_digest(secret, strlen(secret));
     if (memcmp(&digest, &key.digest, sizeof(digest)) != 0)
         abort();
 }
--- a/tests/fuzz/target_engine_head.c
+++ b/tests/fuzz/target_engine_head.c
@@ -1,4 +1,4 @@
-/* The head of an engine's answer, and what it tells of itself. */
+/* Engine-reported state in the head of an engine's response. */
 #include "targets.h"
 
 #include "dispatch/state_headers.h"
@@ -9,7 +9,7 @@
 #define HEAD_LIMIT_BYTES 4096
 #define DRAIN_MS 2000
 
-/* Whatever comes, what is kept of it can be. */
+/* Whatever the headers say, the stored values must be within their bounds. */
 static void head_check(wb_http_reader_t *reader, const wb_http_head_t *head, void *context) {
     static const wb_dialect_t dialect = {.not_run = "Not-Executed",
                                          .seal = "Response-Seal",
@@ -20,17 +20,19 @@
     (void)reader;
     wb_engine_t *engine = context;
     wb_edge_metrics_t metrics = {0};
-    wb_state_headers_t told = wb_state_headers_parse(head, &dialect);
-    gboolean limit_is_good = !told.limit_valid || (told.limit_present && told.limit_per_s >= 0 &&
-                                                   told.limit_per_s <= WB_STATE_MAX_LIMIT_PER_S);
-    if (!limit_is_good || told.rest_ms < 0 || told.rest_ms > WB_STATE_MAX_BACKOFF_MS)
+    wb_state_headers_t reported = wb_state_headers_parse(head, &dialect);
+    gboolean limit_in_range =
+        !reported.limit_valid || (reported.limit_present && reported.limit_per_s >= 0 &&
+                                  reported.limit_per_s <= WB_STATE_MAX_LIMIT_PER_S);
+    if (!limit_in_range || reported.rest_ms < 0 || reported.rest_ms > WB_STATE_MAX_BACKOFF_MS)
         abort();
-    wb_engine_response_t heard = {&dialect, head, WB_RESPONSE_TO_REQUEST, 1000, 2000, DRAIN_MS};
-    wb_engine_update_from_response(engine, &heard, &metrics);
-    gboolean wrong = head->status == dialect.wrong_engine_status;
-    if (engine->limit.named != (told.limit_valid && !wrong) ||
-        engine->drain_reported != (told.leaving && !wrong) ||
-        engine->backoff_until_ms != (told.rest_ms > 0 && !wrong ? 2000 + told.rest_ms : 0))
+    wb_engine_response_t response = {&dialect, head, WB_RESPONSE_TO_REQUEST, 1000, 2000, DRAIN_MS};
+    wb_engine_update_from_response(engine, &response, &metrics);
+    gboolean is_wrong_engine = head->status == dialect.wrong_engine_status;
+    if (engine->limit.named != (reported.limit_valid && !is_wrong_engine) ||
+        engine->drain_reported != (reported.leaving && !is_wrong_engine) ||
+        engine->backoff_until_ms !=
+            (reported.rest_ms > 0 && !is_wrong_engine ? 2000 + reported.rest_ms : 0))
         abort();
 }
 
--- a/tests/fuzz/target_engine_row.c
+++ b/tests/fuzz/target_engine_row.c
@@ -1,4 +1,4 @@
-/* A row of an engine, which anybody may write: what is taken has all that an engine needs. */
+/* An engine's row from the store, which is untrusted: an accepted row must be complete. */
 #include "targets.h"
 
 #include "../../platform/platform.h"
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -1,4 +1,4 @@
-/* Gives bytes to the parsers, and what they accept back to the writers. */
+/* Parses the input; accepted messages are encoded and decoded again. */
 #include "targets.h"
 
 #include "wickbridge/declaration.h"
@@ -9,22 +9,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What was read must be written and read again as the same. */
-static void message_write_again(const wb_wire_message *message) {
+/* A decoded message that can be encoded must decode again. */
+static void message_round_trip(const wb_wire_message *message) {
     g_autoptr(GByteArray) bytes = g_byte_array_new();
     if (wb_message_encode(message, bytes, NULL) != APR_SUCCESS)
         return;
-    wb_wire_message again;
-    if (wb_message_decode(bytes->data + 4, bytes->len - 4, &again, NULL) != APR_SUCCESS)
+    wb_wire_message decoded;
+    if (wb_message_decode(bytes->data + 4, bytes->len - 4, &decoded, NULL) != APR_SUCCESS)
         abort();
-    wb_message_clear(&again);
+    wb_message_clear(&decoded);
 }
 
 void target_message(const uint8_t *data, size_t size) {
     wb_wire_message message;
     if (wb_message_decode(data, size, &message, NULL) != APR_SUCCESS)
         return;
-    message_write_again(&message);
+    message_round_trip(&message);
     if (message.kind == WB_WIRE_GROUP_STATE)
         wb_record_free(wb_record_from_wire(&message.wb_wire_message_u.group_state.record, 1000));
     if (message.kind == WB_WIRE_GROUP_APPEND) {
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,15 +1,18 @@
-/* Parsers under the fuzzer. Each takes any bytes and must neither crash nor leak. */
+/* Fuzz targets: parsers that must neither crash nor leak on any input. A target aborts if a result
+ * is inconsistent. Sizes are in bytes. */
 #ifndef WICKBRIDGE_FUZZ_TARGETS_H
 #define WICKBRIDGE_FUZZ_TARGETS_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-void target_message(const uint8_t *data, size_t size);     /* XDR between nodes */
-void target_config(const uint8_t *data, size_t size);      /* declarations */
-void target_inventory(const uint8_t *data, size_t size);   /* an engine's inventory */
-void target_api_key(const uint8_t *data, size_t size);     /* a caller's request and its key */
-void target_engine_row(const uint8_t *data, size_t size);  /* an engine's row in the store */
-void target_engine_head(const uint8_t *data, size_t size); /* what an engine's answer tells of it */
+void target_message(const uint8_t *data, size_t size);   /* XDR messages between nodes */
+void target_config(const uint8_t *data, size_t size);    /* configuration objects in JSON */
+void target_inventory(const uint8_t *data, size_t size); /* an engine's inventory in JSON */
+void target_api_key(const uint8_t *data, size_t size); /* a client's HTTP request and its API key */
+void target_engine_row(const uint8_t *data,
+                       size_t size); /* an engine's row in the store, in JSON */
+void target_engine_head(const uint8_t *data,
+                        size_t size); /* engine-reported state in response headers */
 
 #endif
--- a/tests/fuzz/virtual_loop.c
+++ b/tests/fuzz/virtual_loop.c
@@ -1,4 +1,4 @@
-/* Timers on a virtual clock, in place of the product's loop. */
+/* Timers on a virtual clock, linked in place of the server's loop. */
 #include "virtual_loop.h"
 
 struct wb_timer_t {
@@ -23,15 +23,16 @@
 
 /* Timers due at the same time run in the order in which they were set. */
 static void timer_queue(wb_timer_t *timer) {
-    wb_list_item_t *place = timers.ring.prev;
-    while (place != &timers.ring && WB_LIST_OF(place, wb_timer_t, queued)->due_ms > timer->due_ms) {
-        place = place->prev;
+    wb_list_item_t *before = timers.ring.prev;
+    while (before != &timers.ring &&
+           WB_LIST_OF(before, wb_timer_t, queued)->due_ms > timer->due_ms) {
+        before = before->prev;
     }
-    wb_list_add_before(&timers, place->next, &timer->queued);
+    wb_list_add_before(&timers, before->next, &timer->queued);
 }
 
-static wb_timer_t *timer_begin(int64_t delay_ms, int64_t interval_ms, wb_loop_task_fn task,
-                               void *context) {
+static wb_timer_t *timer_add(int64_t delay_ms, int64_t interval_ms, wb_loop_task_fn task,
+                             void *context) {
     wb_timer_t *timer = g_new0(wb_timer_t, 1);
     timer->due_ms = now_ms + delay_ms;
     timer->interval_ms = interval_ms;
@@ -43,13 +44,13 @@
 
 wb_timer_t *wb_loop_after(wb_loop_t *loop, int64_t delay_ms, wb_loop_task_fn task, void *context) {
     (void)loop;
-    return timer_begin(delay_ms, 0, task, context);
+    return timer_add(delay_ms, 0, task, context);
 }
 
 wb_timer_t *wb_loop_every(wb_loop_t *loop, int64_t interval_ms, wb_loop_task_fn task,
                           void *context) {
     (void)loop;
-    return timer_begin(interval_ms, interval_ms, task, context);
+    return timer_add(interval_ms, interval_ms, task, context);
 }
 
 void wb_timer_cancel(wb_timer_t *timer) {
@@ -57,7 +58,7 @@
         wb_list_remove(&timers, &timer->queued);
         g_free(timer);
     } else {
-        timer->cancelled = TRUE; /* it runs at this moment */
+        timer->cancelled = TRUE; /* its task is running now */
     }
 }
 
--- a/tests/fuzz/virtual_loop.h
+++ b/tests/fuzz/virtual_loop.h
@@ -1,9 +1,10 @@
 /**
  * @file virtual_loop.h
- * @brief The product's timers and clock, played as fast as the machine can.
+ * @brief Replacement for the server's loop: timers and clock on virtual time, in milliseconds.
  *
- * A program links this in place of the product's loop; its code then runs unchanged on a virtual
- * clock. Sockets can't be watched.
+ * A program links this instead of the real loop, and server code runs unchanged as fast as the
+ * machine can. Only timers and the clock are implemented, no sockets. State is global and not
+ * thread safe. Functions don't fail.
  */
 #ifndef WICKBRIDGE_TEST_VIRTUAL_LOOP_H
 #define WICKBRIDGE_TEST_VIRTUAL_LOOP_H
@@ -11,9 +12,9 @@
 #include "wickbridge/list.h"
 #include "wickbridge/loop.h"
 
-/** Run what is due up to a time of the virtual clock. */
+/** Run the timers due up to `until_ms` and advance the virtual clock to it. */
 void virtual_loop_run(int64_t until_ms);
-/** Forget all timers. */
+/** Free all timers without running them. */
 void virtual_loop_clear(void);
 
 #endif
