--- a/tests/bench/bench.c
+++ b/tests/bench/bench.c
@@ -1,6 +1,6 @@
-/* The bench: figures that the project is held to, from real processes, with medians of paired runs.
- * Usage: wb-bench [first-token|streams|wake|herd|config|takeover|engine|leaving ...]; all of them
- * without arguments. */
+/* Benchmarks of a cluster of real processes against the project's performance targets.
+ * Usage: wb-bench [first-token|streams|wake|herd|config|takeover|engine|leaving ...]; without
+ * arguments all are run. */
 #include "../harness/harness.h"
 
 #include "wickbridge/load.h"
@@ -28,7 +28,7 @@
     return g_strdup_printf("127.0.0.1:%d", port);
 }
 
-/* What one node adds to the first token of a loaded model, against the engine itself. */
+/* Latency of the first token through one node, relative to direct requests to the engine. */
 static void bench_first_token(void) {
     cluster_options_t options = {.nodes = 1,
                                  .engines = 1,
@@ -41,30 +41,30 @@
     g_autofree char *node = address(cluster->nodes[0].callers_port);
     g_autofree char *engine = address(cluster->engines[0].port);
     const char *const node_list[] = {node, NULL}, *const engine_list[] = {engine, NULL};
-    double added50[PAIRS], added99[PAIRS];
+    double added_p50[PAIRS], added_p99[PAIRS];
     for (int i = 0; i < PAIRS; i++) {
         wb_load_plan_t direct = {engine_list, TRUE, "m1", 100, 40, 4000, NULL};
-        wb_load_plan_t through = {node_list, FALSE, "m1", 100, 40, 4000, NULL};
-        wb_load_result_t one, two;
-        wb_load_run(&direct, &one);
-        wb_load_run(&through, &two);
-        added50[i] =
-            wb_samples_quantile(&two.first_token, 0.5) - wb_samples_quantile(&one.first_token, 0.5);
-        added99[i] = wb_samples_quantile(&two.first_token, 0.99) -
-                     wb_samples_quantile(&one.first_token, 0.99);
+        wb_load_plan_t through_node = {node_list, FALSE, "m1", 100, 40, 4000, NULL};
+        wb_load_result_t direct_result, node_result;
+        wb_load_run(&direct, &direct_result);
+        wb_load_run(&through_node, &node_result);
+        added_p50[i] = wb_samples_quantile(&node_result.first_token, 0.5) -
+                       wb_samples_quantile(&direct_result.first_token, 0.5);
+        added_p99[i] = wb_samples_quantile(&node_result.first_token, 0.99) -
+                       wb_samples_quantile(&direct_result.first_token, 0.99);
         printf("  pair %d: engine p50 %.2f p99 %.2f ms (%lld streams), node p50 %.2f p99 %.2f ms "
                "(%lld streams, %lld not whole)\n",
-               i + 1, wb_samples_quantile(&one.first_token, 0.5),
-               wb_samples_quantile(&one.first_token, 0.99), (long long)one.whole,
-               wb_samples_quantile(&two.first_token, 0.5),
-               wb_samples_quantile(&two.first_token, 0.99), (long long)two.whole,
-               (long long)(two.broken + two.refused));
-        wb_load_result_clear(&one);
-        wb_load_result_clear(&two);
+               i + 1, wb_samples_quantile(&direct_result.first_token, 0.5),
+               wb_samples_quantile(&direct_result.first_token, 0.99),
+               (long long)direct_result.whole, wb_samples_quantile(&node_result.first_token, 0.5),
+               wb_samples_quantile(&node_result.first_token, 0.99), (long long)node_result.whole,
+               (long long)(node_result.broken + node_result.refused));
+        wb_load_result_clear(&direct_result);
+        wb_load_result_clear(&node_result);
     }
     printf("first-token: a node adds %.2f ms at p50 and %.2f ms at p99 (medians of %d pairs, 100 "
            "open streams; aim 1 ms at p99)\n",
-           median(added50, PAIRS), median(added99, PAIRS), PAIRS);
+           median(added_p50, PAIRS), median(added_p99, PAIRS), PAIRS);
     cluster_stop(cluster);
 }
 
@@ -73,38 +73,38 @@
     g_autofree char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
         return -1;
-    const char *place = strstr(text, "VmRSS:");
-    return place != NULL ? atol(place + strlen("VmRSS:")) : -1;
+    const char *line = strstr(text, "VmRSS:");
+    return line != NULL ? atol(line + strlen("VmRSS:")) : -1;
 }
 
-/* User and system time of a process in seconds. */
+/* Returns the user and system time of a process in seconds. */
 static double process_cpu(pid_t pid) {
     g_autofree char *path = g_strdup_printf("/proc/%d/stat", (int)pid);
     g_autofree char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
         return 0.0;
-    const char *place = strrchr(text, ')');
+    const char *line = strrchr(text, ')');
     unsigned long user = 0, kernel = 0;
-    sscanf(place + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user, &kernel);
+    sscanf(line + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user, &kernel);
     return (double)(user + kernel) / (double)sysconf(_SC_CLK_TCK);
 }
 
 typedef struct memory_watch_t {
     pid_t pid;
     gint stop;
-    long most_kib;
+    long max_kib;
 } memory_watch_t;
 
 static gpointer memory_watch_run(gpointer data) {
     memory_watch_t *watch = data;
     while (!g_atomic_int_get(&watch->stop)) {
-        watch->most_kib = MAX(watch->most_kib, process_memory_kib(watch->pid));
+        watch->max_kib = MAX(watch->max_kib, process_memory_kib(watch->pid));
         g_usleep(100000);
     }
     return NULL;
 }
 
-/* One node with 1,000 open streams of 20 tokens a second each. */
+/* Throughput, CPU and memory of one node with 1,000 concurrent streams of 20 tokens/s each. */
 static void bench_streams(void) {
     cluster_options_t options = {.nodes = 1,
                                  .engines = 2,
@@ -130,7 +130,7 @@
         g_atomic_int_set(&watch.stop, 1);
         g_thread_join(thread);
         rates[i] = (double)result.events / result.seconds;
-        per_stream[i] = (double)(watch.most_kib - idle_kib) / 1000.0;
+        per_stream[i] = (double)(watch.max_kib - idle_kib) / 1000.0;
         whole += result.whole;
         not_whole += result.broken + result.refused;
         printf("  run %d: %.0f tokens/s, %lld streams whole, %lld not, gap p50 %.1f p95 %.1f p99 "
@@ -138,7 +138,7 @@
                i + 1, rates[i], (long long)result.whole,
                (long long)(result.broken + result.refused), wb_samples_quantile(&result.gaps, 0.5),
                wb_samples_quantile(&result.gaps, 0.95), wb_samples_quantile(&result.gaps, 0.99),
-               cpus[i], watch.most_kib);
+               cpus[i], watch.max_kib);
         wb_load_result_clear(&result);
     }
     printf("streams: %.0f tokens/s in 1,000 open streams (aim 20,000), %lld whole, %lld not, %.2f "
@@ -148,7 +148,7 @@
     cluster_stop(cluster);
 }
 
-/* Reads when an engine began and ended the load of a model. */
+/* Reads from the engines' logs when the load of a model began and ended. */
 static gboolean load_times(cluster_t *cluster, const char *model, gint64 *began_us,
                            gint64 *ended_us) {
     for (int i = 0; i < cluster->engine_count; i++) {
@@ -157,22 +157,22 @@
             continue;
         g_autofree char *began = g_strdup_printf(" loading %s -", model);
         g_autofree char *ended = g_strdup_printf(" loaded %s -", model);
-        char *place = strstr(text, began);
+        char *line = strstr(text, began);
         char *end = strstr(text, ended);
-        if (place == NULL || end == NULL)
+        if (line == NULL || end == NULL)
             continue;
-        while (place > text && place[-1] != ' ')
-            place--;
+        while (line > text && line[-1] != ' ')
+            line--;
         while (end > text && end[-1] != ' ')
             end--;
-        *began_us = g_ascii_strtoll(place, NULL, 10);
+        *began_us = g_ascii_strtoll(line, NULL, 10);
         *ended_us = g_ascii_strtoll(end, NULL, 10);
         return TRUE;
     }
     return FALSE;
 }
 
-/* What a wake adds to the engine's own load, when the weight store is free. */
+/* Overhead of loading on demand over the engine's own load time, with an idle weight store. */
 static void bench_wake(void) {
     enum { WAKES = 100 };
     cluster_options_t options = {.nodes = 3,
@@ -203,7 +203,7 @@
     cluster_stop(cluster);
 }
 
-/* 100 callers at 3 nodes ask for one cold model within 10 ms. */
+/* 100 clients request one cold model at 3 nodes within 10 ms. */
 static void bench_herd(void) {
     cluster_options_t options = {.nodes = 3, .engines = 4, .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
@@ -228,40 +228,40 @@
     cluster_stop(cluster);
 }
 
-/* When a node's log says that a version is in force, in ms of the day; -1 when it doesn't. */
+/* Returns the time at which a node's log reports a version in force, in ms of the day, or -1. */
 static double in_force_ms(const char *log, int64_t version) {
     g_autofree char *wanted =
         g_strdup_printf("config: Version %" G_GINT64_FORMAT " is in force.", (gint64)version);
-    const char *place = strstr(log, wanted);
-    if (place == NULL)
+    const char *line = strstr(log, wanted);
+    if (line == NULL)
         return -1.0;
-    while (place > log && place[-1] != '\n')
-        place--;
+    while (line > log && line[-1] != '\n')
+        line--;
     int hours, minutes;
     double seconds;
-    if (sscanf(place, "%*d-%*d-%*dT%d:%d:%lf", &hours, &minutes, &seconds) != 3)
+    if (sscanf(line, "%*d-%*d-%*dT%d:%d:%lf", &hours, &minutes, &seconds) != 3)
         return -1.0;
     return ((hours * 60.0 + minutes) * 60.0 + seconds) * 1000.0;
 }
 
-/* The time from the operator's call to the last of 12 nodes, for each of 100 changes. */
+/* Time from an operator's change until it is in force on the last node. */
 static void bench_config(void) {
     enum { CHANGES = 100, NODES = 12 };
     cluster_options_t options = {.nodes = NODES};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 10, 1);
     g_usleep(2000000);
-    double asked_ms[CHANGES];
+    double requested_ms[CHANGES];
     for (int i = 0; i < CHANGES; i++) {
         g_autofree char *set = g_strdup_printf("{\"owner/north\":{\"share\":%d}}", i + 10);
-        asked_ms[i] = (double)(g_get_real_time() / 1000 % 86400000);
+        requested_ms[i] = (double)(g_get_real_time() / 1000 % 86400000);
         if (declare(cluster, i % NODES, set) != 200)
             printf("  change %d was not accepted\n", i);
         g_usleep(50000);
     }
     g_usleep(3000000);
-    wb_samples_t spread;
-    wb_samples_init(&spread);
+    wb_samples_t delays;
+    wb_samples_init(&delays);
     int missing = 0;
     g_autofree char *logs[NODES];
     for (int i = 0; i < NODES; i++)
@@ -271,17 +271,17 @@
         for (int j = 0; j < NODES; j++) {
             double at_ms = in_force_ms(logs[j], i + 2);
             missing += at_ms < 0.0;
-            worst_ms = MAX(worst_ms, at_ms - asked_ms[i]);
+            worst_ms = MAX(worst_ms, at_ms - requested_ms[i]);
         }
-        wb_samples_add(&spread, worst_ms);
+        wb_samples_add(&delays, worst_ms);
     }
     printf("config: in force on all %d nodes after p50 %.0f p99 %.0f, worst of %d changes %.0f ms, "
            "%d missing (aim 2,000 ms)\n",
-           NODES, wb_samples_quantile(&spread, 0.5), wb_samples_quantile(&spread, 0.99), CHANGES,
-           wb_samples_quantile(&spread, 1.0), missing);
+           NODES, wb_samples_quantile(&delays, 0.5), wb_samples_quantile(&delays, 0.99), CHANGES,
+           wb_samples_quantile(&delays, 1.0), missing);
     for (int i = 1; i < NODES; i++)
         g_free(g_steal_pointer(&logs[i]));
-    wb_samples_clear(&spread);
+    wb_samples_clear(&delays);
     cluster_stop(cluster);
 }
 
@@ -290,8 +290,8 @@
     return owner >= 0 && owner != GPOINTER_TO_INT(context);
 }
 
-/* The owner is killed, again and again: until another node owns its cell, and until a cold model
- * that is asked for at that moment answers. */
+/* Time from the kill of a cell's owner until another node owns the cell, and until a cold model
+ * requested at that moment responds. */
 static void bench_takeover(void) {
     enum { KILLS = 20, NODES = 5 };
     cluster_options_t options = {.nodes = NODES,
@@ -305,7 +305,7 @@
     wb_samples_init(&answered);
     int failed = 0;
     for (int i = 0; i < KILLS; i++) {
-        g_usleep(3000000); /* the group is whole again */
+        g_usleep(3000000); /* until the group is complete again */
         int owner = cell_owner(cluster, "assistant/0");
         g_autofree char *model = g_strdup_printf("m%d", i + 1);
         int64_t killed_ms = harness_now_ms();
@@ -335,7 +335,7 @@
     cluster_stop(cluster);
 }
 
-/* An engine is killed with a loaded model; the next caller's answer needs a replica elsewhere. */
+/* Response time after the only engine with a loaded model is killed. */
 static void bench_engine(void) {
     enum { KILLS = 10 };
     cluster_options_t options = {.nodes = 3, .engines = 2, .node_flags = "--log-level=warning"};
@@ -354,7 +354,7 @@
             wb_samples_add(&replaced, answer->seconds * 1000.0);
         answer_free(answer);
         cluster_add_engine(cluster, "assistant");
-        g_usleep(2000000); /* the owner has read of the new engine */
+        g_usleep(2000000); /* until the owner has polled the new engine */
     }
     printf(
         "engine: a killed engine's replica answers elsewhere after p50 %.0f max %.0f ms (%u of %d "
@@ -366,11 +366,11 @@
     cluster_stop(cluster);
 }
 
-/* From the leaving mark in the platform to the last new request on the engine. */
+/* Time from an engine's leaving mark in the platform to its last new request. */
 static void bench_leaving(void) {
     enum { ROUNDS = 10 };
-    wb_samples_t last;
-    wb_samples_init(&last);
+    wb_samples_t last_request_delays;
+    wb_samples_init(&last_request_delays);
     for (int i = 0; i < ROUNDS; i++) {
         cluster_options_t options = {.nodes = 3, .engines = 2, .node_flags = "--log-level=warning"};
         cluster_t *cluster = cluster_start(&options);
@@ -381,20 +381,21 @@
         machine_leave(cluster, leaving);
         int64_t marked_ms = harness_now_ms(), last_ms = marked_ms;
         while (harness_now_ms() - marked_ms < 4000) {
-            int64_t asked_ms = harness_now_ms();
-            answer = chat(cluster->nodes[asked_ms % 3].callers_port, "m1", 2, NULL, NULL);
+            int64_t requested_ms = harness_now_ms();
+            answer = chat(cluster->nodes[requested_ms % 3].callers_port, "m1", 2, NULL, NULL);
             if (g_strcmp0(answer->engine, leaving) == 0)
-                last_ms = asked_ms;
+                last_ms = requested_ms;
             answer_free(answer);
         }
-        wb_samples_add(&last, (double)(last_ms - marked_ms));
+        wb_samples_add(&last_request_delays, (double)(last_ms - marked_ms));
         cluster_stop(cluster);
     }
     printf("leaving: the last new request reaches a leaving engine p50 %.0f max %.0f ms after the "
            "mark "
            "(%d rounds; the list is 500 ms late and read each second)\n",
-           wb_samples_quantile(&last, 0.5), wb_samples_quantile(&last, 1.0), ROUNDS);
-    wb_samples_clear(&last);
+           wb_samples_quantile(&last_request_delays, 0.5),
+           wb_samples_quantile(&last_request_delays, 1.0), ROUNDS);
+    wb_samples_clear(&last_request_delays);
 }
 
 static const struct {
--- a/tests/bench/dispatch.c
+++ b/tests/bench/dispatch.c
@@ -1,5 +1,5 @@
-/* How long it takes to choose an engine: 140 engines that hold two models each, one in nine of them
- * the model that is asked for. Usage: wb-bench-dispatch [ENGINES]. Prints microseconds a choice. */
+/* Benchmark of engine selection: engines with two loaded models each, HOLDERS of which hold the
+ * requested one. Usage: wb-bench-dispatch [ENGINES]. Prints microseconds per selection. */
 #include "request/request_types.h"
 
 #include <stdio.h>
@@ -8,7 +8,7 @@
 
 #define CHOICES 20000
 #define ENGINES 140
-/* Engines that hold the model: the busiest ones of the users' sheets have up to sixteen. */
+/* Engines that hold the requested model. */
 #define HOLDERS 16
 
 static void engines_add(wb_fleet_t *fleet, int count) {
@@ -64,13 +64,13 @@
     edge.wait_scale = wb_wait_scale_create();
     engines_add(edge.fleet, MAX(engines, 1));
     wb_exchange_t *exchange = exchange_create(&edge, wb_catalog_create(1));
-    wb_dispatch_decision_t sending;
+    wb_dispatch_decision_t decision;
     unsigned chosen = 0;
-    int64_t begun_us = wb_clock_us();
+    int64_t started_us = wb_clock_us();
     for (int i = 0; i < CHOICES; i++) {
-        chosen += wb_balancer_choose(&edge, exchange, 2000, &sending) != NULL;
+        chosen += wb_balancer_choose(&edge, exchange, 2000, &decision) != NULL;
     }
-    double each_us = (double)(wb_clock_us() - begun_us) / CHOICES;
+    double each_us = (double)(wb_clock_us() - started_us) / CHOICES;
     printf("%d engines: %.1f us a choice (%u of %d found one)\n", engines, each_us, chosen,
            CHOICES);
     return chosen == CHOICES ? 0 : 1;
--- a/tests/bench/scale.c
+++ b/tests/bench/scale.c
@@ -1,6 +1,7 @@
-/* The bench at scale: hollow nodes that share this process run the real links, membership,
- * configuration, groups and decisions over real sockets, against hollow engines and the platform
- * stand-in in processes of their own. Prints one line for each thing measured. */
+/* Benchmark of the control plane at scale. Hollow nodes run only the control plane and
+ * share this process: the real links, membership, configuration, groups and decisions, over
+ * sockets. Hollow engines and the platform stand-in run as separate processes. Prints one line per
+ * measurement. */
 #include "../harness/harness_types.h"
 
 #include "wickbridge/load.h"
@@ -76,14 +77,14 @@
     char *seeds;
 } scale_t;
 
-/* Work that must be done on a node's loop. */
+/* A call that must run on a node's loop thread. */
 typedef struct loop_call_t {
     void (*work)(hollow_node_t *node, void *context);
     hollow_node_t *node;
     void *context;
     GMutex *lock;
     GCond *changed;
-    int *open;
+    int *remaining;
 } loop_call_t;
 
 static void loop_call_run(void *context) {
@@ -91,27 +92,27 @@
     if (call->node->node != NULL)
         call->work(call->node, call->context);
     g_mutex_lock(call->lock);
-    (*call->open)--;
+    (*call->remaining)--;
     g_cond_signal(call->changed);
     g_mutex_unlock(call->lock);
     g_free(call);
 }
 
-/* Does something on every node's own loop, and waits for all. */
+/* Runs `work` on each node's loop thread and waits until all are done. */
 static void nodes_each(scale_t *scale, void (*work)(hollow_node_t *node, void *context),
                        void *context) {
     GMutex lock;
     GCond changed;
-    int open = scale->node_count;
+    int remaining = scale->node_count;
     g_mutex_init(&lock);
     g_cond_init(&changed);
     for (int i = 0; i < scale->node_count; i++) {
         loop_call_t *call = g_new(loop_call_t, 1);
-        *call = (loop_call_t){work, &scale->nodes[i], context, &lock, &changed, &open};
+        *call = (loop_call_t){work, &scale->nodes[i], context, &lock, &changed, &remaining};
         wb_loop_post(scale->nodes[i].loop, loop_call_run, call);
     }
     g_mutex_lock(&lock);
-    while (open > 0)
+    while (remaining > 0)
         g_cond_wait(&changed, &lock);
     g_mutex_unlock(&lock);
     g_mutex_clear(&lock);
@@ -264,10 +265,10 @@
     int at_version;
     int alive;
     int owned;
-    guint members_least;
+    guint members_min;
     int64_t bytes;
     int64_t table_operations;
-    double worst_bytes;
+    double max_bytes;
     const char *gone_node;
     int know_gone;
     GMutex lock;
@@ -297,22 +298,22 @@
     survey->alive++;
     survey->at_version += version >= survey->version;
     survey->owned += (int)owned;
-    survey->members_least = MIN(survey->members_least, up);
+    survey->members_min = MIN(survey->members_min, up);
     survey->bytes += bytes;
     survey->table_operations += wb_platform_table_operations(wb_node_platform(hollow->node));
-    survey->worst_bytes = MAX(survey->worst_bytes, (double)(bytes - hollow->bytes_before));
+    survey->max_bytes = MAX(survey->max_bytes, (double)(bytes - hollow->bytes_before));
     g_mutex_unlock(&survey->lock);
 }
 
-static survey_t survey_take(scale_t *scale, uint64_t version) {
-    survey_t survey = {.version = version, .members_least = G_MAXUINT};
+static survey_t survey_run(scale_t *scale, uint64_t version) {
+    survey_t survey = {.version = version, .members_min = G_MAXUINT};
     g_mutex_init(&survey.lock);
     nodes_each(scale, survey_work, &survey);
     g_mutex_clear(&survey.lock);
     return survey;
 }
 
-static void bytes_mark(hollow_node_t *hollow, void *context) {
+static void bytes_save(hollow_node_t *hollow, void *context) {
     (void)context;
     hollow->bytes_before = link_bytes(hollow->node);
 }
@@ -327,8 +328,8 @@
 static double memory_mib(void) {
     g_autofree char *text = NULL;
     g_file_get_contents("/proc/self/status", &text, NULL, NULL);
-    const char *place = strstr(text, "VmRSS:");
-    return place != NULL ? atof(place + strlen("VmRSS:")) / 1024.0 : 0.0;
+    const char *line = strstr(text, "VmRSS:");
+    return line != NULL ? atof(line + strlen("VmRSS:")) / 1024.0 : 0.0;
 }
 
 static int64_t http_bytes(const scale_t *scale) {
@@ -339,12 +340,12 @@
 }
 
 static gboolean all_joined(scale_t *scale) {
-    survey_t survey = survey_take(scale, 0);
-    return survey.members_least == (guint)survey.alive;
+    survey_t survey = survey_run(scale, 0);
+    return survey.members_min == (guint)survey.alive;
 }
 
 static gboolean all_owned(scale_t *scale) {
-    return survey_take(scale, 0).owned >= (int)scale->settings.cells;
+    return survey_run(scale, 0).owned >= (int)scale->settings.cells;
 }
 
 static double wait_for(scale_t *scale, gboolean (*condition)(scale_t *scale)) {
@@ -355,26 +356,26 @@
 }
 
 static void changes_measure(scale_t *scale) {
-    wb_samples_t spread;
-    wb_samples_init(&spread);
+    wb_samples_t delays;
+    wb_samples_init(&delays);
     uint64_t version = 1;
     for (int i = 0; i < (int)scale->settings.changes; i++) {
         int64_t started_ms = harness_now_ms();
         declare_at(&scale->nodes[i * 7 % scale->node_count],
                    json_pack("{s:{s:i}}", "owner/north", "share", i + 1));
         version++;
-        while (survey_take(scale, version).at_version < scale->node_count &&
+        while (survey_run(scale, version).at_version < scale->node_count &&
                harness_now_ms() - started_ms < WAIT_LIMIT_MS)
             g_usleep(2000);
-        wb_samples_add(&spread, (double)(harness_now_ms() - started_ms));
+        wb_samples_add(&delays, (double)(harness_now_ms() - started_ms));
     }
     printf("config: in force on all %d nodes after p50 %.0f ms, worst of %d changes %.0f ms\n",
-           scale->node_count, wb_samples_quantile(&spread, 0.5), (int)scale->settings.changes,
-           wb_samples_quantile(&spread, 1.0));
-    wb_samples_clear(&spread);
+           scale->node_count, wb_samples_quantile(&delays, 0.5), (int)scale->settings.changes,
+           wb_samples_quantile(&delays, 1.0));
+    wb_samples_clear(&delays);
 }
 
-/* A gateway's message to a cell's owner. */
+/* A gateway's demand for a model or adapter, sent to the cell's owner. */
 typedef struct wake_t {
     char model[32];
     char adapter[32];
@@ -418,16 +419,16 @@
     int adapter = number * 31 % MAX((int)scale->settings.adapters, 1);
     g_snprintf(call_data->wake.model, sizeof(call_data->wake.model), "m%d",
                adapter % (int)scale->settings.models);
-    if (number % 8 != 0) /* adapters are seven in eight of what wakes */
+    if (number % 8 != 0) /* seven in eight wakes are for adapters */
         g_snprintf(call_data->wake.adapter, sizeof(call_data->wake.adapter), "a%d", adapter);
     call_data->wake.waiting = waiting;
     wb_loop_post(call_data->node->loop, wake_run, call_data);
 }
 
-/* The steady part: heartbeats, polls, inventories, and wakes at the asked pace. */
+/* Measures traffic and CPU at steady state: heartbeats, polls, inventories and periodic wakes. */
 static void steady_measure(scale_t *scale) {
-    nodes_each(scale, bytes_mark, NULL);
-    survey_t before = survey_take(scale, 0);
+    nodes_each(scale, bytes_save, NULL);
+    survey_t before = survey_run(scale, 0);
     double cpu = cpu_seconds();
     int64_t http = http_bytes(scale);
     int64_t started_ms = harness_now_ms();
@@ -442,11 +443,11 @@
     }
     double seconds = (double)(harness_now_ms() - started_ms) / 1000.0;
     cpu = cpu_seconds() - cpu;
-    survey_t after = survey_take(scale, 0);
+    survey_t after = survey_run(scale, 0);
     double nodes = scale->node_count;
     printf("steady: links %.0f bytes/s a node (worst %.0f), platform and engines %.0f bytes/s a "
            "node, %.3f%% of a core a node, %.1f table operations/s\n",
-           (double)(after.bytes - before.bytes) / seconds / nodes, after.worst_bytes / seconds,
+           (double)(after.bytes - before.bytes) / seconds / nodes, after.max_bytes / seconds,
            (double)(http_bytes(scale) - http) / seconds / nodes, cpu / seconds / nodes * 100.0,
            (double)(after.table_operations - before.table_operations) / seconds);
 }
@@ -458,20 +459,20 @@
     hollow->node = NULL;
 }
 
-/* Kills all nodes of a zone at once. */
+/* Kills all nodes of a zone and measures the time until the rest has recovered. */
 static void failure_measure(scale_t *scale, int zone, const char *what) {
-    nodes_each(scale, bytes_mark, NULL);
+    nodes_each(scale, bytes_save, NULL);
     int64_t started_ms = harness_now_ms();
     nodes_each(scale, kill_work, &zone);
-    double seen_ms = wait_for(scale, all_joined);
-    double healed_ms = seen_ms;
+    double joined_ms = wait_for(scale, all_joined);
+    double healed_ms = joined_ms;
     wait_for(scale, all_owned);
     healed_ms = (double)(harness_now_ms() - started_ms);
-    survey_t survey = survey_take(scale, 0);
+    survey_t survey = survey_run(scale, 0);
     printf(
         "%s: %d nodes left; all know after %.0f ms, every cell has an owner after %.0f ms; worst "
         "node %.0f link bytes in that time\n",
-        what, survey.alive, seen_ms, healed_ms, survey.worst_bytes);
+        what, survey.alive, joined_ms, healed_ms, survey.max_bytes);
 }
 
 typedef struct owned_t {
@@ -487,8 +488,8 @@
     g_mutex_unlock(&owned->lock);
 }
 
-/* How the cells lie on the nodes. */
-static void spread_print(scale_t *scale, const char *when) {
+/* Prints how cells are distributed over nodes. */
+static void distribution_print(scale_t *scale, const char *when) {
     owned_t owned;
     g_mutex_init(&owned.lock);
     wb_samples_init(&owned.cells);
@@ -505,7 +506,7 @@
     gboolean planned;
 } replacement_t;
 
-/* The machine is reclaimed, and another one comes at the same address. */
+/* The node is stopped, and another is started at the same address. */
 static void replacement_run(void *context) {
     replacement_t *replacement = context;
     hollow_node_t *hollow = &replacement->scale->nodes[replacement->index];
@@ -522,12 +523,12 @@
     g_free(replacement);
 }
 
-/* An ordinary day's replacements in a short time. */
+/* Replaces nodes at a fixed rate and measures recovery and link traffic. */
 static void replacements_measure(scale_t *scale) {
     int count = (int)scale->settings.replacements;
     if (count == 0)
         return;
-    nodes_each(scale, bytes_mark, NULL);
+    nodes_each(scale, bytes_save, NULL);
     int64_t started_ms = harness_now_ms();
     for (int i = 0; i < count; i++) {
         replacement_t *replacement = g_new(replacement_t, 1);
@@ -538,11 +539,11 @@
     double joined_ms = wait_for(scale, all_joined);
     double owned_ms = joined_ms + wait_for(scale, all_owned);
     double seconds = (double)(harness_now_ms() - started_ms) / 1000.0;
-    survey_t survey = survey_take(scale, 0);
+    survey_t survey = survey_run(scale, 0);
     printf(
         "replacements: %d of %d nodes in %.0f s, half planned; after the last one all know all in "
         "%.0f ms and every cell has an owner in %.0f ms; worst node %.0f link bytes/s meanwhile\n",
-        count, scale->node_count, seconds, joined_ms, owned_ms, survey.worst_bytes / seconds);
+        count, scale->node_count, seconds, joined_ms, owned_ms, survey.max_bytes / seconds);
 }
 
 int main(int argc, char **argv) {
@@ -580,11 +581,11 @@
     changes_measure(&scale);
     steady_measure(&scale);
     replacements_measure(&scale);
-    spread_print(&scale, "before the zone goes");
+    distribution_print(&scale, "before the zone goes");
     failure_measure(&scale, 1, "zone gone");
-    spread_print(&scale, "after it");
+    distribution_print(&scale, "after it");
     fflush(stdout);
     process_kill(&scale.engines);
     process_kill(&scale.cluster.platform);
-    _exit(0); /* hundreds of nodes need no orderly end */
+    _exit(0); /* skips the shutdown of hundreds of nodes */
 }
--- a/tests/bench/ways.c
+++ b/tests/bench/ways.c
@@ -1,6 +1,6 @@
-/* Measures the way of control that was not taken: leases and decisions in the table service. One
- * process plays the owners of many cells against the real platform stand-in; docs/DESIGN.md
- * compares. */
+/* Benchmark of the rejected alternative for control: leases and decisions stored in the table
+ * service. One process simulates the owners of many cells against the platform stand-in. See
+ * docs/DESIGN.md for the comparison. */
 #include "../harness/harness_types.h"
 
 #include "wickbridge/load.h"
@@ -15,102 +15,104 @@
 #define CELLS 44
 #define LEASE_MS 3000
 #define RENEW_MS 1000
-#define DECISIONS_PER_S 4 /* over all cells; slots and their removal */
+#define DECISIONS_PER_S 4 /* all cells together */
 #define RUN_MS 20000
 
-typedef struct ways_t {
+typedef struct table_control_t {
     wb_loop_t *loop;
     wb_platform_t *platform;
     int64_t versions[CELLS]; /* of the lease rows */
     gboolean renewing[CELLS];
     int renewals;
-    int lost_renewals;
+    int failed_renewals;
     wb_samples_t commits;
     int failed_commits;
     gint stopped;
-} ways_t;
+} table_control_t;
 
-typedef struct ways_call_t {
-    ways_t *ways;
+typedef struct table_call_t {
+    table_control_t *control;
     int cell;
     int64_t started_ms;
-} ways_call_t;
+} table_call_t;
 
-static ways_call_t *call_create(ways_t *ways, int cell) {
-    ways_call_t *created = g_new0(ways_call_t, 1);
-    created->ways = ways;
-    created->cell = cell;
-    created->started_ms = wb_clock_ms();
-    return created;
+static table_call_t *call_create(table_control_t *control, int cell) {
+    table_call_t *new_call = g_new0(table_call_t, 1);
+    new_call->control = control;
+    new_call->cell = cell;
+    new_call->started_ms = wb_clock_ms();
+    return new_call;
 }
 
 static void renewal_done(wb_platform_status_t status, const json_t *body, void *context) {
-    ways_call_t *renewal = context;
-    ways_t *ways = renewal->ways;
-    ways->renewing[renewal->cell] = FALSE;
+    table_call_t *renewal = context;
+    table_control_t *control = renewal->control;
+    control->renewing[renewal->cell] = FALSE;
     if (status == WB_PLATFORM_DONE) {
-        ways->versions[renewal->cell] = wb_json_integer(body, "version", 0);
-        ways->renewals++;
+        control->versions[renewal->cell] = wb_json_integer(body, "version", 0);
+        control->renewals++;
     } else
-        ways->lost_renewals++;
+        control->failed_renewals++;
     g_free(renewal);
 }
 
-static void renew(ways_t *ways, int cell) {
+static void lease_renew(table_control_t *control, int cell) {
     g_autofree char *key = g_strdup_printf("lease/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(key, ways->versions[cell]));
+    json_array_append_new(checks, wb_platform_check(key, control->versions[cell]));
     json_t *writes = json_array();
     json_array_append_new(writes,
                           wb_platform_write(key, json_pack("{s:s, s:I}", "owner", "node", "at",
                                                            (json_int_t)wb_clock_ms())));
-    ways->renewing[cell] = TRUE;
-    wb_platform_transact(ways->platform, checks, writes, renewal_done, call_create(ways, cell));
+    control->renewing[cell] = TRUE;
+    wb_platform_transact(control->platform, checks, writes, renewal_done,
+                         call_create(control, cell));
 }
 
-static void renew_all(void *context) {
-    ways_t *ways = context;
-    for (int i = 0; i < CELLS && !g_atomic_int_get(&ways->stopped); i++)
-        if (!ways->renewing[i])
-            renew(ways, i);
+static void leases_renew(void *context) {
+    table_control_t *control = context;
+    for (int i = 0; i < CELLS && !g_atomic_int_get(&control->stopped); i++)
+        if (!control->renewing[i])
+            lease_renew(control, i);
 }
 
 static void commit_done(wb_platform_status_t status, const json_t *body, void *context) {
     (void)body;
-    ways_call_t *commit = context;
+    table_call_t *commit = context;
     if (status == WB_PLATFORM_DONE)
-        wb_samples_add(&commit->ways->commits, (double)(wb_clock_ms() - commit->started_ms));
+        wb_samples_add(&commit->control->commits, (double)(wb_clock_ms() - commit->started_ms));
     else
-        commit->ways->failed_commits++;
+        commit->control->failed_commits++;
     g_free(commit);
 }
 
-/* A decision: one write of the cell's slots, under the lease. */
-static void decide(void *context) {
-    ways_t *ways = context;
-    static int turn;
-    int cell = turn++ % CELLS;
-    if (g_atomic_int_get(&ways->stopped) || ways->versions[cell] == 0)
+/* Commits a decision: one write of the cell's slots, conditional on the lease row. */
+static void decision_commit(void *context) {
+    table_control_t *control = context;
+    static int next_cell;
+    int cell = next_cell++ % CELLS;
+    if (g_atomic_int_get(&control->stopped) || control->versions[cell] == 0)
         return;
     g_autofree char *lease = g_strdup_printf("lease/%d", cell);
     g_autofree char *slots = g_strdup_printf("slots/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(lease, ways->versions[cell]));
+    json_array_append_new(checks, wb_platform_check(lease, control->versions[cell]));
     json_t *writes = json_array();
     json_array_append_new(writes, wb_platform_write(slots, json_pack("{s:s}", "m1", "e1")));
-    wb_platform_transact(ways->platform, checks, writes, commit_done, call_create(ways, cell));
+    wb_platform_transact(control->platform, checks, writes, commit_done,
+                         call_create(control, cell));
 }
 
-static void figures_print(const char *what, ways_t *ways) {
+static void statistics_print(const char *what, table_control_t *control) {
     printf(
         "%s: %.1f renewals/s (%d not done), decisions p50 %.0f p99 %.0f ms, %u done, %d failed\n",
-        what, ways->renewals / (RUN_MS / 1000.0), ways->lost_renewals,
-        wb_samples_quantile(&ways->commits, 0.5), wb_samples_quantile(&ways->commits, 0.99),
-        ways->commits.values->len, ways->failed_commits);
-    g_array_set_size(ways->commits.values, 0);
-    ways->renewals = 0;
-    ways->lost_renewals = 0;
-    ways->failed_commits = 0;
+        what, control->renewals / (RUN_MS / 1000.0), control->failed_renewals,
+        wb_samples_quantile(&control->commits, 0.5), wb_samples_quantile(&control->commits, 0.99),
+        control->commits.values->len, control->failed_commits);
+    g_array_set_size(control->commits.values, 0);
+    control->renewals = 0;
+    control->failed_renewals = 0;
+    control->failed_commits = 0;
 }
 
 static void fault_set(int port, const char *json) {
@@ -122,31 +124,31 @@
     curl_global_init(CURL_GLOBAL_ALL);
     cluster_options_t options = {.platform_flags = "--table-operations-per-s=200"};
     cluster_t *cluster = cluster_start(&options);
-    static ways_t ways;
+    static table_control_t control;
     wb_http_client_t *client;
     wb_error_t error;
     g_autofree char *address = g_strdup_printf("127.0.0.1:%d", cluster->platform_port);
-    wb_samples_init(&ways.commits);
-    if (wb_loop_create(&ways.loop, "ways", 64, &error) != APR_SUCCESS ||
+    wb_samples_init(&control.commits);
+    if (wb_loop_create(&control.loop, "ways", 64, &error) != APR_SUCCESS ||
         wb_http_client_start(&client, NULL, &error) != APR_SUCCESS)
         g_error("%s", error.message);
-    ways.platform = wb_platform_create(client, ways.loop, address, "http", 2000);
-    wb_loop_every(ways.loop, RENEW_MS, renew_all, &ways);
-    wb_loop_every(ways.loop, 1000 / DECISIONS_PER_S, decide, &ways);
-    wb_loop_start(ways.loop);
+    control.platform = wb_platform_create(client, control.loop, address, "http", 2000);
+    wb_loop_every(control.loop, RENEW_MS, leases_renew, &control);
+    wb_loop_every(control.loop, 1000 / DECISIONS_PER_S, decision_commit, &control);
+    wb_loop_start(control.loop);
     printf("leases in the table service: %d cells, renewed each %d ms, lapsed after %d ms; a "
            "successor "
            "that looks each %d ms takes over after %d to %d ms\n",
            CELLS, RENEW_MS, LEASE_MS, RENEW_MS, LEASE_MS, LEASE_MS + RENEW_MS);
     g_usleep(RUN_MS * 1000);
-    figures_print("table service up", &ways);
+    statistics_print("table service up", &control);
     fault_set(cluster->platform_port, "{\"table_delay_ms\":100}");
     g_usleep(RUN_MS * 1000);
-    figures_print("table service slow by 100 ms", &ways);
+    statistics_print("table service slow by 100 ms", &control);
     fault_set(cluster->platform_port, "{\"table\":\"refuse\"}");
     g_usleep(RUN_MS * 1000);
-    figures_print("table service away", &ways);
-    g_atomic_int_set(&ways.stopped, 1);
+    statistics_print("table service away", &control);
+    g_atomic_int_set(&control.stopped, 1);
     cluster_stop(cluster);
     return 0;
 }
--- a/tests/demo/demo.c
+++ b/tests/demo/demo.c
@@ -1,5 +1,5 @@
-/* The demo: an idle model is woken through two nodes at once, one node is killed in the middle, and
- * everyone gets the whole answer. Exits with 0 only then. */
+/* Demo: clients request an idle model through two nodes, one of which is killed while it responds.
+ * Exits with 0 only if all clients get the complete answer and the model had a single replica. */
 #include "../harness/harness.h"
 
 #include <curl/curl.h>
@@ -13,16 +13,17 @@
     int number;
     int node;
     gboolean whole;
-    gboolean fetched; /* from another node, by its key */
+    gboolean fetched; /* from another node, by idempotency key */
     double seconds;
 } caller_t;
 
 static answer_t *answer_fetch(const caller_t *caller, const char *key) {
     g_autofree char *path = g_strdup_printf("/v1/requests/%s?model=m1&stream=true", key);
-    int other = (caller->node + 1) % 3;
+    int other_node = (caller->node + 1) % 3;
     answer_t *answer = NULL;
     for (int i = 0; i < 10; i++) {
-        answer = call("GET", caller->cluster->nodes[other].callers_port, path, NULL, NULL, 60000);
+        answer =
+            call("GET", caller->cluster->nodes[other_node].callers_port, path, NULL, NULL, 60000);
         if (answer->status == 200)
             break;
         answer_free(answer);
--- a/tests/fuzz/sim_engine.c
+++ b/tests/fuzz/sim_engine.c
@@ -43,7 +43,7 @@
     return NULL;
 }
 
-static int64_t memory_used_bytes(const sim_engine_t *engine) {
+static int64_t memory_used(const sim_engine_t *engine) {
     int64_t used = 0;
     GHashTableIter models, adapters;
     gpointer model, adapter;
@@ -62,7 +62,7 @@
     copy->fence = engine->fence;
     copy->sequence = engine->sequence;
     copy->capacity_bytes = engine->capacity_bytes;
-    copy->used_bytes = memory_used_bytes(engine);
+    copy->used_bytes = memory_used(engine);
     copy->leaving = engine->draining;
     copy->batch = 8;
     GHashTableIter models, adapters;
@@ -100,7 +100,7 @@
         return FALSE;
     if (of_adapter && g_hash_table_contains(model->adapters, event->adapter))
         return TRUE;
-    if (memory_used_bytes(engine) + event->bytes_needed > engine->capacity_bytes) {
+    if (memory_used(engine) + event->bytes_needed > engine->capacity_bytes) {
         world->fault = "an order would have exceeded accelerator memory";
         return FALSE;
     }
@@ -237,7 +237,7 @@
             world->fault = "more replicas than decided";
     }
     for (int i = 0; i < world->engine_count; i++)
-        if (memory_used_bytes(&world->engines[i]) > world->engines[i].capacity_bytes)
+        if (memory_used(&world->engines[i]) > world->engines[i].capacity_bytes)
             world->fault = "accelerator memory is overcommitted";
     return world->fault;
 }
--- a/tests/integration/crowd.c
+++ b/tests/integration/crowd.c
@@ -1,4 +1,4 @@
-/* Many callers at once. */
+/* Runs many client requests concurrently, one thread each. */
 #include "integration.h"
 
 typedef struct crowd_thread_t {
@@ -6,7 +6,7 @@
     crowd_call_t call;
 } crowd_thread_t;
 
-static gpointer crowd_run(gpointer data) {
+static gpointer crowd_thread_run(gpointer data) {
     crowd_thread_t *thread = data;
     answer_t *answer =
         chat(thread->call.port, thread->call.model, thread->call.tokens, thread->call.extra, NULL);
@@ -26,7 +26,7 @@
         crowd_thread_t *thread = g_new(crowd_thread_t, 1);
         thread->crowd = crowd;
         thread->call = calls[i];
-        g_ptr_array_add(crowd->threads, g_thread_new("caller", crowd_run, thread));
+        g_ptr_array_add(crowd->threads, g_thread_new("caller", crowd_thread_run, thread));
     }
     return crowd;
 }
--- a/tests/integration/test_config.c
+++ b/tests/integration/test_config.c
@@ -1,4 +1,4 @@
-/* An accepted configuration is in force everywhere within seconds and never reverts. */
+/* An accepted configuration takes effect on all nodes within seconds and is never reverted. */
 #include "integration.h"
 
 #include <string.h>
@@ -19,21 +19,21 @@
                 30000);
 }
 
-typedef struct racer_t {
+typedef struct concurrent_change_t {
     cluster_t *cluster;
     int node;
     int share;
     int64_t base;
     answer_t *answer;
-} racer_t;
+} concurrent_change_t;
 
-static gpointer racer_run(gpointer data) {
-    racer_t *racer = data;
-    racer->answer = apply(racer->cluster, racer->node, "north", racer->share, racer->base);
+static gpointer concurrent_change_run(gpointer data) {
+    concurrent_change_t *change = data;
+    change->answer = apply(change->cluster, change->node, "north", change->share, change->base);
     return NULL;
 }
 
-/* Operators race from the same version: one wins, the others get a clear conflict. */
+/* Of concurrent changes based on the same version one is accepted, the others get 409. */
 static void test_racing_operators(void) {
     cluster_options_t options = {.nodes = 4};
     cluster_t *cluster = cluster_start(&options);
@@ -41,18 +41,18 @@
     for (int round = 0; round < 5; round++) {
         int64_t base = node_config_version(cluster, 0);
         g_assert_true(eventually(version_is_everywhere, cluster, &base, 20000));
-        racer_t racers[4];
+        concurrent_change_t changes[4];
         GThread *threads[4];
         for (int i = 0; i < 4; i++) {
-            racers[i] = (racer_t){cluster, i, 10 * (round + 1) + i, base, NULL};
-            threads[i] = g_thread_new("operator", racer_run, &racers[i]);
+            changes[i] = (concurrent_change_t){cluster, i, 10 * (round + 1) + i, base, NULL};
+            threads[i] = g_thread_new("operator", concurrent_change_run, &changes[i]);
         }
         int won = 0, conflicts = 0;
         for (int i = 0; i < 4; i++) {
             g_thread_join(threads[i]);
-            won += racers[i].answer->status == 200;
-            conflicts += racers[i].answer->status == 409;
-            answer_free(racers[i].answer);
+            won += changes[i].answer->status == 200;
+            conflicts += changes[i].answer->status == 409;
+            answer_free(changes[i].answer);
         }
         g_assert_cmpint(won, ==, 1);
         g_assert_cmpint(conflicts, ==, 3);
@@ -63,7 +63,7 @@
     cluster_stop(cluster);
 }
 
-/* The table service took the change and its answer was lost: the operator is told the truth. */
+/* If the table service's response is lost, the operator must not get a wrong result. */
 static void test_accepted_answer_lost(void) {
     cluster_options_t options = {.nodes = 2, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -77,7 +77,7 @@
         int64_t accepted = before + 1;
         if (answer->status == 200)
             g_assert_true(eventually(version_is_everywhere, cluster, &accepted, 20000));
-        else if (answer->status == 503) /* nothing was accepted */
+        else if (answer->status == 503) /* the change was not accepted */
             g_assert_cmpint(node_config_version(cluster, 0), ==, before);
         else
             g_assert_cmpint(answer->status, ==, 502);
@@ -87,7 +87,7 @@
     cluster_stop(cluster);
 }
 
-/* A node that starts while the platform is away learns the configuration from the others. */
+/* A node that starts while the platform is unavailable gets the configuration from its peers. */
 static void test_nodes_replaced_while_the_platform_is_away(void) {
     cluster_options_t options = {.nodes = 4, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
@@ -119,7 +119,7 @@
     cluster_stop(cluster);
 }
 
-/* A lone node that can't learn the newest configuration refuses work. */
+/* A single node that can't read the current configuration refuses requests. */
 static void test_lone_node_without_platform_refuses(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
@@ -141,7 +141,8 @@
     cluster_stop(cluster);
 }
 
-/* The object store is away while more changes are accepted than fit between two snapshots. */
+/* No accepted change is lost if the object store is unavailable for more changes than fit between
+ * two snapshots. */
 static void test_object_store_away(void) {
     cluster_options_t options = {.nodes = 2};
     cluster_t *cluster = cluster_start(&options);
@@ -167,7 +168,7 @@
     g_assert_cmpint(version, ==, 111);
     for (int i = 0; i < 3; i++)
         process_kill(&cluster->nodes[i].process);
-    /* All nodes are new: the newest version comes from the platform alone. */
+    /* All nodes are restarted, so only the platform has the current version. */
     node_start(cluster, 0);
     node_start(cluster, 1);
     g_assert_true(eventually(version_is_everywhere, cluster, &version, 20000));
--- a/tests/integration/test_once.c
+++ b/tests/integration/test_once.c
@@ -1,4 +1,4 @@
-/* Requests that may not be repeated run at most once, and "not run" is true. */
+/* Non-repeatable requests run at most once, and the verdict "not-run" is never wrong. */
 #include "integration.h"
 
 #include <signal.h>
@@ -12,7 +12,7 @@
     return call("POST", port, lock_path, headers, body, 60000);
 }
 
-/* What an answer says and what the engines did must agree. */
+/* The answer must agree with what the engines ran. */
 static void answer_check(cluster_t *cluster, const answer_t *answer, const char *body) {
     int runs = runs_of(cluster, body);
     g_assert_cmpint(runs, <=, 1);
@@ -51,24 +51,24 @@
     const char *body;
 } hold_thread_t;
 
-static gpointer hold_run(gpointer data) {
-    const hold_thread_t *thread = data;
-    return hold(thread->port, thread->key, thread->body);
+static gpointer hold_thread_run(gpointer data) {
+    const hold_thread_t *request = data;
+    return hold(request->port, request->key, request->body);
 }
 
-/* The caller's node is killed while the request runs; the retry gets the first run's answer. */
+/* A retry after the client's node was killed must return the first run's answer, not run again. */
 static void test_node_killed_while_it_runs(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2, .engine_flags = "--call-ms=2500"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 0, 1);
     int owner = cell_owner(cluster, "seat-lock/0");
     for (int round = 0; round < 2; round++) {
-        /* once a plain gateway, once the owner of the cell itself */
+        /* first a gateway, then the owner of the cell */
         int victim = round == 0 ? (owner + 1) % 4 : owner;
         g_autofree char *body = g_strdup_printf("{\"round\":%d}", round);
         g_autofree char *key = g_strdup_printf("round-%d", round);
-        hold_thread_t thread = {cluster->nodes[victim].callers_port, key, body};
-        GThread *caller = g_thread_new("caller", hold_run, &thread);
+        hold_thread_t request = {cluster->nodes[victim].callers_port, key, body};
+        GThread *caller = g_thread_new("caller", hold_thread_run, &request);
         g_usleep(1000000);
         process_kill(&cluster->nodes[victim].process);
         answer_t *cut = g_thread_join(caller);
@@ -85,7 +85,7 @@
     cluster_stop(cluster);
 }
 
-/* A frozen node thaws after its caller has retried elsewhere. */
+/* A node that resumes after the client retried elsewhere must not run the request again. */
 static void test_frozen_node_thaws(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2};
     cluster_t *cluster = cluster_start(&options);
@@ -93,8 +93,8 @@
     int owner = cell_owner(cluster, "seat-lock/0");
     int frozen = (owner + 1) % 4;
     process_signal(&cluster->nodes[frozen].process, SIGSTOP);
-    hold_thread_t thread = {cluster->nodes[frozen].callers_port, "kf", "{\"frozen\":1}"};
-    GThread *caller = g_thread_new("caller", hold_run, &thread);
+    hold_thread_t request = {cluster->nodes[frozen].callers_port, "kf", "{\"frozen\":1}"};
+    GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(300000);
     answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, "kf", "{\"frozen\":1}");
     answer_print(retry);
@@ -109,7 +109,7 @@
     cluster_stop(cluster);
 }
 
-/* The connection to the engine is cut behind each byte of the request, then of the answer. */
+/* Cuts the connection to the engine after every `step` bytes up to `last`. */
 static void cut_at_bytes(const char *fault, int last, int step, gboolean keyed) {
     cluster_options_t options = {
         .nodes = 2, .lock_engines = 1, .proxied = TRUE, .engine_flags = "--call-ms=0"};
@@ -139,13 +139,13 @@
     cut_at_bytes("cut_answer", 260, 1, TRUE);
 }
 
-/* The engine ran the request and died before it answered. */
+/* If the engine dies before it responds, the verdict must be "may-have-run". */
 static void test_engine_dies_before_answering(void) {
     cluster_options_t options = {.nodes = 2, .lock_engines = 2, .engine_flags = "--call-ms=3000"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 0, 1);
-    hold_thread_t thread = {cluster->nodes[0].callers_port, "kd", "{\"dies\":1}"};
-    GThread *caller = g_thread_new("caller", hold_run, &thread);
+    hold_thread_t request = {cluster->nodes[0].callers_port, "kd", "{\"dies\":1}"};
+    GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(1000000);
     g_assert_cmpint(runs_of(cluster, "{\"dies\":1}"), ==, 1);
     for (int i = 0; i < cluster->engine_count; i++)
@@ -162,7 +162,7 @@
     cluster_stop(cluster);
 }
 
-/* The table service is away: keys are still claimed, among the nodes. */
+/* Keys must stay effective while the table service is unavailable: the nodes hold the claims. */
 static void test_once_without_the_table_service(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2};
     cluster_t *cluster = cluster_start(&options);
@@ -183,8 +183,8 @@
     cluster_stop(cluster);
 }
 
-/* The engine has forgotten the first run by the time of the retry: nobody may conclude that it
- * never happened. */
+/* A retry after the engine has discarded its record of the first run must not be treated as the
+ * first attempt. */
 static void test_retry_after_the_engine_forgot(void) {
     cluster_options_t options = {.nodes = 4,
                                  .lock_engines = 2,
@@ -194,10 +194,10 @@
     declare_usual(cluster, 0, 1);
     int owner = cell_owner(cluster, "seat-lock/0");
     int victim = (owner + 1) % 4;
-    hold_thread_t thread = {cluster->nodes[victim].callers_port, "old", "{\"old\":1}"};
-    GThread *caller = g_thread_new("caller", hold_run, &thread);
+    hold_thread_t request = {cluster->nodes[victim].callers_port, "old", "{\"old\":1}"};
+    GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(800000);
-    process_kill(&cluster->nodes[victim].process); /* before it could tell the answer */
+    process_kill(&cluster->nodes[victim].process); /* before it forwards the answer */
     answer_free(g_thread_join(caller));
     g_usleep(5000000);
     answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, "old", "{\"old\":1}");
--- a/tests/integration/test_outages.c
+++ b/tests/integration/test_outages.c
@@ -1,10 +1,10 @@
-/* The platform away for long, a zone gone at once, a slow weight store. */
+/* Long platform outage, loss of a zone or of a group's majority, slow weight store. */
 #include "integration.h"
 
 #include <signal.h>
 #include <string.h>
 
-/* Models wake, run and fall idle while nothing of the platform answers, through a takeover. */
+/* Models are loaded and served during a platform outage, even if the cell's owner is lost. */
 static void test_platform_away_for_the_whole_run(void) {
     cluster_options_t options = {.nodes = 4, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
@@ -31,7 +31,7 @@
     cluster_stop(cluster);
 }
 
-/* One zone of three dies at once: nodes and engines. */
+/* The nodes and engines of one zone of three are lost at once. */
 static void test_zone_gone_at_once(void) {
     cluster_options_t options = {.nodes = 6, .engines = 6};
     cluster_t *cluster = cluster_start(&options);
@@ -56,7 +56,7 @@
     cluster_stop(cluster);
 }
 
-/* The weight store is ten times slower: waiting callers are served or refused, none is dropped. */
+/* With a slow weight store waiting clients are served or refused, never dropped. */
 static void test_slow_weight_store(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
@@ -75,7 +75,7 @@
     cluster_stop(cluster);
 }
 
-/* Most members of a cell's group die at once: it is founded again, and counts what is loaded. */
+/* A group that lost its majority is founded again and must account for loaded models. */
 static void test_majority_of_a_group_lost(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
@@ -97,7 +97,7 @@
     cluster_stop(cluster);
 }
 
-/* A node that reaches the platform but no other node must not take cells over. */
+/* A node that reaches the platform but no peers must not take over cells. */
 static void test_isolated_node_founds_nothing(void) {
     cluster_options_t options = {.nodes = 3, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
@@ -106,7 +106,7 @@
     int owner = cell_owner(cluster, "assistant/0");
     cluster->options.node_flags = "--cluster=another";
     int isolated = cluster_add_node(cluster);
-    g_usleep(9000000); /* longer than a cell without an owner is left alone */
+    g_usleep(9000000); /* longer than the takeover delay of a cell without an owner */
     g_assert_cmpint(cell_owner(cluster, "assistant/0"), ==, owner);
     process_kill(&cluster->nodes[isolated].process);
     answer_t *answer = chat(cluster->nodes[1].callers_port, "m1", 4, NULL, NULL);
--- a/tests/integration/test_partitions.c
+++ b/tests/integration/test_partitions.c
@@ -1,10 +1,10 @@
-/* Nodes are cut from each other, while both sides reach engines, platform and callers. */
+/* Network partitions between nodes, while both sides reach engines, platform and clients. */
 #include "integration.h"
 
 #include <string.h>
 
 #define NODES 5
-#define SMALLER 2 /* nodes 0 and 1 on one side, the other three on the other */
+#define MINORITY 2 /* nodes 0 and 1 are on one side, the others on the other */
 
 static gboolean all_members_alive(cluster_t *cluster, void *context) {
     (void)context;
@@ -14,7 +14,7 @@
     return TRUE;
 }
 
-/* Callers ask for cold models on both sides of a partition, through it and after it. */
+/* Requests on both sides of a partition must not load a model twice. */
 static void test_both_sides_ask(void) {
     cluster_options_t options = {.nodes = NODES, .engines = 4, .partitions = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -23,7 +23,7 @@
     answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
     answer_free(chat(cluster->nodes[4].callers_port, "m1", 4, NULL, NULL));
     static const char *const models[] = {"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"};
-    partition_set(cluster, SMALLER);
+    partition_set(cluster, MINORITY);
     crowd_call_t calls[16];
     for (int i = 0; i < 16; i++)
         calls[i] = (crowd_call_t){cluster->nodes[i % NODES].callers_port, models[i % 6], 4, NULL};
@@ -31,7 +31,7 @@
     crowd_join(crowd);
     g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, 16);
     crowd_free(crowd);
-    /* what is loaded is served on both sides */
+    /* loaded models are served on both sides */
     for (int i = 0; i < NODES; i += NODES - 1) {
         answer_t *answer = chat(cluster->nodes[i].callers_port, "m1", 4, NULL, NULL);
         answer_print(answer);
@@ -57,7 +57,7 @@
     return call("POST", port, "/v1/services/seat-lock/hold", headers, body, 30000);
 }
 
-/* Keys are used on both sides; a key runs at most once, and refusals are true. */
+/* A key used on both sides runs at most once, and both sides return the same answer. */
 static void test_keys_on_both_sides(void) {
     cluster_options_t options = {.nodes = NODES, .lock_engines = 2, .partitions = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -65,23 +65,23 @@
     g_assert_true(eventually(all_members_alive, cluster, NULL, 30000));
     answer_free(hold(cluster->nodes[0].callers_port, "warm-0", "{\"warm\":0}"));
     answer_free(hold(cluster->nodes[4].callers_port, "warm-4", "{\"warm\":4}"));
-    partition_set(cluster, SMALLER);
+    partition_set(cluster, MINORITY);
     int served = 0;
     for (int i = 0; i < 6; i++) {
         g_autofree char *key = g_strdup_printf("p%d", i);
         g_autofree char *body = g_strdup_printf("{\"partition\":%d}", i);
-        answer_t *one = hold(cluster->nodes[i % 2 == 0 ? 0 : 4].callers_port, key, body);
-        answer_t *two = hold(cluster->nodes[i % 2 == 0 ? 4 : 0].callers_port, key, body);
-        answer_print(one);
-        answer_print(two);
-        served += one->status == 200 || two->status == 200;
+        answer_t *first = hold(cluster->nodes[i % 2 == 0 ? 0 : 4].callers_port, key, body);
+        answer_t *second = hold(cluster->nodes[i % 2 == 0 ? 4 : 0].callers_port, key, body);
+        answer_print(first);
+        answer_print(second);
+        served += first->status == 200 || second->status == 200;
         g_assert_cmpint(runs_of(cluster, body), <=, 1);
-        if (one->status == 200 && two->status == 200)
-            g_assert_cmpstr(one->body, ==, two->body);
-        answer_free(one);
-        answer_free(two);
+        if (first->status == 200 && second->status == 200)
+            g_assert_cmpstr(first->body, ==, second->body);
+        answer_free(first);
+        answer_free(second);
     }
-    g_assert_cmpint(served, ==, 6); /* the side with the majority goes on */
+    g_assert_cmpint(served, ==, 6); /* the majority side continues to serve */
     partition_set(cluster, 0);
     g_assert_true(eventually(all_members_alive, cluster, NULL, 60000));
     for (int i = 0; i < 6; i++) {
@@ -96,17 +96,17 @@
     cluster_stop(cluster);
 }
 
-/* A configuration that was accepted during a partition is in force everywhere once it has healed;
- * the cut-off side learns it from the platform at the latest. */
+/* A configuration accepted during a partition must take effect on all nodes after it ends; the
+ * minority gets it from the platform at the latest. */
 static void test_configuration_after_healing(void) {
     cluster_options_t options = {
         .nodes = NODES, .partitions = TRUE, .node_flags = "--config-poll-ms=600000"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 1, 1);
     g_assert_true(eventually(all_members_alive, cluster, NULL, 30000));
-    partition_set(cluster, SMALLER);
+    partition_set(cluster, MINORITY);
     g_assert_cmpint(declare(cluster, 4, "{\"owner/north\":{\"share\":7}}"), ==, 200);
-    /* the other side's change is made on top of it, though nobody told it */
+    /* the other side must base its change on the first, which it did not receive */
     g_assert_cmpint(declare(cluster, 0, "{\"owner/coast\":{\"share\":9}}"), ==, 200);
     partition_set(cluster, 0);
     int64_t until_ms = harness_now_ms() + 60000;
--- a/tests/integration/test_path.c
+++ b/tests/integration/test_path.c
@@ -1,4 +1,4 @@
-/* The whole path: idle models woken, streams, adapters, opaque calls. */
+/* Request path end to end: loading on demand, streams, adapters, opaque calls, eviction. */
 #include "integration.h"
 
 #include <string.h>
@@ -21,7 +21,7 @@
     cluster_stop(cluster);
 }
 
-/* The herd: everyone asks for one cold model at every node. */
+/* Concurrent requests for one cold model at all nodes must load it only once. */
 static void test_herd_wakes_once(void) {
     cluster_options_t options = {.nodes = 3, .engines = 4};
     cluster_t *cluster = cluster_start(&options);
@@ -68,7 +68,7 @@
     g_assert_nonnull(strstr(answer->body, "\"path\":\"/hold\""));
     answer_free(answer);
     g_assert_cmpint(runs_of(cluster, "{\"seat\":12}"), ==, 1);
-    /* a path can't smuggle a header in */
+    /* header injection through the path */
     answer = call("POST", cluster->nodes[1].callers_port,
                   "/v1/services/seat-lock/x%0d%0aEngine-Model:%20other", NULL, "{}", 20000);
     g_assert_cmpint(answer->status, ==, 200);
@@ -77,7 +77,7 @@
     cluster_stop(cluster);
 }
 
-/* One engine, room for two models: the third wakes by sending an idle one away. */
+/* On a full engine a requested model is loaded by evicting an idle one. */
 static void test_idle_model_makes_room(void) {
     cluster_options_t options = {.nodes = 2, .engines = 1, .engine_flags = "--memory-mib=2100"};
     cluster_t *cluster = cluster_start(&options);
--- a/tests/integration/test_refusals.c
+++ b/tests/integration/test_refusals.c
@@ -1,4 +1,5 @@
-/* Wrong requests and requests that can't be served: clear answers, nothing run, node unharmed. */
+/* Malformed requests and requests without capacity are refused and not run, and the node keeps
+ * serving. */
 #include "integration.h"
 
 #include <errno.h>
@@ -8,13 +9,13 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-typedef struct bad_case_t {
+typedef struct invalid_request_t {
     const char *method;
     const char *path;
     const char *header;
     const char *body;
     long status;
-} bad_case_t;
+} invalid_request_t;
 
 static void test_bad_input(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1, .node_flags = "--body-limit-bytes=2000"};
@@ -23,8 +24,8 @@
     g_autofree char *large = g_strnfill(5000, 'x');
     g_autofree char *long_header =
         g_strconcat("X-Long: ", large, large, large, large, large, large, NULL);
-    static const char good[] = "{\"model\":\"m1\",\"messages\":[]}";
-    const bad_case_t cases[] = {
+    static const char valid_body[] = "{\"model\":\"m1\",\"messages\":[]}";
+    const invalid_request_t cases[] = {
         {"POST", "/v1/chat/completions", NULL, "{\"model\":", 400},
         {"POST", "/v1/chat/completions", NULL, "[]", 400},
         {"POST", "/v1/chat/completions", NULL, "{\"messages\":[]}", 400},
@@ -33,11 +34,11 @@
         {"POST", "/v1/chat/completions", NULL, "{\"model\":\"m1:nobody\",\"messages\":[]}", 404},
         {"POST", "/v1/completions", NULL, "{\"model\":\"m1\"}", 400},
         {"POST", "/v1/chat/completions", NULL, large, 413},
-        {"POST", "/v1/chat/completions", long_header, good, 431},
-        {"POST", "/v1/chat/completions", "Wickbridge-Deadline-Ms: soon", good, 400},
-        {"POST", "/v1/chat/completions", "Wickbridge-Deadline-Ms: -5", good, 400},
-        {"POST", "/v1/chat/completions", "Wickbridge-Repeatable: maybe", good, 400},
-        {"POST", "/v1/chat/completions", "Wickbridge-Owner: stranger", good, 400},
+        {"POST", "/v1/chat/completions", long_header, valid_body, 431},
+        {"POST", "/v1/chat/completions", "Wickbridge-Deadline-Ms: soon", valid_body, 400},
+        {"POST", "/v1/chat/completions", "Wickbridge-Deadline-Ms: -5", valid_body, 400},
+        {"POST", "/v1/chat/completions", "Wickbridge-Repeatable: maybe", valid_body, 400},
+        {"POST", "/v1/chat/completions", "Wickbridge-Owner: stranger", valid_body, 400},
         {"GET", "/v1/chat/completions", NULL, NULL, 405},
         {"DELETE", "/v1/models", NULL, NULL, 405},
         {"GET", "/v1/nothing", NULL, NULL, 404},
@@ -64,8 +65,8 @@
     cluster_stop(cluster);
 }
 
-/* Connects and sends a request's start, and no more. */
-static int sender_open(int port, const char *text) {
+/* Connects and sends an incomplete request. */
+static int stalled_sender_open(int port, const char *text) {
     int descriptor = socket(AF_INET, SOCK_STREAM, 0);
     struct sockaddr_in address = {.sin_family = AF_INET,
                                   .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
@@ -75,7 +76,7 @@
     return descriptor;
 }
 
-/* Callers that begin a request and fall silent are cut, and keep nobody else waiting. */
+/* Stalled senders are disconnected and don't delay other clients. */
 static void test_slow_senders(void) {
     enum { SENDERS = 50 };
     cluster_options_t options = {.nodes = 1, .engines = 1, .node_flags = "--sender-timeout-s=1"};
@@ -83,21 +84,22 @@
     declare_usual(cluster, 1, 1);
     int senders[SENDERS];
     for (int i = 0; i < SENDERS; i++)
-        senders[i] = sender_open(cluster->nodes[0].callers_port,
-                                 i % 2 == 0 ? "POST /v1/chat/comp"
-                                            : "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-                                              "Content-Length: 500\r\n\r\n{\"model\"");
+        senders[i] =
+            stalled_sender_open(cluster->nodes[0].callers_port,
+                                i % 2 == 0 ? "POST /v1/chat/comp"
+                                           : "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+                                             "Content-Length: 500\r\n\r\n{\"model\"");
     answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
     answer_print(answer);
     g_assert_true(answer_is_whole(answer, 4));
     answer_free(answer);
     for (int i = 0; i < SENDERS; i++) {
-        struct timeval limit = {.tv_sec = 30};
-        char rest[2048];
-        setsockopt(senders[i], SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-        /* an answer that tells of the time-out may come first; then the connection ends */
+        struct timeval timeout = {.tv_sec = 30};
+        char response[2048];
+        setsockopt(senders[i], SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+        /* a timeout response may precede the close */
         errno = 0;
-        while (recv(senders[i], rest, sizeof(rest), 0) > 0)
+        while (recv(senders[i], response, sizeof(response), 0) > 0)
             continue;
         g_assert_cmpint(errno, !=, EAGAIN);
         close(senders[i]);
@@ -105,13 +107,12 @@
     cluster_stop(cluster);
 }
 
-/* A wake that takes longer than the deadline is refused as soon as that is known. */
+/* A request whose load can't finish before its deadline is refused at once. */
 static void test_late_wake_is_refused_at_once(void) {
     cluster_options_t options = {.nodes = 2, .engines = 1, .engine_flags = "--load-slowdown=100"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 1, 1);
-    /* The owner learns nothing of the slowdown from its guess of 250 ms a GiB; a deadline below
-     * that guess can't be met. */
+    /* The owner estimates 250 ms per GiB, without the slowdown; the deadline is below that. */
     static const char *const headers[] = {"Wickbridge-Deadline-Ms: 150", NULL};
     answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, headers);
     g_assert_cmpint(answer->status, ==, 503);
@@ -121,23 +122,23 @@
     cluster_stop(cluster);
 }
 
-/* Without any engine there is nothing to wait for. */
+/* Without engines a request is refused early instead of waiting for its deadline. */
 static void test_no_capacity(void) {
     cluster_options_t options = {.nodes = 2, .engines = 0};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 1, 1);
-    g_usleep(2500000); /* a new owner first looks for engines */
+    g_usleep(2500000); /* a new owner first polls for engines */
     answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpstr(answer->verdict, ==, "not-run");
     g_assert_nonnull(answer->retry_after);
-    /* far from the deadline of 60 s */
+    /* well before the deadline of 60 s */
     g_assert_cmpfloat(answer->seconds, <, 20.0);
     answer_free(answer);
     cluster_stop(cluster);
 }
 
-/* All engines are full of models in use: waiting callers get their refusal, none is dropped. */
+/* If all engines are full of models in use, waiting clients are refused, never dropped. */
 static void test_burst_on_a_full_cell(void) {
     cluster_options_t options = {.nodes = 3,
                                  .engines = 1,
--- a/tests/integration/test_replicas.c
+++ b/tests/integration/test_replicas.c
@@ -1,4 +1,4 @@
-/* No more replicas than decided, and memory never overcommitted, while owners and engines fail. */
+/* Replica limits and engine memory are never exceeded while owners and engines fail. */
 #include "integration.h"
 
 #include <signal.h>
@@ -9,14 +9,14 @@
     return owner >= 0 && owner != GPOINTER_TO_INT(context);
 }
 
-/* The owner dies while its load is under way; its successor must not load a second replica. */
+/* The successor of an owner that dies during a load must not load a second replica. */
 static void test_owner_killed_in_mid_load(void) {
     cluster_options_t options = {.nodes = 4, .engines = 4, .engine_flags = "--load-slowdown=12"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 1, 1);
     int owner = cell_owner(cluster, "assistant/0");
-    int other = (owner + 1) % 4;
-    crowd_call_t calls[] = {{cluster->nodes[other].callers_port, "m1", 8, NULL},
+    int gateway = (owner + 1) % 4;
+    crowd_call_t calls[] = {{cluster->nodes[gateway].callers_port, "m1", 8, NULL},
                             {cluster->nodes[(owner + 2) % 4].callers_port, "m1", 8, NULL}};
     crowd_t *crowd = crowd_start(calls, 2);
     g_usleep(800000); /* the load takes 3 s */
@@ -30,19 +30,19 @@
     cluster_stop(cluster);
 }
 
-/* A frozen owner is succeeded; thawed, its orders are refused by the engines' fences. */
+/* Stale orders of a former owner that resumes must be refused by the engines' fences. */
 static void test_frozen_owner_thaws(void) {
     cluster_options_t options = {.nodes = 4, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 3, 1);
     int owner = cell_owner(cluster, "assistant/0");
     process_signal(&cluster->nodes[owner].process, SIGSTOP);
-    int other = (owner + 1) % 4;
-    answer_t *answer = chat(cluster->nodes[other].callers_port, "m1", 8, NULL, NULL);
+    int gateway = (owner + 1) % 4;
+    answer_t *answer = chat(cluster->nodes[gateway].callers_port, "m1", 8, NULL, NULL);
     answer_print(answer);
     g_assert_true(answer_is_whole(answer, 8));
     answer_free(answer);
-    crowd_call_t calls[] = {{cluster->nodes[other].callers_port, "m2", 8, NULL},
+    crowd_call_t calls[] = {{cluster->nodes[gateway].callers_port, "m2", 8, NULL},
                             {cluster->nodes[owner].callers_port, "m2", 8, NULL},
                             {cluster->nodes[owner].callers_port, "m3", 8, NULL}};
     process_signal(&cluster->nodes[owner].process, SIGCONT);
@@ -56,7 +56,7 @@
     cluster_stop(cluster);
 }
 
-/* Two takeovers in a row, with loads under way each time. */
+/* Two consecutive takeovers, each during loads. */
 static void test_two_takeovers_in_a_row(void) {
     cluster_options_t options = {
         .nodes = 5, .engines = 4, .engine_flags = "--load-slowdown=8 --memory-mib=2100"};
@@ -73,7 +73,7 @@
     process_kill(&cluster->nodes[first].process);
     g_assert_true(eventually(another_owner, cluster, GINT_TO_POINTER(first), 30000));
     int second = cell_owner(cluster, "assistant/0");
-    if (second != gateway) /* the callers' own node must stay */
+    if (second != gateway) /* the clients' node must stay up */
         process_kill(&cluster->nodes[second].process);
     crowd_join(crowd);
     g_assert_cmpint(crowd_whole(crowd, 6) + crowd_refused(crowd), ==, 6);
@@ -84,7 +84,7 @@
     cluster_stop(cluster);
 }
 
-/* The order takes effect and its answer is lost: the load counts, and is not ordered elsewhere. */
+/* If the response to a load order is lost, the model must not be loaded elsewhere too. */
 static void test_load_answer_lost(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -99,7 +99,7 @@
     cluster_stop(cluster);
 }
 
-/* A killed engine's replica is loaded again elsewhere, after its machine is known to be gone. */
+/* A killed engine's replica is loaded on another engine, once the machine list reports it gone. */
 static void test_killed_engine_is_replaced(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
@@ -120,7 +120,7 @@
     cluster_stop(cluster);
 }
 
-/* Many models and adapters, little memory, and the owner dies in between. */
+/* Memory is not overcommitted if the owner dies while many models compete for it. */
 static void test_memory_with_owner_lost(void) {
     cluster_options_t options = {
         .nodes = 4, .engines = 2, .engine_flags = "--memory-mib=3000 --load-slowdown=2"};
--- a/tests/integration/test_stops.c
+++ b/tests/integration/test_stops.c
@@ -1,4 +1,4 @@
-/* Leaving back ends get no new work, and planned stops cut off nothing. */
+/* Draining engines get no new requests, and planned stops interrupt none. */
 #include "integration.h"
 
 #include <signal.h>
@@ -11,7 +11,7 @@
     return -1;
 }
 
-/* The machine list says "leaving": a few seconds later nothing new goes there. */
+/* An engine that the machine list marks as leaving gets no new requests after a few seconds. */
 static void test_leaving_engine_gets_no_new_work(void) {
     cluster_options_t options = {.nodes = 2, .engines = 2};
     cluster_t *cluster = cluster_start(&options);
@@ -37,14 +37,14 @@
     cluster_stop(cluster);
 }
 
-/* SIGTERM to a node with streams open and requests waiting: all are answered whole. */
+/* On SIGTERM a node completes its open streams and waiting requests. */
 static void test_node_stop_cuts_off_nothing(void) {
     cluster_options_t options = {
         .nodes = 3, .engines = 2, .engine_flags = "--token-interval-ms=10 --load-slowdown=4"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, 2, 2);
     answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
-    int victim = cell_owner(cluster, "assistant/0"); /* the hardest one to lose */
+    int victim = cell_owner(cluster, "assistant/0"); /* its stop also needs a takeover */
     crowd_call_t calls[24];
     for (int i = 0; i < 24; i++)
         calls[i] = (crowd_call_t){cluster->nodes[victim].callers_port, i % 3 == 0 ? "m2" : "m1",
@@ -59,7 +59,7 @@
     cluster_stop(cluster);
 }
 
-/* SIGTERM to an engine: its streams end, new requests run elsewhere. */
+/* On SIGTERM an engine completes its streams; new requests run elsewhere. */
 static void test_engine_stop_cuts_off_nothing(void) {
     cluster_options_t options = {
         .nodes = 2, .engines = 3, .engine_flags = "--token-interval-ms=10"};
@@ -88,7 +88,7 @@
     cluster_stop(cluster);
 }
 
-/* Every node is replaced in turn, while callers go on. */
+/* A rolling restart of all nodes must not interrupt clients. */
 static void test_rolling_replacement(void) {
     cluster_options_t options = {.nodes = 3, .engines = 2};
     cluster_t *cluster = cluster_start(&options);
--- a/tests/integration/test_storm.c
+++ b/tests/integration/test_storm.c
@@ -1,4 +1,5 @@
-/* Two failures at once, again and again, while callers go on; only the promises are checked. */
+/* Repeated pairs of simultaneous failures under load. Checks only invariants: no wrong answer, no
+ * key run twice, no excess replica, no memory overcommitted, and recovery at the end. */
 #include "integration.h"
 
 #include <signal.h>
@@ -11,12 +12,12 @@
 #define CALLERS 6
 #define MODELS 6
 
-/* One thing that goes wrong, and what ends it. */
-typedef struct trouble_t {
-    void (*begin)(cluster_t *cluster, int which);
-    void (*end)(cluster_t *cluster, int which);
+/* A kind of failure, with functions to cause and to end it. */
+typedef struct failure_t {
+    void (*begin)(cluster_t *cluster, int target);
+    void (*end)(cluster_t *cluster, int target);
     const char *name;
-} trouble_t;
+} failure_t;
 
 typedef struct caller_t {
     cluster_t *cluster;
@@ -24,83 +25,83 @@
     gint *stop;
     int whole;
     int refused;
-    int unsure;
-    int cut; /* its node was killed */
+    int unknown;
+    int cut; /* connections lost or timed out */
     int wrong;
 } caller_t;
 
-static void node_kill(cluster_t *cluster, int which) {
-    process_kill(&cluster->nodes[which % NODES].process);
+static void node_kill(cluster_t *cluster, int target) {
+    process_kill(&cluster->nodes[target % NODES].process);
 }
 
-static void node_restart(cluster_t *cluster, int which) {
-    node_start(cluster, which % NODES);
+static void node_restart(cluster_t *cluster, int target) {
+    node_start(cluster, target % NODES);
 }
 
-static void node_freeze(cluster_t *cluster, int which) {
-    process_signal(&cluster->nodes[which % NODES].process, SIGSTOP);
+static void node_freeze(cluster_t *cluster, int target) {
+    process_signal(&cluster->nodes[target % NODES].process, SIGSTOP);
 }
 
-static void node_thaw(cluster_t *cluster, int which) {
-    process_signal(&cluster->nodes[which % NODES].process, SIGCONT);
+static void node_resume(cluster_t *cluster, int target) {
+    process_signal(&cluster->nodes[target % NODES].process, SIGCONT);
 }
 
-static void one_engine_kill(cluster_t *cluster, int which) {
-    int engine = which % cluster->engine_count;
+static void running_engine_kill(cluster_t *cluster, int target) {
+    int engine = target % cluster->engine_count;
     if (cluster->engines[engine].process.pid != 0)
         engine_kill(cluster, engine);
 }
 
-static void engine_replace(cluster_t *cluster, int which) {
-    cluster_add_engine(cluster, cluster->engines[which % cluster->engine_count].service);
+static void engine_replace(cluster_t *cluster, int target) {
+    cluster_add_engine(cluster, cluster->engines[target % cluster->engine_count].service);
 }
 
-static void engine_cut(cluster_t *cluster, int which) {
-    engine_fault(cluster, which % cluster->engine_count, "cut", 0, 0, 0);
+static void engine_cut(cluster_t *cluster, int target) {
+    engine_fault(cluster, target % cluster->engine_count, "cut", 0, 0, 0);
 }
 
-static void engine_drop(cluster_t *cluster, int which) {
-    engine_fault(cluster, which % cluster->engine_count, "drop_answer", 0, 0, 5);
+static void engine_drop(cluster_t *cluster, int target) {
+    engine_fault(cluster, target % cluster->engine_count, "drop_answer", 0, 0, 5);
 }
 
-static void engine_heal(cluster_t *cluster, int which) {
-    engine_fault(cluster, which % cluster->engine_count, "pass", 0, 0, 0);
+static void engine_heal(cluster_t *cluster, int target) {
+    engine_fault(cluster, target % cluster->engine_count, "pass", 0, 0, 0);
 }
 
-static void platform_hang(cluster_t *cluster, int which) {
-    (void)which;
+static void platform_hang(cluster_t *cluster, int target) {
+    (void)target;
     platform_faults(cluster, "{\"table\":\"hang\",\"machines\":\"hang\"}");
 }
 
-static void platform_heal(cluster_t *cluster, int which) {
-    (void)which;
+static void platform_heal(cluster_t *cluster, int target) {
+    (void)target;
     platform_faults(cluster, "{}");
 }
 
-static void nodes_cut(cluster_t *cluster, int which) {
-    partition_set(cluster, which % 2 + 1);
+static void nodes_cut(cluster_t *cluster, int target) {
+    partition_set(cluster, target % 2 + 1);
 }
 
-static void nodes_heal(cluster_t *cluster, int which) {
-    (void)which;
+static void nodes_heal(cluster_t *cluster, int target) {
+    (void)target;
     partition_set(cluster, 0);
 }
 
-static const trouble_t troubles[] = {
+static const failure_t failures[] = {
     {node_kill, node_restart, "node killed"},
-    {node_freeze, node_thaw, "node frozen"},
-    {one_engine_kill, engine_replace, "engine killed"},
+    {node_freeze, node_resume, "node frozen"},
+    {running_engine_kill, engine_replace, "engine killed"},
     {engine_cut, engine_heal, "engine cut off"},
     {engine_drop, engine_heal, "engine's answers lost"},
     {platform_hang, platform_heal, "platform silent"},
     {nodes_cut, nodes_heal, "nodes cut off"},
 };
 
-/* A chat: whole, refused with a reason, or cut with its node. */
-static void chat_once(caller_t *caller, int turn) {
-    g_autofree char *model = g_strdup_printf("m%d", (caller->number + turn) % MODELS + 1);
-    int port = caller->cluster->nodes[(caller->number * 3 + turn) % NODES].callers_port;
-    gboolean streamed = turn % 2 == 0;
+/* Sends a chat, which must be complete, refused with a reason, or cut off with its node. */
+static void chat_once(caller_t *caller, int iteration) {
+    g_autofree char *model = g_strdup_printf("m%d", (caller->number + iteration) % MODELS + 1);
+    int port = caller->cluster->nodes[(caller->number * 3 + iteration) % NODES].callers_port;
+    gboolean streamed = iteration % 2 == 0;
     g_autofree char *body = g_strdup_printf("{\"model\":\"%s\",\"max_tokens\":20,\"messages\":[{"
                                             "\"role\":\"user\",\"content\":\"Is there a "
                                             "seat?\"}]%s}",
@@ -109,10 +110,10 @@
     if (answer_is_whole(answer, 20))
         caller->whole++;
     else if (answer->status == 0)
-        caller->cut++; /* killed or frozen longer than this caller waits */
+        caller->cut++; /* the node was killed, or frozen beyond the client's timeout */
     else if (answer->status >= 500 && answer->verdict != NULL && answer->retry_after != NULL) {
         caller->refused += strcmp(answer->verdict, "not-run") == 0;
-        caller->unsure += strcmp(answer->verdict, "not-run") != 0;
+        caller->unknown += strcmp(answer->verdict, "not-run") != 0;
     } else {
         caller->wrong++;
         answer_print(answer);
@@ -120,13 +121,14 @@
     answer_free(answer);
 }
 
-/* A seat lock with a key: tried at several nodes until it is answered. */
-static void hold_once(caller_t *caller, int turn) {
-    g_autofree char *body = g_strdup_printf("{\"caller\":%d,\"turn\":%d}", caller->number, turn);
-    g_autofree char *header = g_strdup_printf("Idempotency-Key: c%d-%d", caller->number, turn);
+/* Sends a call with an idempotency key, retrying at other nodes until it succeeds. */
+static void hold_once(caller_t *caller, int iteration) {
+    g_autofree char *body =
+        g_strdup_printf("{\"caller\":%d,\"turn\":%d}", caller->number, iteration);
+    g_autofree char *header = g_strdup_printf("Idempotency-Key: c%d-%d", caller->number, iteration);
     const char *headers[] = {header, NULL};
     for (int try = 0; try < 4; try++) {
-        int port = caller->cluster->nodes[(caller->number + turn + try) % NODES].callers_port;
+        int port = caller->cluster->nodes[(caller->number + iteration + try) % NODES].callers_port;
         answer_t *answer = call("POST", port, "/v1/services/seat-lock/hold", headers, body, 5000);
         gboolean answered = answer->status == 200;
         if (answered && strstr(answer->body, body) == NULL &&
@@ -142,17 +144,17 @@
 
 static gpointer caller_run(gpointer data) {
     caller_t *caller = data;
-    for (int turn = 0; !g_atomic_int_get(caller->stop); turn++) {
-        chat_once(caller, turn);
-        hold_once(caller, turn);
+    for (int iteration = 0; !g_atomic_int_get(caller->stop); iteration++) {
+        chat_once(caller, iteration);
+        hold_once(caller, iteration);
     }
     return NULL;
 }
 
 static void keys_check(cluster_t *cluster) {
     for (int i = 0; i < CALLERS; i++) {
-        for (int turn = 0; turn < 400; turn++) {
-            g_autofree char *body = g_strdup_printf("{\"caller\":%d,\"turn\":%d}", i, turn);
+        for (int iteration = 0; iteration < 400; iteration++) {
+            g_autofree char *body = g_strdup_printf("{\"caller\":%d,\"turn\":%d}", i, iteration);
             int runs = runs_of(cluster, body);
             if (runs > 1)
                 g_error("%s ran %d times", body, runs);
@@ -169,7 +171,7 @@
                                  .engine_flags = "--memory-mib=3200"};
     cluster_t *cluster = cluster_start(&options);
     declare_usual(cluster, MODELS, 2);
-    const char *seed = g_getenv("WICKBRIDGE_STORM_SEED"); /* for longer trials by hand */
+    const char *seed = g_getenv("WICKBRIDGE_STORM_SEED"); /* for manual runs */
     GRand *random = g_rand_new_with_seed(seed != NULL ? (guint32)atoi(seed) : DEFAULT_SEED);
     gint stop = 0;
     caller_t callers[CALLERS];
@@ -179,27 +181,27 @@
         threads[i] = g_thread_new("caller", caller_run, &callers[i]);
     }
     for (int round = 0; round < ROUNDS; round++) {
-        int kinds[2], which[2];
+        int chosen[2], target[2];
         for (int i = 0; i < 2; i++) {
-            kinds[i] = g_rand_int_range(random, 0, G_N_ELEMENTS(troubles));
-            which[i] = g_rand_int_range(random, 0, 60);
+            chosen[i] = g_rand_int_range(random, 0, G_N_ELEMENTS(failures));
+            target[i] = g_rand_int_range(random, 0, 60);
         }
-        if (kinds[1] == kinds[0])
-            kinds[1] = (kinds[1] + 1) % (int)G_N_ELEMENTS(troubles);
-        g_test_message("round %d: %s and %s", round, troubles[kinds[0]].name,
-                       troubles[kinds[1]].name);
+        if (chosen[1] == chosen[0])
+            chosen[1] = (chosen[1] + 1) % (int)G_N_ELEMENTS(failures);
+        g_test_message("round %d: %s and %s", round, failures[chosen[0]].name,
+                       failures[chosen[1]].name);
         for (int i = 0; i < 2; i++)
-            troubles[kinds[i]].begin(cluster, which[i]);
+            failures[chosen[i]].begin(cluster, target[i]);
         g_usleep(2000000);
         for (int i = 1; i >= 0; i--)
-            troubles[kinds[i]].end(cluster, which[i]);
+            failures[chosen[i]].end(cluster, target[i]);
         g_usleep(500000);
     }
     g_atomic_int_set(&stop, 1);
     for (int i = 0; i < CALLERS; i++) {
         g_thread_join(threads[i]);
         g_test_message("caller %d: %d whole, %d refused, %d unsure, %d cut, %d wrong", i,
-                       callers[i].whole, callers[i].refused, callers[i].unsure, callers[i].cut,
+                       callers[i].whole, callers[i].refused, callers[i].unknown, callers[i].cut,
                        callers[i].wrong);
         g_assert_cmpint(callers[i].wrong, ==, 0);
         g_assert_cmpint(callers[i].whole, >, 0);
@@ -210,7 +212,7 @@
         g_assert_cmpint(most_replicas(cluster, model), <=, 2);
     }
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
-    /* all is whole again */
+    /* the cluster recovers */
     wait_ready(cluster);
     answer_t *answer = NULL;
     for (int i = 0; i < 20 && (answer == NULL || answer->status != 200); i++) {
--- a/tests/integration/test_streams.c
+++ b/tests/integration/test_streams.c
@@ -1,10 +1,10 @@
-/* Each caller gets the whole answer to its own request, or an explicit error. */
+/* Each client gets the complete answer to its own request, or an explicit error. */
 #include "integration.h"
 
 #include <signal.h>
 #include <string.h>
 
-/* The connection between node and engine is cut in mid stream, again and again. */
+/* Streams resume after the connection to the engine is cut. */
 static void test_cut_streams_are_resumed(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -20,7 +20,8 @@
     cluster_stop(cluster);
 }
 
-/* The engine dies in mid stream: the answer goes on elsewhere, and is that of one run. */
+/* If an engine dies during a stream, the answer continues from another engine without mixing
+ * runs. */
 static void test_engine_killed_in_mid_stream(void) {
     cluster_options_t options = {
         .nodes = 2, .engines = 2, .engine_flags = "--token-interval-ms=20"};
@@ -45,13 +46,13 @@
     cluster_stop(cluster);
 }
 
-static gpointer engine_kill_later(gpointer data) {
+static gpointer engine_kill_delayed(gpointer data) {
     g_usleep(1500000);
     engine_kill(data, 0);
     return NULL;
 }
 
-/* A stream that may not be repeated ends with an explicit error, never as if it were whole. */
+/* A lost non-repeatable stream must end with an explicit error, not as if complete. */
 static void test_lost_stream_ends_with_an_error(void) {
     cluster_options_t options = {
         .nodes = 1, .engines = 1, .engine_flags = "--token-interval-ms=20"};
@@ -59,17 +60,17 @@
     declare_usual(cluster, 1, 1);
     answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
     static const char *const headers[] = {"Wickbridge-Repeatable: no", NULL};
-    GThread *killer = g_thread_new("killer", engine_kill_later, cluster);
+    GThread *killer = g_thread_new("killer", engine_kill_delayed, cluster);
     answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 400, ",\"stream\":true", headers);
     g_thread_join(killer);
-    g_assert_cmpint(answer->status, ==, 0); /* cut behind the error */
+    g_assert_cmpint(answer->status, ==, 0); /* the connection is closed after the error */
     g_assert_nonnull(strstr(answer->body, "\"verdict\":\"may-have-run\""));
     g_assert_null(strstr(answer->body, "[DONE]"));
     answer_free(answer);
     cluster_stop(cluster);
 }
 
-/* Slow engines answer late and out of order; everyone still gets their own answer. */
+/* Answers must not be mixed up when a slow engine delays some of them. */
 static void test_answers_out_of_order(void) {
     cluster_options_t options = {.nodes = 2, .engines = 2, .lock_engines = 2, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
@@ -89,15 +90,15 @@
     cluster_stop(cluster);
 }
 
-static gpointer process_kill_later(gpointer data) {
+static gpointer process_kill_delayed(gpointer data) {
     g_usleep(1000000);
     process_kill(data);
     return NULL;
 }
 
-/* The events of a stream. Engines put comment lines between them, one a second, so that a quiet
- * stream can be told from a dead one: these come with the time, not with the answer. */
-static char *events_of(const char *body) {
+/* Returns a stream's body without the comment lines that engines insert each second as keepalives,
+ * whose number depends on timing. Caller owns the result. */
+static char *body_without_keepalives(const char *body) {
     GString *events = g_string_new(NULL);
     g_auto(GStrv) lines = g_strsplit(body, "\n", -1);
     for (int i = 0; lines[i] != NULL; i++) {
@@ -108,7 +109,7 @@
     return g_string_free(events, FALSE);
 }
 
-/* The caller's node dies; the answer is fetched from another one by its key. */
+/* If the client's node dies, the answer can be fetched by key from another node. */
 static void test_answer_fetched_from_another_node(void) {
     cluster_options_t options = {
         .nodes = 4, .engines = 1, .engine_flags = "--token-interval-ms=20"};
@@ -118,7 +119,7 @@
     int victim = (owner + 1) % 4;
     answer_free(chat(cluster->nodes[victim].callers_port, "m1", 4, NULL, NULL));
     static const char *const headers[] = {"Idempotency-Key: mine", NULL};
-    GThread *killer = g_thread_new("killer", process_kill_later, &cluster->nodes[victim].process);
+    GThread *killer = g_thread_new("killer", process_kill_delayed, &cluster->nodes[victim].process);
     answer_t *cut =
         chat(cluster->nodes[victim].callers_port, "m1", 100, ",\"stream\":true", headers);
     g_thread_join(killer);
@@ -127,8 +128,8 @@
                              "/v1/requests/mine?model=m1&stream=true", NULL, NULL, 30000);
     answer_print(fetched);
     g_assert_true(answer_is_whole(fetched, 100));
-    g_autofree char *before = events_of(cut->body);
-    g_autofree char *after = events_of(fetched->body);
+    g_autofree char *before = body_without_keepalives(cut->body);
+    g_autofree char *after = body_without_keepalives(fetched->body);
     g_assert_true(strncmp(after, before, strlen(before) / 2) == 0);
     answer_free(cut);
     answer_free(fetched);
--- a/tests/integration/test_tls.c
+++ b/tests/integration/test_tls.c
@@ -1,4 +1,4 @@
-/* Callers, operators and nodes are told apart, and TLS covers each link. */
+/* TLS on all links; clients, operators and nodes are authenticated separately. */
 #include "integration.h"
 
 #include <glib/gstdio.h>
@@ -13,41 +13,42 @@
     g_autofree char *command = g_strdup_vprintf(format, arguments);
     va_end(arguments);
     g_autofree char *line = g_strdup_printf("openssl %s", command);
-    g_auto(GStrv) words = g_strsplit(line, " ", -1);
+    g_auto(GStrv) argv = g_strsplit(line, " ", -1);
     int status = -1;
     g_assert_true(
-        g_spawn_sync(folder, words, NULL,
+        g_spawn_sync(folder, argv, NULL,
                      G_SPAWN_SEARCH_PATH | G_SPAWN_STDERR_TO_DEV_NULL | G_SPAWN_STDOUT_TO_DEV_NULL,
                      NULL, NULL, NULL, NULL, &status, NULL));
     g_assert_cmpint(status, ==, 0);
 }
 
-static void authority_make(const char *folder, const char *name) {
+static void authority_create(const char *folder, const char *name) {
     openssl(folder,
             "req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -days 30 -subj "
             "/CN=%s -keyout %s.key -out %s.pem",
             name, name, name);
 }
 
-static void certificate_make(const char *folder, const char *authority, const char *name) {
+static void certificate_create(const char *folder, const char *issuer, const char *name) {
     openssl(folder,
             "req -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -subj /CN=%s -keyout "
             "%s.key -out %s.csr",
             name, name, name);
     openssl(folder,
             "x509 -req -in %s.csr -CA %s.pem -CAkey %s.key -CAcreateserial -days 30 -out %s.pem",
-            name, authority, authority, name);
+            name, issuer, issuer, name);
 }
 
-/* "ca" signs nodes, engines and the platform; "operators" signs operators; "stranger" nobody. */
-static char *certificates_make(void) {
+/* "ca" signs nodes, engines and the platform, "operators" signs operators; "stranger" is not
+ * trusted. */
+static char *certificates_create(void) {
     char *folder = g_dir_make_tmp("wickbridge-tls-XXXXXX", NULL);
-    authority_make(folder, "ca");
-    authority_make(folder, "operators");
-    authority_make(folder, "stranger");
-    certificate_make(folder, "ca", "node");
-    certificate_make(folder, "stranger", "wrong");
-    certificate_make(folder, "operators", "caller");
+    authority_create(folder, "ca");
+    authority_create(folder, "operators");
+    authority_create(folder, "stranger");
+    certificate_create(folder, "ca", "node");
+    certificate_create(folder, "stranger", "wrong");
+    certificate_create(folder, "operators", "caller");
     return folder;
 }
 
@@ -71,14 +72,14 @@
 }
 
 static void test_each_link(void) {
-    char *folder = certificates_make();
-    g_autofree char *flags = node_flags(folder, "node");
+    char *folder = certificates_create();
+    g_autofree char *trusted_flags = node_flags(folder, "node");
     g_autofree char *server_flags =
         g_strdup_printf("--tls-key=%s/node.key --tls-certificate=%s/node.pem", folder, folder);
     g_autofree char *engine_flags = g_strconcat(server_flags, " --weights=", NULL);
     cluster_options_t options = {.nodes = 3,
                                  .engines = 2,
-                                 .node_flags = flags,
+                                 .node_flags = trusted_flags,
                                  .engine_flags = engine_flags,
                                  .platform_flags = server_flags};
     harness_tls_folder = folder;
@@ -88,18 +89,18 @@
     answer_print(answer);
     g_assert_true(answer_is_whole(answer, 8));
     answer_free(answer);
-    /* callers don't reach the operators' paths */
+    /* the operators' API is not served on the clients' port */
     answer = call("GET", cluster->nodes[0].callers_port, "/operators/v1/config", NULL, NULL, 5000);
     g_assert_cmpint(answer->status, ==, 404);
     answer_free(answer);
-    /* a node with a stranger's certificate doesn't get in, and takes no work */
-    g_autofree char *wrong = node_flags(folder, "wrong");
-    cluster->options.node_flags = wrong;
-    node_launch(cluster, 3); /* its operators' interface would not be trusted by the harness */
+    /* a node with an untrusted certificate can't join */
+    g_autofree char *untrusted_flags = node_flags(folder, "wrong");
+    cluster->options.node_flags = untrusted_flags;
+    node_launch(cluster, 3); /* not node_start: the harness would not trust its operators' port */
     g_usleep(1500000);
     g_assert_cmpint(members_alive(cluster, 0), ==, 3);
     process_kill(&cluster->nodes[3].process);
-    /* without a certificate of the operators' authority: a clear refusal */
+    /* a request without an operator's certificate is refused */
     g_autofree char *certificate = g_build_filename(folder, "caller.pem", NULL);
     g_unlink(certificate);
     answer =
--- a/tests/integration/test_wickctl.c
+++ b/tests/integration/test_wickctl.c
@@ -1,38 +1,39 @@
-/* The operators' command: exit codes, places of faults, text and JSON. */
+/* wickctl: exit codes, error locations, text and JSON output. */
 #include "integration.h"
 
 #include <glib/gstdio.h>
 #include <string.h>
 #include <sys/wait.h>
 
-typedef struct run_t {
+typedef struct command_result_t {
     int code;
     char *output;
     char *errors;
-} run_t;
+} command_result_t;
 
-static run_t wickctl(cluster_t *cluster, const char *words) {
-    run_t run = {0};
+static command_result_t wickctl(cluster_t *cluster, const char *command) {
+    command_result_t result = {0};
     g_autofree char *line = g_strdup_printf("%s/wickctl %s --node=127.0.0.1:%d", cluster->build,
-                                            words, cluster->nodes[0].operators_port);
+                                            command, cluster->nodes[0].operators_port);
     g_auto(GStrv) arguments = g_strsplit(line, " ", -1);
     int status = -1;
-    g_assert_true(g_spawn_sync(NULL, arguments, NULL, G_SPAWN_DEFAULT, NULL, NULL, &run.output,
-                               &run.errors, &status, NULL));
-    run.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-    g_test_message("%s: %d %s%s", words, run.code, run.output, run.errors);
-    return run;
+    g_assert_true(g_spawn_sync(NULL, arguments, NULL, G_SPAWN_DEFAULT, NULL, NULL, &result.output,
+                               &result.errors, &status, NULL));
+    result.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    g_test_message("%s: %d %s%s", command, result.code, result.output, result.errors);
+    return result;
 }
 
-/* Runs a command and checks its exit code and what it prints, on either output. */
-static void expect(cluster_t *cluster, const char *words, int code, const char *text) {
-    run_t run = wickctl(cluster, words);
-    g_assert_cmpint(run.code, ==, code);
-    g_autofree char *all = g_strconcat(run.output, run.errors, NULL);
+/* Runs a command and checks its exit code and that stdout or stderr contains `text` (may be NULL).
+ */
+static void command_expect(cluster_t *cluster, const char *command, int code, const char *text) {
+    command_result_t result = wickctl(cluster, command);
+    g_assert_cmpint(result.code, ==, code);
+    g_autofree char *combined = g_strconcat(result.output, result.errors, NULL);
     if (text != NULL)
-        g_assert_nonnull(strstr(all, text));
-    g_free(run.output);
-    g_free(run.errors);
+        g_assert_nonnull(strstr(combined, text));
+    g_free(result.output);
+    g_free(result.errors);
 }
 
 static void file_write(const char *folder, const char *text) {
@@ -53,35 +54,35 @@
     g_autofree char *apply_prune = g_strdup_printf("apply -f %s --prune", folder);
     g_autofree char *diff = g_strdup_printf("diff -f %s", folder);
     g_autofree char *policy = g_strdup_printf("policy test soon -f %s", folder);
-    expect(cluster, apply, 4, "there are no .yaml files");
+    command_expect(cluster, apply, 4, "there are no .yaml files");
     file_write(folder, declarations);
-    expect(cluster, diff, 5, "+ model/m1");
-    expect(cluster, apply, 0, "accepted: version 1");
-    expect(cluster, apply, 0, "unchanged: version 1");
-    expect(cluster, diff, 0, NULL);
-    expect(cluster, "get model", 0, "memory_mib: 100");
-    expect(cluster, "get model/nobody", 1, NULL);
-    expect(cluster, "get -o json", 0, "\"service/assistant\"");
-    expect(cluster, "history", 0, "set model/m1");
-    expect(cluster, "status", 0, "ready");
-    expect(cluster, "status -o json", 0, "\"config_version\": 1");
-    expect(cluster, policy, 0, "keep_alive_ms 5000");
+    command_expect(cluster, diff, 5, "+ model/m1");
+    command_expect(cluster, apply, 0, "accepted: version 1");
+    command_expect(cluster, apply, 0, "unchanged: version 1");
+    command_expect(cluster, diff, 0, NULL);
+    command_expect(cluster, "get model", 0, "memory_mib: 100");
+    command_expect(cluster, "get model/nobody", 1, NULL);
+    command_expect(cluster, "get -o json", 0, "\"service/assistant\"");
+    command_expect(cluster, "history", 0, "set model/m1");
+    command_expect(cluster, "status", 0, "ready");
+    command_expect(cluster, "status -o json", 0, "\"config_version\": 1");
+    command_expect(cluster, policy, 0, "keep_alive_ms 5000");
     answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
-    expect(cluster, "explain model m1", 0, "loaded");
-    expect(cluster, "explain model nobody", 1, "no such model");
+    command_expect(cluster, "explain model m1", 0, "loaded");
+    command_expect(cluster, "explain model nobody", 1, "no such model");
     answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
     g_autofree char *explain = g_strconcat("explain request ", answer->request_id, NULL);
     answer_free(answer);
-    expect(cluster, explain, 0, "completed");
+    command_expect(cluster, explain, 0, "completed");
     file_write(folder, "kind: service\nname: assistant\n---\nkind: model\nname: m1\n"
                        "service: assistant\nmemory_mib: much\n");
-    expect(cluster, apply, 4, "all.yaml:7: model/m1: memory_mib must be a whole number");
+    command_expect(cluster, apply, 4, "all.yaml:7: model/m1: memory_mib must be a whole number");
     file_write(folder, "kind: service\nname: assistant\n");
-    expect(cluster, apply_prune, 0, "accepted: version 2");
-    expect(cluster, "get model", 1, NULL);
-    expect(cluster, "nonsense", 2, "no command");
-    expect(cluster, "drain", 0, "drains");
-    expect(cluster, "status", 1, "not ready");
+    command_expect(cluster, apply_prune, 0, "accepted: version 2");
+    command_expect(cluster, "get model", 1, NULL);
+    command_expect(cluster, "nonsense", 2, "no command");
+    command_expect(cluster, "drain", 0, "drains");
+    command_expect(cluster, "status", 1, "not ready");
     g_autofree char *path = g_build_filename(folder, "all.yaml", NULL);
     g_unlink(path);
     g_rmdir(folder);
--- a/tests/sanitizer/glib_locks.h
+++ b/tests/sanitizer/glib_locks.h
@@ -1,8 +1,10 @@
 /**
  * @file glib_locks.h
- * @brief Tells ThreadSanitizer of GLib's locks, which are futexes in a library it doesn't see into.
+ * @brief Annotates GLib's mutexes, conditions and thread joins for ThreadSanitizer.
  *
- * Included ahead of every file in the build of scripts/sanitize.sh thread, and nowhere else.
+ * GLib is not instrumented and implements its locks with futexes, so ThreadSanitizer would report
+ * false races. `scripts/sanitize.sh thread` includes this file before every source file; no other
+ * build uses it. Times are in microseconds, as in GLib; errors are those of GLib's functions.
  */
 #ifndef WICKBRIDGE_GLIB_LOCKS_H
 #define WICKBRIDGE_GLIB_LOCKS_H
