--- a/tests/bench/scale.c
+++ b/tests/bench/scale.c
@@ -1,7 +1,6 @@
-/* Benchmark of the control plane at scale. Hollow nodes run only the control plane and
- * share this process: the real links, membership, configuration, groups and decisions, over
- * sockets. Hollow engines and the platform stand-in run as separate processes. Prints one line per
- * measurement. */
+/* Benchmark of the control plane at scale. Hollow nodes run only the control plane and share this
+ * process: the real links, membership, configuration, groups and decisions, over sockets. Hollow
+ * engines and the platform stand-in run as separate processes. Prints one line per measurement. */
 #include "../harness/harness_types.h"
 
 #include "wickbridge/load.h"
--- a/tests/fuzz/fuzz_control_check.c
+++ b/tests/fuzz/fuzz_control_check.c
@@ -5,7 +5,7 @@
  * Controller, orders, placement and load window are the server's code; clock, calls and engines are
  * simulated. Invariants: no engine exceeds its weights or adapter capacity, loads from the weight
  * store stay below their limit, lease tokens never decrease at an engine, and without further
- * faults every requested model is loaded. Usage: fuzz_control_check [FIRST_SEED [COUNT]]
+ * faults every requested model is loaded. Usage: fuzz-control-check [FIRST_SEED [COUNT]]
  */
 #include "sim_worker.h"
 #include "virtual_loop.h"
--- a/tests/fuzz/fuzz_lease_check.c
+++ b/tests/fuzz/fuzz_lease_check.c
@@ -3,9 +3,9 @@
  * loses responses and applies writes late. The oracle sees only the orders: which node ordered
  * which engine, when, and under which token.
  *
- * The lease is the server's code; time and store are simulated, with fixed seeds. To verify the
- * oracle, `--take-out=NAME` disables one mechanism (quiet, duration, grants or inherited), which
- * must make the check fail.
+ * The lease is the server's code; time and store are simulated, with fixed seeds. `--take-out=NAME`
+ * weakens one mechanism (quiet, duration, grants or inherited), to show that the oracle detects
+ * it.
  */
 #include "wickbridge/lease.h"
 
@@ -70,7 +70,7 @@
     const char *fault;
 } world_t;
 
-static const char *disabled_mechanism = "";
+static const char *weakened_mechanism = "";
 
 static gboolean chance(world_t *world, int per_mille) {
     return g_rand_int_range(world->random, 0, 1000) < per_mille;
@@ -87,9 +87,9 @@
     g_snprintf(node->machine, sizeof(node->machine), "n%d", index);
     node->settings = (wb_lease_settings_t){node->machine,        "1.1.1.1:1", 1600, 500,
                                            HANDOVER_INTERVAL_MS, 200,         900};
-    if (strcmp(disabled_mechanism, "quiet") == 0)
+    if (strcmp(weakened_mechanism, "quiet") == 0)
         node->settings.handover_interval_ms = 0;
-    if (strcmp(disabled_mechanism, "duration") == 0)
+    if (strcmp(weakened_mechanism, "duration") == 0)
         node->settings.duration_ms = index == 0 ? 6000 : 1600; /* one node overestimates it */
     node->lease = wb_lease_create(&node->settings);
     node->incarnation++;
@@ -123,7 +123,7 @@
     char name[8];
     g_snprintf(name, sizeof(name), "e%d", engine);
     int64_t wait_ms = wb_lease_authorize_order(node->lease, name, local_ms);
-    if (wait_ms == 0 || strcmp(disabled_mechanism, "grants") == 0)
+    if (wait_ms == 0 || strcmp(weakened_mechanism, "grants") == 0)
         oracle_order(world, index, engine, wb_lease_token(node->lease));
 }
 
@@ -140,7 +140,7 @@
         row.granted_count = 0;
         row.inherited_count = 0;
     }
-    if (strcmp(disabled_mechanism, "inherited") == 0)
+    if (strcmp(weakened_mechanism, "inherited") == 0)
         row.inherited_count = 0;
     wb_lease_on_row(node->lease, &row, world->version, local_ms);
 }
@@ -290,7 +290,7 @@
     int orders = 0;
     int takeovers = 0;
     if (argc > 1 && g_str_has_prefix(argv[1], "--take-out="))
-        disabled_mechanism = argv[1] + strlen("--take-out=");
+        weakened_mechanism = argv[1] + strlen("--take-out=");
     for (guint32 seed = 1; seed <= SEEDS; seed++) {
         const char *fault = seed_run(seed, &orders, &takeovers);
         if (fault == NULL)
--- a/tests/fuzz/fuzz_world_check.c
+++ b/tests/fuzz/fuzz_world_check.c
@@ -1,5 +1,5 @@
 /* Runs the simulated cluster with fixed seeds: a violated invariant of groups, cells or claims
- * fails the check. Usage: fuzz_world_check [FIRST_SEED [COUNT]] */
+ * fails the check. Usage: fuzz-world-check [FIRST_SEED [COUNT]] */
 #include "world.h"
 
 #include "wickbridge/log.h"
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -104,8 +104,9 @@
     return &equal->way;
 }
 
-/* Lots: the aggregator has one bucket per tenant, from which a node withdraws the cost of a request
- * or its equal share of LOT_S, whichever is larger. A disconnected node uses its equal share. */
+/* Lots: the aggregator has one bucket per tenant, from which a node withdraws the cost that its
+ * balance doesn't cover or its equal share of LOT_S, whichever is larger. A disconnected node uses
+ * its equal share. */
 
 #define LOT_S 0.25
 
