--- a/standins/proxy/relay.c
+++ b/standins/proxy/relay.c
@@ -131,7 +131,7 @@
     flow_t *flow = context;
     pair_t *pair = flow->pair;
     if (flow_is_frozen(flow)) {
-        wb_watch_change(flow->watch, 0);
+        wb_watch_set_events(flow->watch, 0);
         return;
     }
     char data[PIECE_BYTES];
@@ -144,7 +144,7 @@
             piece_queue(flow, data, passing);
     } else if (APR_STATUS_IS_EOF(status)) {
         flow->ended = TRUE;
-        wb_watch_change(flow->watch, 0);
+        wb_watch_set_events(flow->watch, 0);
     } else if (!APR_STATUS_IS_EAGAIN(status))
         close = TRUE;
     if (!flow_send(flow) || close ||
@@ -158,7 +158,7 @@
         return TRUE;
     }
     if (!flow->ended) {
-        wb_watch_change(flow->watch, APR_POLLIN);
+        wb_watch_set_events(flow->watch, APR_POLLIN);
     }
     return flow_send(flow);
 }
--- a/tests/bench/ways.c
+++ b/tests/bench/ways.c
@@ -59,11 +59,11 @@
 static void lease_renew(table_control_t *control, int cell) {
     g_autofree char *key = g_strdup_printf("lease/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(key, control->versions[cell]));
+    json_array_append_new(checks, wb_platform_make_check(key, control->versions[cell]));
     json_t *writes = json_array();
     json_array_append_new(writes,
-                          wb_platform_write(key, json_pack("{s:s, s:I}", "owner", "node", "at",
-                                                           (json_int_t)wb_clock_ms())));
+                          wb_platform_make_write(key, json_pack("{s:s, s:I}", "owner", "node", "at",
+                                                                (json_int_t)wb_clock_ms())));
     control->renewing[cell] = TRUE;
     wb_platform_transact(control->platform, checks, writes, renewal_done,
                          call_create(control, cell));
@@ -96,9 +96,9 @@
     g_autofree char *lease = g_strdup_printf("lease/%d", cell);
     g_autofree char *slots = g_strdup_printf("slots/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(lease, control->versions[cell]));
+    json_array_append_new(checks, wb_platform_make_check(lease, control->versions[cell]));
     json_t *writes = json_array();
-    json_array_append_new(writes, wb_platform_write(slots, json_pack("{s:s}", "m1", "e1")));
+    json_array_append_new(writes, wb_platform_make_write(slots, json_pack("{s:s}", "m1", "e1")));
     wb_platform_transact(control->platform, checks, writes, commit_done,
                          call_create(control, cell));
 }
--- a/tests/fuzz/fuzz_lease_check.c
+++ b/tests/fuzz/fuzz_lease_check.c
@@ -136,7 +136,7 @@
     }
     wb_lease_row_t row = world->row;
     if (without_grants) {
-        row.grants_known = FALSE;
+        row.has_grants = FALSE;
         row.granted_count = 0;
         row.inherited_count = 0;
     }
--- a/tests/fuzz/sim_engine.c
+++ b/tests/fuzz/sim_engine.c
@@ -135,7 +135,7 @@
         return WB_ORDER_REFUSED;
     if (event->action == WB_ORDER_UNLOAD)
         unload_accept(engine, event);
-    return WB_ORDER_TAKEN;
+    return WB_ORDER_ACCEPTED;
 }
 
 /* Delivers the order after its sender has timed out. */
@@ -160,10 +160,11 @@
     g_strlcpy(response->from, event->to, sizeof(response->from));
     g_strlcpy(response->to, event->from, sizeof(response->to));
     response->fence = event->fence;
-    response->outcome = arrives ? order_accept(world, engine, event) : WB_ORDER_LOST;
+    response->outcome = arrives ? order_accept(world, engine, event) : WB_ORDER_NO_RESPONSE;
     if (arrives && world_chance(world, world->loss_percent))
-        response->outcome = WB_ORDER_LOST; /* the order took effect, but the response is lost */
-    if (response->outcome != WB_ORDER_LOST)
+        response->outcome =
+            WB_ORDER_NO_RESPONSE; /* the order took effect, but the response is lost */
+    if (response->outcome != WB_ORDER_NO_RESPONSE)
         response->inventory = inventory_copy(engine);
     if (alive && event->lost_in_transit && world_chance(world, 50))
         order_deliver_late(world, event);
@@ -187,7 +188,7 @@
     for (int i = 0; i < NODES; i++) {
         sim_node_t *node = &world->nodes[i];
         if (node->cell != NULL && !node->frozen && world_chance(world, 20))
-            wb_cell_inventory(node->cell, inventory_copy(engine), world->now_ms);
+            wb_cell_update_inventory(node->cell, inventory_copy(engine), world->now_ms);
     }
 }
 
--- a/tests/fuzz/sim_worker.c
+++ b/tests/fuzz/sim_worker.c
@@ -1,7 +1,7 @@
 /* Simulated engines on a virtual clock: their state, the orders they receive, and faults. */
 #include "sim_worker.h"
 
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 #include "wickbridge/loop.h"
 
 #include <stdlib.h>
@@ -67,7 +67,7 @@
     sim_order_t *late; /* the delayed order to execute, or NULL */
 } sim_change_t;
 
-struct wb_http_peer_t {
+struct wb_http_pool_t {
     int worker;
     gboolean freed;
     unsigned calls;
@@ -75,7 +75,7 @@
 
 /* A response in transit. */
 typedef struct sim_response_t {
-    wb_http_peer_t *peer;
+    wb_http_pool_t *peer;
     wb_http_request_t request;
     wb_http_outcome_t outcome;
     unsigned status;
@@ -370,7 +370,7 @@
     *status = order->adapter >= 0 ? adapter_order(order, worker) : model_order(order, worker);
 }
 
-static void order_read(sim_order_t *order, const wb_http_peer_t *peer,
+static void order_read(sim_order_t *order, const wb_http_pool_t *peer,
                        const wb_http_request_t *request) {
     memset(order, 0, sizeof(*order));
     order->worker = peer->worker;
@@ -402,7 +402,7 @@
         return;
     }
     order_execute(order, &response->status);
-    response->outcome = chance(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    response->outcome = chance(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_COMPLETED;
 }
 
 static void report_respond(sim_response_t *response, int number) {
@@ -411,40 +411,40 @@
     gboolean lags = wb_clock_ms() - worker->changed_ms < REPORT_LAG_MS && chance(0.5);
     sim.reports[index] = lags ? worker->previous : worker->current;
     response->status = 200;
-    response->outcome = chance(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    response->outcome = chance(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_COMPLETED;
     g_snprintf(response->body, sizeof(response->body), "%u", index);
 }
 
 /* Replacement for http_peer. */
 
-wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
+wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
     (void)loop;
     (void)connect_timeout_ms;
     (void)silence_limit_ms;
-    wb_http_peer_t *peer = g_new0(wb_http_peer_t, 1);
+    wb_http_pool_t *peer = g_new0(wb_http_pool_t, 1);
     peer->worker = atoi(address);
     return peer;
 }
 
-static void peer_release(wb_http_peer_t *peer) {
+static void peer_release(wb_http_pool_t *peer) {
     if (peer->freed && peer->calls == 0) {
         g_free(peer);
     }
 }
 
-void wb_http_peer_free(wb_http_peer_t *peer) {
+void wb_http_pool_free(wb_http_pool_t *peer) {
     peer->freed = TRUE;
     peer_release(peer);
 }
 
 static void response_deliver(void *context) {
     sim_response_t *response = context;
-    wb_http_peer_t *peer = response->peer;
+    wb_http_pool_t *peer = response->peer;
     peer->calls--;
     if (!peer->freed) {
         wb_http_result_t result = {response->outcome, 0, NULL, 0};
-        if (response->outcome == WB_HTTP_ANSWERED) {
+        if (response->outcome == WB_HTTP_COMPLETED) {
             result.status = response->status;
             result.body = response->body;
             result.length = strlen(response->body);
@@ -455,7 +455,7 @@
     g_free(response);
 }
 
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request) {
+void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request) {
     sim_response_t *response = g_new0(sim_response_t, 1);
     int64_t delay_ms = g_rand_int_range(sim.random, 1, RESPONSE_MAX_MS);
     response->peer = peer;
--- a/tests/fuzz/sim_worker.h
+++ b/tests/fuzz/sim_worker.h
@@ -1,6 +1,6 @@
 /**
  * @file sim_worker.h
- * @brief Simulated engines on a virtual clock, behind a replacement for wb_http_peer_t.
+ * @brief Simulated engines on a virtual clock, behind a replacement for wb_http_pool_t.
  *
  * They follow the platform's description of engines: one model order at a time, a sequence number
  * that each accepted order advances, at most four adapters loading, and reports that lag. Orders
