--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -1,21 +1,23 @@
-/* Callers of the soak: they ask for all kinds of requests and check each answer by itself. */
+/* Clients of the soak: each thread sends all kinds of requests and checks each response by itself.
+ */
 #include "soak.h"
 
 #include <string.h>
 
 #define DEADLINE_MS 3000
-#define LATE_MS 1500 /* beyond the deadline, an answer or the connection's end must have come */
+#define ANSWER_SLACK_MS                                                                            \
+    1500 /* after the deadline within which a response or the end of the connection must come */
 #define EVENTS 5
 #define MODELS 8
 #define RECOVERY_MS 15000
-#define POISON_CALLERS 4
+#define POISON_CLIENTS 4
 
-typedef struct soak_caller_t {
+typedef struct soak_client_t {
     soak_t *soak;
     int number;
     GRand *rand;
-    wire_t *kept[SOAK_NODES]; /* connections used until the node ends them; NULL: none */
-} soak_caller_t;
+    wire_t *connections[SOAK_NODES]; /* kept open until the node closes them; NULL: none */
+} soak_client_t;
 
 static const char *const paths[] = {"/lock/x", "/look/x", "/chat/x", "/note/x"};
 
@@ -34,7 +36,7 @@
     return g_strdup(text->str);
 }
 
-/* Events come once each, in order, each of this request; a whole stream has them all. */
+/* Events come once each, in order and of this request; a complete stream has all of them. */
 static void stream_check(soak_t *soak, const soak_request_t *request, const wire_answer_t *answer) {
     g_autoptr(GString) wanted = g_string_new(NULL);
     size_t matched = 0;
@@ -43,9 +45,9 @@
     }
     matched = answer->body->len;
     if (matched > wanted->len || strncmp(answer->body->str, wanted->str, matched) != 0) {
-        soak_broken(soak, "%s: events out of order: %s", request->id, answer->body->str);
+        soak_fail(soak, "%s: events out of order: %s", request->id, answer->body->str);
     } else if (answer->whole && matched != wanted->len) {
-        soak_broken(soak, "%s: a cut stream was ended as whole", request->id);
+        soak_fail(soak, "%s: a cut stream was ended as whole", request->id);
     }
 }
 
@@ -53,55 +55,56 @@
     if (answer->status / 100 == 2) {
         g_autofree char *start = g_strdup_printf("ran %s at ", request->id);
         if (strstr(answer->head->str, "Response-Seal: ") == NULL) {
-            soak_broken(soak, "%s: a success without an engine's seal", request->id);
+            soak_fail(soak, "%s: a success without an engine's seal", request->id);
         }
         if (path_is_stream(request->path)) {
             stream_check(soak, request, answer);
         } else if (answer->whole && !g_str_has_prefix(answer->body->str, start)) {
-            soak_broken(soak, "%s: another answer: %s", request->id, answer->body->str);
+            soak_fail(soak, "%s: another answer: %s", request->id, answer->body->str);
         }
     }
     int64_t took_ms = request->ended_ms - request->began_ms;
-    if (answer->status == 0 && !answer->closed && took_ms >= DEADLINE_MS + LATE_MS &&
+    if (answer->status == 0 && !answer->closed && took_ms >= DEADLINE_MS + ANSWER_SLACK_MS &&
         !soak_is_disturbed(soak, request->node, request->began_ms, request->ended_ms)) {
-        soak_broken(soak, "%s: no answer in %lld ms", request->id, (long long)took_ms);
+        soak_fail(soak, "%s: no answer in %lld ms", request->id, (long long)took_ms);
     }
 }
 
-/* Keeps a connection on which another request may follow, or closes it. */
-static void wire_put_back(wire_t **kept, wire_t *wire, const wire_answer_t *answer) {
-    gboolean goes_on =
+/* Keeps a connection that can be reused, or closes it. */
+static void wire_release(wire_t **connection, wire_t *wire, const wire_answer_t *answer) {
+    gboolean reusable =
         answer->whole && !answer->closed && strstr(answer->head->str, "Connection: close") == NULL;
-    if (kept != NULL && goes_on) {
-        *kept = wire;
+    if (connection != NULL && reusable) {
+        *connection = wire;
     } else {
         wire_close(wire);
     }
 }
 
-/* Asks on the kept connection, if there is one. @param kept NULL: on a connection of its own */
-static void request_play(soak_t *soak, soak_request_t *request, wire_t **kept, const char *headers,
-                         const char *body) {
+/* Sends on the kept connection, if there is one. @param connection NULL: use one for this request
+ * only */
+static void request_send(soak_t *soak, soak_request_t *request, wire_t **connection,
+                         const char *headers, const char *body) {
     request->began_ms = harness_now_ms();
-    wire_t *wire = kept != NULL ? *kept : NULL;
-    request->on_kept = wire != NULL;
+    wire_t *wire = connection != NULL ? *connection : NULL;
+    request->reused = wire != NULL;
     if (wire == NULL) {
         wire = wire_try_open(soak->estate->nodes[request->node].callers_port);
     } else {
-        *kept = NULL;
+        *connection = NULL;
     }
     if (wire == NULL) {
-        return; /* the node is down: nothing was asked */
+        return; /* the node is down: nothing was sent */
     }
     wire_post(wire, request->path, request->id, headers, body);
-    wire_answer_t *answer = wire_read(wire, DEADLINE_MS + LATE_MS);
-    wire_put_back(kept, wire, answer);
+    wire_answer_t *answer = wire_read(wire, DEADLINE_MS + ANSWER_SLACK_MS);
+    wire_release(connection, wire, answer);
     request->closed = answer->closed;
     request->ended_ms = harness_now_ms();
     request->status = answer->status;
     request->whole = answer->whole;
-    request->limited = strstr(answer->head->str, "Server-Limit: ") != NULL;
-    request->leaving = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
+    request->reports_limit = strstr(answer->head->str, "Server-Limit: ") != NULL;
+    request->reports_draining = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
     answer_check(soak, request, answer);
     wire_answer_free(answer);
     g_mutex_lock(&soak->lock);
@@ -109,79 +112,80 @@
     g_mutex_unlock(&soak->lock);
 }
 
-static void caller_free(soak_caller_t *caller) {
+static void client_free(soak_client_t *client) {
     for (int i = 0; i < SOAK_NODES; i++) {
-        if (caller->kept[i] != NULL) {
-            wire_close(caller->kept[i]);
+        if (client->connections[i] != NULL) {
+            wire_close(client->connections[i]);
         }
     }
-    g_rand_free(caller->rand);
-    g_free(caller);
+    g_rand_free(client->rand);
+    g_free(client);
 }
 
-static gpointer caller_run(gpointer data) {
-    soak_caller_t *caller = data;
-    soak_t *soak = caller->soak;
+static gpointer client_run(gpointer data) {
+    soak_client_t *client = data;
+    soak_t *soak = client->soak;
     for (int i = 0; !g_atomic_int_get(&soak->stop); i++) {
-        soak_request_t request = {.node = g_rand_int_range(caller->rand, 0, SOAK_NODES)};
-        request.path = paths[g_rand_int_range(caller->rand, 0, G_N_ELEMENTS(paths))];
-        g_snprintf(request.id, sizeof(request.id), "s%d-%d", caller->number, i);
-        /* Low numbers are asked for most. */
-        int model = MIN(g_rand_int_range(caller->rand, 0, MODELS),
-                        g_rand_int_range(caller->rand, 0, MODELS / 2));
+        soak_request_t request = {.node = g_rand_int_range(client->rand, 0, SOAK_NODES)};
+        request.path = paths[g_rand_int_range(client->rand, 0, G_N_ELEMENTS(paths))];
+        g_snprintf(request.id, sizeof(request.id), "s%d-%d", client->number, i);
+        /* Low numbers are more frequent. */
+        int model = MIN(g_rand_int_range(client->rand, 0, MODELS),
+                        g_rand_int_range(client->rand, 0, MODELS / 2));
         g_autofree char *headers =
-            headers_create(request.path, model, g_rand_int_range(caller->rand, 0, 10) == 0);
-        /* Some connections rest for a while between two requests, some are used at once. */
-        gboolean fresh = g_rand_int_range(caller->rand, 0, 4) == 0;
-        request_play(soak, &request, fresh ? NULL : &caller->kept[request.node], headers, "hello");
-        g_usleep((gulong)g_rand_int_range(caller->rand, 0, 60) * 1000);
+            headers_create(request.path, model, g_rand_int_range(client->rand, 0, 10) == 0);
+        /* Most connections are reused, after being idle for a varying time. */
+        gboolean fresh = g_rand_int_range(client->rand, 0, 4) == 0;
+        request_send(soak, &request, fresh ? NULL : &client->connections[request.node], headers,
+                     "hello");
+        g_usleep((gulong)g_rand_int_range(client->rand, 0, 60) * 1000);
     }
-    caller_free(caller);
+    client_free(client);
     return NULL;
 }
 
-GPtrArray *soak_callers_start(soak_t *soak) {
+GPtrArray *soak_clients_start(soak_t *soak) {
     GPtrArray *threads = g_ptr_array_new();
-    for (int i = 0; i < SOAK_CALLERS; i++) {
-        soak_caller_t *caller = g_new0(soak_caller_t, 1);
-        caller->soak = soak;
-        caller->number = i;
-        caller->rand = g_rand_new_with_seed(soak->seed + (guint32)i + 1);
-        g_ptr_array_add(threads, g_thread_new("caller", caller_run, caller));
+    for (int i = 0; i < SOAK_CLIENTS; i++) {
+        soak_client_t *client = g_new0(soak_client_t, 1);
+        client->soak = soak;
+        client->number = i;
+        client->rand = g_rand_new_with_seed(soak->seed + (guint32)i + 1);
+        g_ptr_array_add(threads, g_thread_new("caller", client_run, client));
     }
     return threads;
 }
 
-/* Each of these callers asks for the same: the path, model and body are the seed's. */
+/* All poison clients send the same path, model and body, determined by the seed. */
 static gpointer poison_run(gpointer data) {
-    soak_caller_t *caller = data;
-    soak_t *soak = caller->soak;
+    soak_client_t *client = data;
+    soak_t *soak = client->soak;
     const char *path = paths[soak->seed % G_N_ELEMENTS(paths)];
     g_autofree char *headers = headers_create(path, (int)(soak->seed / 4 % 3), FALSE);
     for (int i = 0; !g_atomic_int_get(&soak->poison_stop); i++) {
-        soak_request_t request = {.node = g_rand_int_range(caller->rand, 0, SOAK_NODES),
+        soak_request_t request = {.node = g_rand_int_range(client->rand, 0, SOAK_NODES),
                                   .path = path};
-        g_snprintf(request.id, sizeof(request.id), "p%d-%d", caller->number, i);
-        request_play(soak, &request, &caller->kept[request.node], headers, SOAK_POISON_BODY);
-        g_usleep((gulong)g_rand_int_range(caller->rand, 0, 400) * 1000);
+        g_snprintf(request.id, sizeof(request.id), "p%d-%d", client->number, i);
+        request_send(soak, &request, &client->connections[request.node], headers, SOAK_POISON_BODY);
+        g_usleep((gulong)g_rand_int_range(client->rand, 0, 400) * 1000);
     }
-    caller_free(caller);
+    client_free(client);
     return NULL;
 }
 
 GPtrArray *soak_poison_start(soak_t *soak) {
     GPtrArray *threads = g_ptr_array_new();
-    for (int i = 0; soak->has_poison && i < POISON_CALLERS; i++) {
-        soak_caller_t *caller = g_new0(soak_caller_t, 1);
-        caller->soak = soak;
-        caller->number = i;
-        caller->rand = g_rand_new_with_seed(soak->seed + 1000 + (guint32)i);
-        g_ptr_array_add(threads, g_thread_new("poison", poison_run, caller));
+    for (int i = 0; soak->has_poison && i < POISON_CLIENTS; i++) {
+        soak_client_t *client = g_new0(soak_client_t, 1);
+        client->soak = soak;
+        client->number = i;
+        client->rand = g_rand_new_with_seed(soak->seed + 1000 + (guint32)i);
+        g_ptr_array_add(threads, g_thread_new("poison", poison_run, client));
     }
     return threads;
 }
 
-void soak_callers_join(GPtrArray *threads) {
+void soak_clients_join(GPtrArray *threads) {
     for (guint i = 0; i < threads->len; i++) {
         g_thread_join(threads->pdata[i]);
     }
@@ -193,7 +197,7 @@
     g_snprintf(request.id, sizeof(request.id), "r%d-%d-%d%s", node, model, try, path);
     g_strdelimit(request.id, "/", '-');
     g_autofree char *headers = headers_create(path, model, FALSE);
-    request_play(soak, &request, NULL, headers, "hello");
+    request_send(soak, &request, NULL, headers, "hello");
     return request.status == 200 && request.whole;
 }
 
@@ -204,8 +208,8 @@
             int try = 0;
             while (!is_served(soak, node, paths[i], node % MODELS, try++)) {
                 if (harness_now_ms() > until_ms) {
-                    soak_broken(soak, "node %d does not serve %s after all faults are over", node,
-                                paths[i]);
+                    soak_fail(soak, "node %d does not serve %s after all faults are over", node,
+                              paths[i]);
                     break;
                 }
                 g_usleep(100000);
--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -1,4 +1,4 @@
-/* What engines saw, against what callers were told. */
+/* Checks of what engines recorded against what clients received. */
 #include "soak.h"
 
 #include "harness/budget_oracle.h"
@@ -6,25 +6,26 @@
 #include <stdio.h>
 #include <string.h>
 
-#define THAW_SLACK_MS 300
-#define LOADS_PER_S 4 /* as the estate's configuration says */
+#define RESUME_SLACK_MS 300
+#define LOADS_PER_S 4 /* load rate limit in the platform's configuration */
 #define WINDOW_MS 5000
 #define CEILING_OVERAGE 1.1
 #define CEILING_SLACK 3
-/* What the estate allows a request that crashes engines, once it has crashed so many. */
+/* Bounds on a poison request once it has crashed POISON_ENGINES engines: runs after the time for
+ * the nodes to detect it, by undisturbed nodes. */
 #define POISON_ENGINES 3
-#define POISON_KNOWN_MS 3000
-#define POISON_LATE_MOST 3
-/* The same from all nodes, also those that are cut off, paused or have just been started anew. */
-#define POISON_LATE_MOST_EVER 12
+#define POISON_DETECT_MS 3000
+#define POISON_LATE_MAX 3
+/* The same by all nodes, including those cut off, paused or just restarted. */
+#define POISON_LATE_MAX_TOTAL 12
 
-/* The most engines that may run a request, by its path. */
+/* Maximum number of engines that may run a request, by its path. */
 static int runs_allowed(const char *path) {
     gboolean once = strcmp(path, "/lock/x") == 0 || strcmp(path, "/note/x") == 0;
     return once ? 1 : 2;
 }
 
-static gboolean status_promises_no_run(int status) {
+static gboolean status_means_not_run(int status) {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
@@ -38,64 +39,63 @@
         g_hash_table_replace(counts, g_strdup(id), GINT_TO_POINTER(count));
         const char *body = soak_text_of(run, "body");
         if (strcmp(body, "hello") != 0 && strcmp(body, SOAK_POISON_BODY) != 0) {
-            soak_broken(soak, "%s: an engine ran another body", id);
+            soak_fail(soak, "%s: an engine ran another body", id);
         }
     }
     for (guint j = 0; j < soak->requests->len; j++) {
         const soak_request_t *request = &g_array_index(soak->requests, soak_request_t, j);
         int count = GPOINTER_TO_INT(g_hash_table_lookup(counts, request->id));
         if (count > runs_allowed(request->path)) {
-            soak_broken(soak, "%s %s: ran %d times", request->id, request->path, count);
+            soak_fail(soak, "%s %s: ran %d times", request->id, request->path, count);
         }
-        if (count > 0 && status_promises_no_run(request->status) &&
+        if (count > 0 && status_means_not_run(request->status) &&
             runs_allowed(request->path) == 1) {
-            soak_broken(soak, "%s %s: answered %d, and ran", request->id, request->path,
-                        request->status);
+            soak_fail(soak, "%s %s: answered %d, and ran", request->id, request->path,
+                      request->status);
         }
         if (request->status == 0 && request->closed && count > 0 &&
             !soak_is_halted(soak, request->node, request->began_ms, request->ended_ms)) {
-            soak_broken(soak, "%s %s: an engine got it, its %sconnection was closed unanswered",
-                        request->id, request->path, request->on_kept ? "kept " : "");
+            soak_fail(soak, "%s %s: an engine got it, its %sconnection was closed unanswered",
+                      request->id, request->path, request->reused ? "kept " : "");
         }
         if (count == 0 && request->status / 100 == 2) {
-            soak_broken(soak, "%s %s: a success that no engine ran", request->id, request->path);
+            soak_fail(soak, "%s %s: a success that no engine ran", request->id, request->path);
         }
     }
 }
 
-/* Orders that left before their sender was stopped may arrive once it goes on. */
-static gboolean order_is_excused(soak_t *soak, int64_t at_ms) {
+/* Orders sent before their sender was paused may arrive once it resumes. */
+static gboolean order_was_delayed(soak_t *soak, int64_t at_ms) {
     gboolean excused = FALSE;
     for (guint i = 0; i < soak->spans->len; i++) {
         const soak_span_t *span = &g_array_index(soak->spans, soak_span_t, i);
-        gboolean stands_still =
+        gboolean pauses =
             strcmp(span->name, "pause") == 0 || g_str_has_prefix(span->name, "way-to");
         int64_t over_ms = span->to_ms - SOAK_DISTURBED_AFTER_MS;
-        excused |= stands_still && at_ms >= span->from_ms && at_ms <= over_ms + THAW_SLACK_MS;
+        excused |= pauses && at_ms >= span->from_ms && at_ms <= over_ms + RESUME_SLACK_MS;
     }
     return excused;
 }
 
-/* Two orders that an engine got one after the other. */
+/* Checks two consecutive orders at an engine. */
 static void order_pair_check(soak_t *soak, const json_t *before, const json_t *after) {
     int64_t gap_ms = soak_number_of(after, "at_ms") - soak_number_of(before, "at_ms");
     int64_t rise = soak_number_of(after, "token") - soak_number_of(before, "token");
     gboolean same = strcmp(soak_text_of(before, "holder"), soak_text_of(after, "holder")) == 0;
     if (rise < 0 || (!same && rise == 0)) {
-        soak_broken(soak, "orders: token %lld of %s after %lld of %s at %s",
-                    (long long)soak_number_of(after, "token"), soak_text_of(after, "holder"),
-                    (long long)soak_number_of(before, "token"), soak_text_of(before, "holder"),
-                    soak_text_of(after, "engine"));
-    } else if (!same && gap_ms < SOAK_LEASE_QUIET_MS &&
-               !order_is_excused(soak, soak_number_of(before, "at_ms"))) {
-        soak_broken(soak, "orders: %s follows %s after %lld ms at %s",
-                    soak_text_of(after, "holder"), soak_text_of(before, "holder"),
-                    (long long)gap_ms, soak_text_of(after, "engine"));
+        soak_fail(soak, "orders: token %lld of %s after %lld of %s at %s",
+                  (long long)soak_number_of(after, "token"), soak_text_of(after, "holder"),
+                  (long long)soak_number_of(before, "token"), soak_text_of(before, "holder"),
+                  soak_text_of(after, "engine"));
+    } else if (!same && gap_ms < SOAK_LEASE_HANDOVER_MS &&
+               !order_was_delayed(soak, soak_number_of(before, "at_ms"))) {
+        soak_fail(soak, "orders: %s follows %s after %lld ms at %s", soak_text_of(after, "holder"),
+                  soak_text_of(before, "holder"), (long long)gap_ms, soak_text_of(after, "engine"));
     }
 }
 
-/* At each engine tokens rise, and two holders are the quiet time apart. */
-static void holders_check(soak_t *soak, const json_t *seen) {
+/* At each engine tokens rise, and orders of two holders are the handover interval apart. */
+static void fencing_check(soak_t *soak, const json_t *seen) {
     const json_t *orders = json_object_get(seen, "orders");
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
     size_t i;
@@ -109,42 +109,43 @@
     }
 }
 
-/* Loads from the weight store in any window; the stand-in's engines have no copies at hand. */
-static void ceiling_check(soak_t *soak, const json_t *seen) {
+/* Model loads within any window stay within the rate limit. The stand-in's engines have no local
+ * copies, so each load counts. */
+static void load_rate_check(soak_t *soak, const json_t *seen) {
     const json_t *orders = json_object_get(seen, "orders");
-    g_autoptr(GArray) began = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    g_autoptr(GArray) load_times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     size_t i;
     json_t *order;
-    guint most = (guint)(LOADS_PER_S * (WINDOW_MS / 1000.0) * CEILING_OVERAGE) + CEILING_SLACK;
+    guint max_loads = (guint)(LOADS_PER_S * (WINDOW_MS / 1000.0) * CEILING_OVERAGE) + CEILING_SLACK;
     json_array_foreach(orders, i, order) {
         int64_t at_ms = soak_number_of(order, "at_ms");
         if (soak_number_of(order, "status") != 202 || *soak_text_of(order, "adapter") != '\0' ||
             strcmp(soak_text_of(order, "operation"), "model_load") != 0) {
             continue;
         }
-        g_array_append_val(began, at_ms);
-        while (at_ms - g_array_index(began, int64_t, 0) >= WINDOW_MS) {
-            g_array_remove_index(began, 0);
+        g_array_append_val(load_times, at_ms);
+        while (at_ms - g_array_index(load_times, int64_t, 0) >= WINDOW_MS) {
+            g_array_remove_index(load_times, 0);
         }
-        if (began->len > most) {
-            soak_broken(soak, "%u loads within %d ms", began->len, WINDOW_MS);
+        if (load_times->len > max_loads) {
+            soak_fail(soak, "%u loads within %d ms", load_times->len, WINDOW_MS);
         }
     }
 }
 
-/* Engines that left in a calm time get nothing new after the drain time. */
+/* Engines that began draining without other faults get no new requests after the drain time. */
 static void drain_check(soak_t *soak, const json_t *seen) {
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
         int64_t at_ms = soak_number_of(run, "at_ms");
-        for (guint j = 0; j < soak->leaves->len; j++) {
-            const soak_leave_t *leave = &g_array_index(soak->leaves, soak_leave_t, j);
-            if (strcmp(soak_text_of(run, "engine"), leave->engine) == 0 &&
-                at_ms > leave->at_ms + SOAK_DRAIN_MS &&
-                !soak_is_disturbed(soak, -1, leave->at_ms + 1, at_ms)) {
-                soak_broken(soak, "%s: ran at %s %lld ms after it left", soak_text_of(run, "id"),
-                            leave->engine, (long long)(at_ms - leave->at_ms));
+        for (guint j = 0; j < soak->drains->len; j++) {
+            const soak_drain_t *drain = &g_array_index(soak->drains, soak_drain_t, j);
+            if (strcmp(soak_text_of(run, "engine"), drain->engine) == 0 &&
+                at_ms > drain->at_ms + SOAK_DRAIN_MS &&
+                !soak_is_disturbed(soak, -1, drain->at_ms + 1, at_ms)) {
+                soak_fail(soak, "%s: ran at %s %lld ms after it left", soak_text_of(run, "id"),
+                          drain->engine, (long long)(at_ms - drain->at_ms));
             }
         }
     }
@@ -160,7 +161,7 @@
     return g_str_has_prefix(engine, "guest") ? "zone-1" : "zone-2";
 }
 
-/* Returns the node that a request was asked of, or -1. */
+/* Returns the node that a request was sent to, or -1. */
 static int node_of(const soak_t *soak, const char *id) {
     for (guint i = 0; i < soak->requests->len; i++) {
         const soak_request_t *request = &g_array_index(soak->requests, soak_request_t, i);
@@ -171,13 +172,12 @@
     return -1;
 }
 
-/* Engines of a zone that is evacuated get nothing new from nodes that nothing keeps from knowing.
- */
+/* Engines of an evacuated zone get no new requests from undisturbed nodes. */
 static void evacuation_check(soak_t *soak, const json_t *seen) {
     size_t i;
     json_t *run;
     if (soak->has_builds) {
-        return; /* the older build knows no evacuations */
+        return; /* the older build doesn't support evacuations */
     }
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
         int64_t at_ms = soak_number_of(run, "at_ms");
@@ -189,27 +189,27 @@
             if (strcmp(evacuation->zone, zone) == 0 &&
                 at_ms > evacuation->from_ms + SOAK_EVACUATE_MS && at_ms < evacuation->to_ms &&
                 node >= 0 &&
-                !soak_is_disturbed_but(soak, node, evacuation->from_ms, at_ms, "evacuation")) {
-                soak_broken(soak, "%s: ran at %s %lld ms after its zone was evacuated",
-                            soak_text_of(run, "id"), soak_text_of(run, "engine"),
-                            (long long)(at_ms - evacuation->from_ms));
+                !soak_is_disturbed_except(soak, node, evacuation->from_ms, at_ms, "evacuation")) {
+                soak_fail(soak, "%s: ran at %s %lld ms after its zone was evacuated",
+                          soak_text_of(run, "id"), soak_text_of(run, "engine"),
+                          (long long)(at_ms - evacuation->from_ms));
             }
         }
     }
 }
 
-/* A request that crashed three engines reaches few more, from nodes that nothing keeps from it. */
+/* A poison request, once detected, reaches few more engines, and fewer from undisturbed nodes. */
 static void poison_check(soak_t *soak, const json_t *seen) {
     const json_t *crashes = json_object_get(seen, "crashes");
     int late = 0;
-    int late_in_touch = 0;
+    int late_undisturbed = 0;
     size_t i;
     json_t *run;
     if (!soak->has_poison || json_array_size(crashes) < POISON_ENGINES) {
         return;
     }
     int64_t from_ms =
-        soak_number_of(json_array_get(crashes, POISON_ENGINES - 1), "at_ms") + POISON_KNOWN_MS;
+        soak_number_of(json_array_get(crashes, POISON_ENGINES - 1), "at_ms") + POISON_DETECT_MS;
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
         int64_t at_ms = soak_number_of(run, "at_ms");
         if (at_ms <= from_ms || strcmp(soak_text_of(run, "body"), SOAK_POISON_BODY) != 0) {
@@ -217,14 +217,14 @@
         }
         int node = node_of(soak, soak_text_of(run, "id"));
         late++;
-        late_in_touch += !soak_is_disturbed(soak, node, at_ms - POISON_KNOWN_MS, at_ms);
+        late_undisturbed += !soak_is_disturbed(soak, node, at_ms - POISON_DETECT_MS, at_ms);
     }
     printf("  poison: %zu engines crashed, %d runs later than %d ms after the third, %d of them in "
            "touch\n",
-           json_array_size(crashes), late, POISON_KNOWN_MS, late_in_touch);
-    if (late_in_touch > POISON_LATE_MOST || late > POISON_LATE_MOST_EVER) {
-        soak_broken(soak, "a request that crashes engines reached %d more, %d in touch", late,
-                    late_in_touch);
+           json_array_size(crashes), late, POISON_DETECT_MS, late_undisturbed);
+    if (late_undisturbed > POISON_LATE_MAX || late > POISON_LATE_MAX_TOTAL) {
+        soak_fail(soak, "a request that crashes engines reached %d more, %d in touch", late,
+                  late_undisturbed);
     }
 }
 
@@ -232,11 +232,11 @@
     return strcmp(path, "/lock/x") == 0 || strcmp(path, "/look/x") == 0 ? "lock" : "llm";
 }
 
-/* What is sent again stays within the budget of each service, whoever was killed, paused or cut
- * off. */
+/* Retries stay within the budget of each service, whichever nodes were killed, paused or cut off.
+ */
 static void budget_check(soak_t *soak, const json_t *seen, const char *service) {
     if (soak->has_builds) {
-        return; /* the older build has a share of its own for each process */
+        return; /* the older build has a separate budget for each process */
     }
     budget_oracle_t *oracle = budget_oracle_create(SOAK_RETRY_RATIO, soak->retry_slack,
                                                    (int64_t)soak->retry_window_s * 1000);
@@ -255,13 +255,13 @@
         }
     }
     budget_worst_t worst = budget_oracle_worst(oracle);
-    if (soak->has_sheds) {
+    if (soak->has_load_shedding) {
         printf("  %s: %u arrivals beyond the first for %u requests in %d s, %.1f allowed\n",
                service, worst.repeats, worst.requests, soak->retry_window_s, worst.allowed);
     }
     if (worst.excess > 0) {
-        soak_broken(soak, "%s: %u arrivals beyond the first for %u requests, %.1f allowed", service,
-                    worst.repeats, worst.requests, worst.allowed);
+        soak_fail(soak, "%s: %u arrivals beyond the first for %u requests, %.1f allowed", service,
+                  worst.repeats, worst.requests, worst.allowed);
     }
     budget_oracle_free(oracle);
 }
@@ -271,11 +271,11 @@
     size_t i;
     json_t *text;
     json_array_foreach(json_object_get(seen, "violations"), i, text) {
-        soak_broken(soak, "%s", json_string_value(text));
+        soak_fail(soak, "%s", json_string_value(text));
     }
     runs_check(soak, seen);
-    holders_check(soak, seen);
-    ceiling_check(soak, seen);
+    fencing_check(soak, seen);
+    load_rate_check(soak, seen);
     drain_check(soak, seen);
     poison_check(soak, seen);
     evacuation_check(soak, seen);
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,4 +1,4 @@
-/* The soak's program: plays seeds one after the other and tells which broke a promise. */
+/* The soak's program: runs seeds one after the other and reports those with failed checks. */
 #include "soak.h"
 
 #include <apr_general.h>
@@ -9,27 +9,27 @@
 #include <unistd.h>
 
 #define DEFAULT_SECONDS 30
-/* After all faults, requests that crash engines come for so long to nodes that are in touch. */
-#define POISON_CALM_US 6000000
+/* How long poison requests go on after all faults are over, when no node is disturbed. */
+#define POISON_TAIL_US 6000000
 
-void soak_broken(soak_t *soak, const char *format, ...) {
+void soak_fail(soak_t *soak, const char *format, ...) {
     va_list values;
     va_start(values, format);
     char *text = g_strdup_vprintf(format, values);
     va_end(values);
     g_mutex_lock(&soak->lock);
-    g_ptr_array_add(soak->broken, text);
+    g_ptr_array_add(soak->failures, text);
     g_mutex_unlock(&soak->lock);
 }
 
-/* A node that ended though nobody ended it. */
+/* Checks that no node ended by itself. */
 static void exits_check(soak_t *soak) {
     for (int i = 0; i < SOAK_NODES; i++) {
         process_t *process = &soak->estate->nodes[i].process;
         int status;
         if (process->pid > 0 && waitpid(process->pid, &status, WNOHANG) == process->pid) {
             process->pid = 0;
-            soak_broken(soak, "node %d ended by itself, status %d", i, status);
+            soak_fail(soak, "node %d ended by itself, status %d", i, status);
         }
     }
 }
@@ -51,7 +51,7 @@
     return served;
 }
 
-/* One engine is slow and says so, one tells what can't be. */
+/* One engine is slow and reports it, one reports a pace out of range. */
 static void paces_set(const estate_t *estate) {
     estate_do(estate, "{\"do\":\"engine-pace\",\"engine\":\"llm-1\",\"told\":\"300\","
                       "\"percent\":300}");
@@ -59,7 +59,7 @@
                       "\"told\":\"1000000000\",\"percent\":50}");
 }
 
-/* Engines that end come back under their ids. */
+/* Engines keep their ids when they restart. */
 static void engines_keep_ids(const estate_t *estate) {
     static const char *const engines[] = {"llm-1", "llm-2", "lock-1", "lock-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) {
@@ -70,30 +70,30 @@
     }
 }
 
-/* Plays one seed. Returns TRUE when all promises held. */
-static gboolean seed_play(guint32 seed, int seconds) {
-    soak_t soak = {.seed = seed, .plan = g_rand_new_with_seed(seed)};
-    /* A short window: a share is had again within the play after a node was killed. */
-    soak.has_sheds = seed / 512 % 2 == 1;
-    soak.retry_slack = soak.has_sheds ? 8 : 54;
-    soak.retry_window_s = soak.has_sheds ? 3 : 10;
+/* Runs one seed. Returns TRUE when all checks passed. */
+static gboolean seed_run(guint32 seed, int seconds) {
+    soak_t soak = {.seed = seed, .rand = g_rand_new_with_seed(seed)};
+    /* A short window, so that a killed node's share is available again within the run. */
+    soak.has_load_shedding = seed / 512 % 2 == 1;
+    soak.retry_slack = soak.has_load_shedding ? 8 : 54;
+    soak.retry_window_s = soak.has_load_shedding ? 3 : 10;
     g_autofree char *flags = g_strdup_printf(
         "--lease-quiet-ms=%d --lease-duration-ms=800 --drain-ms=%d --stop-grace-s=5 "
         "--retry-ratio=%g --retry-slack=%d --retry-window-s=%d",
-        SOAK_LEASE_QUIET_MS, SOAK_DRAIN_MS, SOAK_RETRY_RATIO, soak.retry_slack,
+        SOAK_LEASE_HANDOVER_MS, SOAK_DRAIN_MS, SOAK_RETRY_RATIO, soak.retry_slack,
         soak.retry_window_s);
     int64_t began_ms = harness_now_ms();
     g_mutex_init(&soak.lock);
     soak.spans = g_array_new(FALSE, FALSE, sizeof(soak_span_t));
-    soak.leaves = g_array_new(FALSE, FALSE, sizeof(soak_leave_t));
+    soak.drains = g_array_new(FALSE, FALSE, sizeof(soak_drain_t));
     soak.requests = g_array_new(FALSE, FALSE, sizeof(soak_request_t));
-    soak.broken = g_ptr_array_new_with_free_func(g_free);
+    soak.failures = g_ptr_array_new_with_free_func(g_free);
     soak.estate = estate_start(SOAK_NODES, flags);
     soak.has_poison = seed / 16 % 2 == 0;
     soak.has_paces = seed / 64 % 2 == 1;
     soak.has_zones = seed / 128 % 2 == 1;
     soak.has_builds = seed / 256 % 2 == 1;
-    soak.has_states = seed / 1024 % 2 == 1;
+    soak.has_engine_states = seed / 1024 % 2 == 1;
     soak.evacuations = g_array_new(FALSE, FALSE, sizeof(soak_evacuation_t));
     if (soak.has_paces) {
         paces_set(soak.estate);
@@ -101,40 +101,40 @@
     if (soak.has_zones) {
         engines_keep_ids(soak.estate);
     }
-    GPtrArray *callers = soak_callers_start(&soak);
+    GPtrArray *clients = soak_clients_start(&soak);
     GPtrArray *poison = soak_poison_start(&soak);
-    soak_faults_play(&soak, (int64_t)seconds * 1000);
+    soak_faults_run(&soak, (int64_t)seconds * 1000);
     g_atomic_int_set(&soak.stop, 1);
-    soak_callers_join(callers);
+    soak_clients_join(clients);
     soak_recovery_check(&soak);
     if (soak.has_poison) {
-        g_usleep(POISON_CALM_US);
+        g_usleep(POISON_TAIL_US);
     }
     g_atomic_int_set(&soak.poison_stop, 1);
-    soak_callers_join(poison);
+    soak_clients_join(poison);
     exits_check(&soak);
     soak_checks_run(&soak);
-    gboolean good = soak.broken->len == 0;
+    gboolean passed = soak.failures->len == 0;
     printf("seed %u: %s; %u requests, %u served whole, %u faults\n", seed,
-           good ? "all promises held" : "BROKEN", soak.requests->len, served_count(&soak),
+           passed ? "all promises held" : "BROKEN", soak.requests->len, served_count(&soak),
            soak.spans->len);
-    if (!good) {
-        for (guint i = 0; i < soak.broken->len; i++) {
-            printf("  %s\n", (char *)soak.broken->pdata[i]);
+    if (!passed) {
+        for (guint i = 0; i < soak.failures->len; i++) {
+            printf("  %s\n", (char *)soak.failures->pdata[i]);
         }
         spans_print(&soak, began_ms);
         printf("  logs: %s\n", soak.estate->files.folder);
-        g_test_fail(); /* the estate keeps its logs */
+        g_test_fail(); /* makes the harness keep its logs */
     }
     fflush(stdout);
     estate_stop(soak.estate);
     g_array_unref(soak.spans);
-    g_array_unref(soak.leaves);
+    g_array_unref(soak.drains);
     g_array_unref(soak.requests);
-    g_ptr_array_unref(soak.broken);
-    g_rand_free(soak.plan);
+    g_ptr_array_unref(soak.failures);
+    g_rand_free(soak.rand);
     g_mutex_clear(&soak.lock);
-    return good;
+    return passed;
 }
 
 int main(int argc, char **argv) {
@@ -155,17 +155,17 @@
     }
     curl_global_init(CURL_GLOBAL_ALL);
     apr_initialize();
-    int broken = 0;
+    int failed = 0;
     int played = 0;
     g_auto(GStrv) list = g_strsplit(seeds != NULL ? seeds : "", ",", -1);
     if (seeds == NULL) {
         for (; played < count; played++) {
-            broken += !seed_play(g_random_int(), seconds);
+            failed += !seed_run(g_random_int(), seconds);
         }
     }
     for (char **seed = list; *seed != NULL && **seed != '\0'; seed++, played++) {
-        broken += !seed_play((guint32)g_ascii_strtoull(*seed, NULL, 10), seconds);
+        failed += !seed_run((guint32)g_ascii_strtoull(*seed, NULL, 10), seconds);
     }
-    printf("%d passed, %d failed\n", played - broken, broken);
-    return broken == 0 ? 0 : 1;
+    printf("%d passed, %d failed\n", played - failed, failed);
+    return failed == 0 ? 0 : 1;
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,10 +1,13 @@
 /**
  * @file soak.h
- * @brief A randomized soak of edge nodes: real processes, faults from outside, promises checked by
- * what callers and engines see.
+ * @brief Randomized soak test of edge nodes: real processes with injected faults.
  *
- * A seed lays down which faults begin when and how long they last, and what callers ask for. The
- * processes' own timing is theirs, so a seed that failed is played several times.
+ * The seed determines which faults begin and how long they last, and what clients send. Process
+ * scheduling isn't under its control, so run a failing seed several times. Invariants are
+ * checked on what clients received and what the stand-in's engines recorded.
+ *
+ * Times are in ms of harness_now_ms() unless a name says otherwise. soak_t owns its arrays; its
+ * lock guards those that threads share. Failed checks are reported by soak_fail().
  */
 #ifndef WICKBRIDGE_TEST_SOAK_H
 #define WICKBRIDGE_TEST_SOAK_H
@@ -12,78 +15,78 @@
 #include "harness/estate.h"
 
 #define SOAK_NODES 4
-#define SOAK_CALLERS 12
-#define SOAK_DISTURBED_AFTER_MS 4000 /* a fault may be felt so long after its end */
+#define SOAK_CLIENTS 12
+#define SOAK_DISTURBED_AFTER_MS 4000 /* a fault may have effects for this long after its end */
 #define SOAK_POISON_BODY "crash: no engine survives this"
 #define SOAK_DRAIN_MS 2000
-#define SOAK_EVACUATE_MS 2500 /* as nodes take it that aren't told for how long they may go on */
-#define SOAK_LEASE_QUIET_MS 1000
+#define SOAK_EVACUATE_MS 2500 /* drain time of nodes for an evacuation without a given duration */
+#define SOAK_LEASE_HANDOVER_MS 1000
 #define SOAK_RETRY_RATIO 0.2
 
-/** A span in which a fault was at work. */
+/** Time during which a fault was active. */
 typedef struct soak_span_t {
     char name[32];
-    int node; /* that it hit; -1: more than one */
+    int node; /* the affected node; -1: several */
     int64_t from_ms;
     int64_t to_ms;
 } soak_span_t;
 
-/** An engine that was told to leave. */
-typedef struct soak_leave_t {
+/** An engine that was set to draining. */
+typedef struct soak_drain_t {
     char engine[32];
     int64_t at_ms;
-} soak_leave_t;
+} soak_drain_t;
 
-/** A zone that got nothing new for a time. */
+/** A time during which a zone was evacuated. */
 typedef struct soak_evacuation_t {
     char zone[32];
     int64_t from_ms;
     int64_t to_ms;
 } soak_evacuation_t;
 
-/** A request as its caller saw it. */
+/** A request as its client saw it. */
 typedef struct soak_request_t {
     char id[32];
-    const char *path; /* "/lock/x" and so on; owned by nobody */
+    const char *path; /* "/lock/x" and so on; static */
     int node;
-    int status; /* 0: the connection ended without an answer */
+    int status; /* 0: the connection closed without a response */
     gboolean whole;
-    gboolean closed;  /* the connection ended */
-    gboolean on_kept; /* it was asked on a connection that had served others */
-    gboolean limited; /* its answer names its engine's limit */
-    gboolean leaving; /* its answer tells that its engine leaves */
+    gboolean closed;           /* the node closed the connection */
+    gboolean reused;           /* sent on a connection that had carried other requests */
+    gboolean reports_limit;    /* its response reports its engine's limit */
+    gboolean reports_draining; /* its response reports that its engine is draining */
     int64_t began_ms;
     int64_t ended_ms;
 } soak_request_t;
 
-/** One play. The lock guards what threads share. */
+/** One run of a seed. The lock guards what threads share. */
 typedef struct soak_t {
     guint32 seed;
-    GRand *plan;
+    GRand *rand;
     estate_t *estate;
     GMutex lock;
-    GArray *spans;     /* of soak_span_t */
-    GArray *leaves;    /* of soak_leave_t */
-    GArray *requests;  /* of soak_request_t */
-    GPtrArray *broken; /* texts: promises that did not hold */
+    GArray *spans;       /* of soak_span_t */
+    GArray *drains;      /* of soak_drain_t */
+    GArray *requests;    /* of soak_request_t */
+    GPtrArray *failures; /* texts of failed checks, owned */
     gint stop;
     gint poison_stop;
-    gboolean has_poison; /* a request that crashes engines comes again and again */
-    gboolean has_paces;  /* engines differ in pace, and some tell figures that can't be */
-    gboolean has_zones;  /* engines start again under their id, zones are evacuated, other writers
-                            put rows among those of engines */
-    gboolean has_builds; /* nodes go from one build to the other, forth and back */
-    gboolean has_sheds;  /* engines turn everything away for a while */
-    gboolean
-        has_states;  /* engines name limits, ask for rest, and tell in answers that they leave */
-    int retry_slack; /* requests sent again in a window beyond the ratio */
+    gboolean has_poison; /* a request that crashes engines is sent repeatedly */
+    gboolean has_paces;  /* engines differ in pace, and one reports a value out of range */
+    gboolean has_zones;  /* engines restart under their id, zones are evacuated, rows of other
+                            writers are among those of engines */
+    gboolean has_builds; /* nodes switch between the current and the older build */
+    gboolean has_load_shedding; /* engines reject every request for a while */
+    gboolean has_engine_states; /* engines report limits and draining in responses, and ask for
+                                   backoff */
+    int retry_slack;            /* retries in a window beyond the ratio */
     int retry_window_s;
     GArray *evacuations; /* of soak_evacuation_t */
-    int engines_started; /* makes ids of engines unique */
+    int engines_started; /* counter for unique engine ids */
     int64_t version;     /* of the configuration */
 } soak_t;
 
-/** @return a text of an object that the stand-in saw */
+/** @return a string member of an object that the stand-in recorded; borrowed */
 static inline const char *soak_text_of(const json_t *object, const char *name) {
     return json_string_value(json_object_get(object, name));
 }
@@ -92,41 +95,42 @@
     return json_integer_value(json_object_get(object, name));
 }
 
-/** Note that a promise did not hold. */
-void soak_broken(soak_t *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** @return TRUE when the node's process was killed or stood still in this time */
+/** Record a failed check. Any thread. */
+void soak_fail(soak_t *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
+/** @return TRUE when the node was killed, paused or switched to the other build in this time */
 gboolean soak_is_halted(soak_t *soak, int node, int64_t from_ms, int64_t to_ms);
-/** @return TRUE when the node was started anew, as planned or not, or stood still in this time */
+/** @return TRUE when the node was restarted (planned or not) or paused in this time */
 gboolean soak_is_restarted(soak_t *soak, int node, int64_t from_ms, int64_t to_ms);
-/** @return TRUE when the node was started anew, stood still or was cut off in this time */
+/** @return TRUE when the node was restarted, paused or cut off in this time */
 gboolean soak_is_excused(soak_t *soak, int node, int64_t from_ms, int64_t to_ms);
-/** @return TRUE when a fault was at work that may keep this node from its promises in time */
+/** @return TRUE when a fault was active that may delay this node. @param node -1: any node */
 gboolean soak_is_disturbed(soak_t *soak, int node, int64_t from_ms, int64_t to_ms);
 
-/** The same, faults of one name apart. */
-gboolean soak_is_disturbed_but(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
-                               const char *name);
+/** The same, without faults of this name. */
+gboolean soak_is_disturbed_except(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
+                                  const char *name);
 
 /* callers.c */
-/** Start the callers' threads. @return them; join with soak_callers_join */
-GPtrArray *soak_callers_start(soak_t *soak);
-void soak_callers_join(GPtrArray *threads);
-/** Start callers that send a request again and again that crashes engines, if this seed has one.
- * @return their threads */
+/** Start the clients' threads. @return them, owned by the caller; end with soak_clients_join */
+GPtrArray *soak_clients_start(soak_t *soak);
+void soak_clients_join(GPtrArray *threads);
+/** Start clients that repeatedly send a request that crashes engines, if this seed has one. @return
+ * their threads, as soak_clients_start */
 GPtrArray *soak_poison_start(soak_t *soak);
-/** Every kind of request is served at every node: called once all faults are over. */
+/** Check that every kind of request is served at every node. Call after all faults are over. */
 void soak_recovery_check(soak_t *soak);
 
 /* faults.c */
-/** Begin and end faults as the seed lays down, until the time is over; then all are over. */
-void soak_faults_play(soak_t *soak, int64_t duration_ms);
+/** Begin and end faults as the seed determines, for this time; then end all and wait until nodes
+ * are ready. */
+void soak_faults_run(soak_t *soak, int64_t duration_ms);
 
 /* state_checks.c */
-/** Compare what engines got with the limits, rest and leaving that they told of. */
+/** Compare what engines received with the limits, backoff and draining that they reported. */
 void soak_states_check(soak_t *soak, const json_t *seen);
 
 /* checks.c */
-/** Compare what engines saw with what callers were told. */
+/** Check what engines recorded against what clients received. */
 void soak_checks_run(soak_t *soak);
 
 #endif
