--- a/standins/engine/answers.c
+++ b/standins/engine/answers.c
@@ -1,4 +1,4 @@
-/* Writes answers; any part of one can be written again from its seed and prompt. */
+/* Generates responses. Any part of one can be generated again from its seed and prompt. */
 #include "engine.h"
 
 #include <string.h>
@@ -10,7 +10,7 @@
     uint64_t index;
 } answer_word_input_t;
 
-/* The first word shows the seed, so that a reader can check all the others. */
+/* The first word is the seed, so that a reader can verify all others. */
 static void word_append(GString *out, const answer_t *answer, int index) {
     if (index == 0) {
         g_string_append_printf(out, "seed-%016" G_GINT64_MODIFIER "x ", (guint64)answer->seed);
--- a/standins/engine/cache.c
+++ b/standins/engine/cache.c
@@ -1,4 +1,5 @@
-/* The prefix cache of limited size, with late and gappy events, export and import. */
+/* LRU cache of prompt prefixes with export and import. Its events appear late and with gaps, as
+ * those of real engines may. */
 #include "engine.h"
 
 #include "wickbridge/json.h"
@@ -7,7 +8,7 @@
 #include <string.h>
 
 #define EVENT_LAG_MS 500
-#define EVENT_GAP 7 /* every seventh event is never shown */
+#define EVENT_GAP 7 /* every seventh event is omitted */
 #define EVENTS_KEPT 1024
 
 typedef struct cache_event_t {
@@ -37,11 +38,11 @@
 }
 
 gboolean cache_touch(uint64_t prefix_hash) {
-    for (GList *place = entries.head; place != NULL; place = place->next) {
-        if (*(uint64_t *)place->data != prefix_hash)
+    for (GList *item = entries.head; item != NULL; item = item->next) {
+        if (*(uint64_t *)item->data != prefix_hash)
             continue;
-        g_queue_unlink(&entries, place);
-        g_queue_push_head_link(&entries, place);
+        g_queue_unlink(&entries, item);
+        g_queue_push_head_link(&entries, item);
         return TRUE;
     }
     uint64_t *entry = g_new(uint64_t, 1);
@@ -61,8 +62,8 @@
     int64_t after = after_text != NULL ? g_ascii_strtoll(after_text, NULL, 10) : 0;
     json_t *list = json_array();
     g_mutex_lock(&engine_lock);
-    for (GList *place = events.head; place != NULL; place = place->next) {
-        const cache_event_t *event = place->data;
+    for (GList *item = events.head; item != NULL; item = item->next) {
+        const cache_event_t *event = item->data;
         if (event->number <= after || event->number % EVENT_GAP == 0 ||
             engine_now_ms() - event->at_ms < EVENT_LAG_MS)
             continue;
@@ -79,10 +80,10 @@
 void cache_export(wb_http_exchange_t *exchange, const char *stream) {
     json_t *list = json_array();
     g_mutex_lock(&engine_lock);
-    for (GList *place = entries.head; place != NULL; place = place->next) {
+    for (GList *item = entries.head; item != NULL; item = item->next) {
         char prefix[24];
         g_snprintf(prefix, sizeof(prefix), "%016" G_GINT64_MODIFIER "x",
-                   (guint64) * (uint64_t *)place->data);
+                   (guint64) * (uint64_t *)item->data);
         json_array_append_new(list, json_string(prefix));
     }
     g_mutex_unlock(&engine_lock);
--- a/standins/engine/engine.h
+++ b/standins/engine/engine.h
@@ -1,9 +1,12 @@
 /**
  * @file engine.h
- * @brief The parts of the engine stand-in: models in memory, streams in a batch, cache, reports.
+ * @brief Stand-in for a model engine: models in memory, streams in a batch, prefix cache, reports.
  *
- * Locks: one lock, engine_lock, guards everything here. A function says "lock held" when the
- * caller must hold it; all others take it themselves.
+ * One process is one engine. Times are monotonic ms, sizes bytes, unless a name says otherwise.
+ * Handlers (functions that take a wb_http_exchange_t) answer it themselves, errors included.
+ *
+ * Locks: engine_lock guards all state. Functions marked "Lock held" need it held by the caller; all
+ * others take it themselves.
  */
 #ifndef WICKBRIDGE_STANDIN_ENGINE_H
 #define WICKBRIDGE_STANDIN_ENGINE_H
@@ -14,7 +17,7 @@
 
 #include <stdint.h>
 
-/** Settings of the stand-in. */
+/** Settings of the process; see main.c for units and defaults. */
 typedef struct engine_settings_t {
     const char *listen;
     const char *id;
@@ -50,10 +53,9 @@
 typedef enum engine_load_state_t {
     ENGINE_LOADING,
     ENGINE_LOADED,
-    ENGINE_UNLOADING /**< no new streams; goes once none runs */
+    ENGINE_UNLOADING /**< takes no new streams; removed when none is left */
 } engine_load_state_t;
 
-/** An adapter on a model. */
 typedef struct engine_adapter_t {
     char *name;
     int64_t bytes;
@@ -61,13 +63,13 @@
     int running;
 } engine_adapter_t;
 
-/** A model in accelerator memory. */
+/** A model in accelerator memory, and its adapters by name. */
 typedef struct engine_model_t {
     char *name;
     int64_t version;
     int64_t bytes;
     engine_load_state_t state;
-    int running; /**< streams waiting or running on it */
+    int running; /**< streams waiting or running */
     GHashTable *adapters;
 } engine_model_t;
 
@@ -76,25 +78,24 @@
 void models_fence(wb_http_exchange_t *exchange);
 void models_inventory(wb_http_exchange_t *exchange);
 void models_history(wb_http_exchange_t *exchange);
-/** Finish loads that are due, answer inventory calls that waited long enough. */
+/** Finish loads that are due and answer inventory polls that timed out. */
 void models_tick(void);
-/** @return the loaded model, or NULL. Lock held. */
+/** @return the loaded model, or NULL; owned by the engine. Lock held. */
 engine_model_t *models_find_loaded(const char *name);
-/** @return the loaded adapter, or NULL. Lock held. */
+/** @return the loaded adapter, or NULL; owned by its model. Lock held. */
 engine_adapter_t *models_find_adapter(engine_model_t *model, const char *name);
-/** One stream on the model has ended. Lock held. */
+/** Release the model and adapter ("": none) of an ended stream. Lock held. */
 void models_release(const char *model_name, const char *adapter_name);
-/** Something the inventory shows has changed. Lock held. */
+/** Increment the inventory's sequence and answer pending polls. Lock held. */
 void models_changed(void);
-/** @return TRUE while the engine takes no new work */
-gboolean engine_is_leaving(void);
-void engine_leave(void);
+/** @return TRUE while the engine refuses new streams */
+gboolean engine_is_draining(void);
+void engine_drain(void);
 
-/**
- * Start fetching weights; `loads_finished` is called with the ticket, from any thread, no lock.
- * @param full_speed_ms how long the weight store takes at full speed
- */
+/** Called once when weights have arrived, from any thread, without the lock. It owns the ticket. */
 typedef void (*loads_finished_fn)(void *ticket);
+/** Start fetching weights, and retry until that succeeds. @param full_speed_ms duration at the
+ * weight store's full speed */
 void loads_fetch_remote(int64_t full_speed_ms, loads_finished_fn finished, void *ticket);
 
 void streams_setup(void);
@@ -102,35 +103,36 @@
 void streams_resume(wb_http_exchange_t *exchange, const char *id);
 void streams_cancel(wb_http_exchange_t *exchange, const char *id);
 void streams_ledger(wb_http_exchange_t *exchange);
-/** One step of the batch. */
+/** Advance the batch by one step. */
 void streams_tick(void);
-/** Running and waiting streams. Lock held. */
+/** Count running and waiting streams. Lock held. */
 void streams_count(int *running, int *waiting);
 
-/** What a stream answers, told apart by the kind of request. */
+/** Response format, by the kind of request. */
 typedef enum answer_kind_t { ANSWER_CHAT, ANSWER_COMPLETION, ANSWER_CALL } answer_kind_t;
 
-/** All that is needed to write any part of an answer again. */
+/** Everything from which any part of a response can be generated again. */
 typedef struct answer_t {
     answer_kind_t kind;
     char *id;
     char *model;
-    uint64_t seed; /**< chosen by the first engine; the text depends on it */
+    uint64_t seed; /**< chosen by the first engine; the text is derived from it */
     uint64_t prompt_hash;
     int64_t prompt_bytes;
-    int tokens; /**< in the whole answer */
+    int tokens; /**< in the complete response */
     int64_t created_s;
     char *call_result; /**< ANSWER_CALL only */
 } answer_t;
 
-/** Append the event with this index, as server-sent events. Indices run to answer_events()-1. */
+/** Append the event with this index (0 to answer_events()-1) as a server-sent event. */
 void answer_append_event(GString *out, const answer_t *answer, int index);
 int answer_events(const answer_t *answer);
-/** @return the whole answer as JSON text, freed by the caller */
+/** @return the complete response as JSON, freed by the caller */
 char *answer_whole(const answer_t *answer);
 
 void cache_setup(void);
-/** Remember a prompt's prefix. @return TRUE when it was there already. Lock held. */
+/** Insert a prompt's prefix, or mark it recently used. @return TRUE when it was cached. Lock held.
+ */
 gboolean cache_touch(uint64_t prefix_hash);
 void cache_events(wb_http_exchange_t *exchange);
 void cache_export(wb_http_exchange_t *exchange, const char *stream);
--- a/standins/engine/hollow.c
+++ b/standins/engine/hollow.c
@@ -1,5 +1,6 @@
-/* Many engines' control sides in one process, for the bench at scale: each 127.x.y.z address on one
- * port is an engine. They take fenced orders and show inventories; they run no streams. */
+/* Control interfaces of many engines in one process, for the scale benchmark. Each 127.x.y.z
+ * address on the port is one engine; it takes fenced orders and shows its inventory, but runs no
+ * streams. */
 #include "../standin_http.h"
 
 #include "wickbridge/json.h"
@@ -35,25 +36,25 @@
 static const wb_settings_table_t table = {
     "wb-hollow-engines", "Many engines' control sides in one process.", rows, G_N_ELEMENTS(rows)};
 
-/* A model or an adapter ("model+adapter") on an engine. */
-typedef struct hollow_held_t {
+/* A model or an adapter (key "model+adapter") on an engine. */
+typedef struct hollow_resident_t {
     int64_t bytes;
     int64_t loaded_at_ms;
     gboolean loaded;
-} hollow_held_t;
+} hollow_resident_t;
 
-typedef struct hollow_wait_t {
+typedef struct hollow_poll_t {
     wb_http_exchange_t *exchange;
     int64_t until_ms;
-} hollow_wait_t;
+} hollow_poll_t;
 
 typedef struct hollow_engine_t {
     char *id;
     GMutex lock;
     uint64_t fence;
     int64_t sequence;
-    GHashTable *held;
-    GPtrArray *waits;
+    GHashTable *residents; /* name -> hollow_resident_t */
+    GPtrArray *polls;
 } hollow_engine_t;
 
 static GMutex engines_lock;
@@ -63,7 +64,7 @@
     return g_get_monotonic_time() / 1000;
 }
 
-static hollow_engine_t *engine_of(wb_http_exchange_t *exchange) {
+static hollow_engine_t *engine_find_or_create(wb_http_exchange_t *exchange) {
     char address[64];
     wb_http_exchange_local_address(exchange, address, sizeof(address));
     g_mutex_lock(&engines_lock);
@@ -72,8 +73,8 @@
         engine = g_new0(hollow_engine_t, 1);
         engine->id = g_strconcat("engine-", address, NULL);
         g_mutex_init(&engine->lock);
-        engine->held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-        engine->waits = g_ptr_array_new_with_free_func(g_free);
+        engine->residents = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+        engine->polls = g_ptr_array_new_with_free_func(g_free);
         g_hash_table_insert(engines, g_strdup(address), engine);
     }
     g_mutex_unlock(&engines_lock);
@@ -85,14 +86,14 @@
     g_autofree char *prefix = g_strconcat(model, "+", NULL);
     GHashTableIter iterator;
     gpointer key, value;
-    g_hash_table_iter_init(&iterator, engine->held);
+    g_hash_table_iter_init(&iterator, engine->residents);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        const hollow_held_t *held = value;
+        const hollow_resident_t *resident = value;
         if (g_str_has_prefix(key, prefix))
             json_array_append_new(list,
                                   json_pack("{s:s, s:I, s:s}", "name", (char *)key + strlen(prefix),
-                                            "bytes", (json_int_t)held->bytes, "state",
-                                            held->loaded ? "loaded" : "loading"));
+                                            "bytes", (json_int_t)resident->bytes, "state",
+                                            resident->loaded ? "loaded" : "loading"));
     }
     return list;
 }
@@ -102,15 +103,16 @@
     int64_t used = 0;
     GHashTableIter iterator;
     gpointer key, value;
-    g_hash_table_iter_init(&iterator, engine->held);
+    g_hash_table_iter_init(&iterator, engine->residents);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        const hollow_held_t *held = value;
-        used += held->bytes;
+        const hollow_resident_t *resident = value;
+        used += resident->bytes;
         if (strchr(key, '+') == NULL)
-            json_array_append_new(models, json_pack("{s:s, s:i, s:I, s:s, s:o}", "name", key,
-                                                    "version", 1, "bytes", (json_int_t)held->bytes,
-                                                    "state", held->loaded ? "loaded" : "loading",
-                                                    "adapters", adapters_describe(engine, key)));
+            json_array_append_new(models,
+                                  json_pack("{s:s, s:i, s:I, s:s, s:o}", "name", key, "version", 1,
+                                            "bytes", (json_int_t)resident->bytes, "state",
+                                            resident->loaded ? "loaded" : "loading", "adapters",
+                                            adapters_describe(engine, key)));
     }
     char fence[32];
     g_snprintf(fence, sizeof(fence), "%" G_GUINT64_FORMAT, (guint64)engine->fence);
@@ -122,13 +124,13 @@
 
 static void engine_changed(hollow_engine_t *engine) {
     engine->sequence++;
-    for (guint i = 0; i < engine->waits->len; i++)
-        standin_reply_json(((hollow_wait_t *)engine->waits->pdata[i])->exchange, 200,
+    for (guint i = 0; i < engine->polls->len; i++)
+        standin_reply_json(((hollow_poll_t *)engine->polls->pdata[i])->exchange, 200,
                            inventory_describe(engine));
-    g_ptr_array_set_size(engine->waits, 0);
+    g_ptr_array_set_size(engine->polls, 0);
 }
 
-static gboolean key_is_of(gpointer key, gpointer value, gpointer data) {
+static gboolean key_is_in_model(gpointer key, gpointer value, gpointer data) {
     (void)value;
     size_t length = strlen(data);
     return strncmp(key, data, length) == 0 &&
@@ -141,16 +143,17 @@
     g_autofree char *key =
         adapter != NULL ? g_strconcat(model, "+", adapter, NULL) : g_strdup(model);
     if (strcmp(wb_json_text(order, "action", ""), "unload") == 0) {
-        g_hash_table_foreach_remove(engine->held, key_is_of, key);
+        g_hash_table_foreach_remove(engine->residents, key_is_in_model, key);
         return;
     }
-    hollow_held_t *held = g_new0(hollow_held_t, 1);
-    held->bytes = wb_json_integer(order, "bytes", 0);
-    held->loaded_at_ms = now_ms() + settings.load_ms;
-    g_hash_table_replace(engine->held, g_steal_pointer(&key), held);
+    hollow_resident_t *resident = g_new0(hollow_resident_t, 1);
+    resident->bytes = wb_json_integer(order, "bytes", 0);
+    resident->loaded_at_ms = now_ms() + settings.load_ms;
+    g_hash_table_replace(engine->residents, g_steal_pointer(&key), resident);
 }
 
-static void order_take(wb_http_exchange_t *exchange, hollow_engine_t *engine, gboolean fence_only) {
+static void order_handle(wb_http_exchange_t *exchange, hollow_engine_t *engine,
+                         gboolean fence_only) {
     json_t *order = standin_read_json(exchange);
     if (order == NULL)
         return;
@@ -170,15 +173,15 @@
     standin_reply_json(exchange, status, body);
 }
 
-static void inventory_show(wb_http_exchange_t *exchange, hollow_engine_t *engine) {
+static void inventory_handle(wb_http_exchange_t *exchange, hollow_engine_t *engine) {
     const char *after = wb_http_exchange_query(exchange, "after");
     const char *wait_ms = wb_http_exchange_query(exchange, "wait_ms");
     g_mutex_lock(&engine->lock);
     if (after != NULL && wait_ms != NULL && g_ascii_strtoll(after, NULL, 10) == engine->sequence) {
-        hollow_wait_t *wait = g_new(hollow_wait_t, 1);
-        wait->exchange = exchange;
-        wait->until_ms = now_ms() + g_ascii_strtoll(wait_ms, NULL, 10);
-        g_ptr_array_add(engine->waits, wait);
+        hollow_poll_t *poll = g_new(hollow_poll_t, 1);
+        poll->exchange = exchange;
+        poll->until_ms = now_ms() + g_ascii_strtoll(wait_ms, NULL, 10);
+        g_ptr_array_add(engine->polls, poll);
     } else
         standin_reply_json(exchange, 200, inventory_describe(engine));
     g_mutex_unlock(&engine->lock);
@@ -187,13 +190,13 @@
 static void request_handle(wb_http_exchange_t *exchange, void *context) {
     (void)context;
     const char *path = wb_http_exchange_path(exchange);
-    hollow_engine_t *engine = engine_of(exchange);
+    hollow_engine_t *engine = engine_find_or_create(exchange);
     if (strcmp(path, "/engine/v1/orders") == 0)
-        order_take(exchange, engine, FALSE);
+        order_handle(exchange, engine, FALSE);
     else if (strcmp(path, "/engine/v1/fence") == 0)
-        order_take(exchange, engine, TRUE);
+        order_handle(exchange, engine, TRUE);
     else if (strcmp(path, "/engine/v1/inventory") == 0)
-        inventory_show(exchange, engine);
+        inventory_handle(exchange, engine);
     else
         standin_reply_error(exchange, 404, "no_such_path", path, -1);
 }
@@ -203,22 +206,22 @@
     GHashTableIter iterator;
     gpointer value;
     g_mutex_lock(&engine->lock);
-    g_hash_table_iter_init(&iterator, engine->held);
+    g_hash_table_iter_init(&iterator, engine->residents);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        hollow_held_t *held = value;
-        if (held->loaded || held->loaded_at_ms > now_ms())
+        hollow_resident_t *resident = value;
+        if (resident->loaded || resident->loaded_at_ms > now_ms())
             continue;
-        held->loaded = TRUE;
+        resident->loaded = TRUE;
         changed = TRUE;
     }
     if (changed)
         engine_changed(engine);
-    for (guint i = engine->waits->len; i-- > 0;) {
-        hollow_wait_t *wait = engine->waits->pdata[i];
-        if (wait->until_ms > now_ms())
+    for (guint i = engine->polls->len; i-- > 0;) {
+        hollow_poll_t *poll = engine->polls->pdata[i];
+        if (poll->until_ms > now_ms())
             continue;
-        standin_reply_json(wait->exchange, 200, inventory_describe(engine));
-        g_ptr_array_remove_index_fast(engine->waits, i);
+        standin_reply_json(poll->exchange, 200, inventory_describe(engine));
+        g_ptr_array_remove_index_fast(engine->polls, i);
     }
     g_mutex_unlock(&engine->lock);
 }
@@ -229,8 +232,8 @@
         g_mutex_lock(&engines_lock);
         g_autoptr(GList) all = g_hash_table_get_values(engines);
         g_mutex_unlock(&engines_lock);
-        for (GList *place = all; place != NULL; place = place->next)
-            engine_tick(place->data);
+        for (GList *item = all; item != NULL; item = item->next)
+            engine_tick(item->data);
         g_usleep(TICK_MS * 1000);
     }
     return NULL;
--- a/standins/engine/loads.c
+++ b/standins/engine/loads.c
@@ -1,4 +1,5 @@
-/* Fetches weights from the platform's weight store, again when it says to come back. */
+/* Fetches weights from the platform's weight store; retries after Retry-After, or RETRY_MS without
+ * one. */
 #include "engine.h"
 
 #include <string.h>
--- a/standins/engine/main.c
+++ b/standins/engine/main.c
@@ -1,4 +1,4 @@
-/* The engine stand-in's program: settings, paths and the ticking threads. */
+/* Program of the engine stand-in: settings, routes, batch and model threads. */
 #include "engine.h"
 
 #include "wickbridge/log.h"
@@ -136,9 +136,9 @@
     return NULL;
 }
 
-/* After a stop was asked for: finish what runs, then go. */
-static void drain(void) {
-    engine_leave();
+/* Refuses new streams and waits until all others ended. */
+static void drain_and_wait(void) {
+    engine_drain();
     int running = 1, waiting = 0;
     while (running + waiting > 0) {
         g_usleep(20 * 1000);
@@ -146,7 +146,7 @@
         streams_count(&running, &waiting);
         g_mutex_unlock(&engine_lock);
     }
-    g_usleep(200 * 1000); /* lets the last bytes leave */
+    g_usleep(200 * 1000); /* time for the last bytes to be sent */
 }
 
 int main(int argc, char **argv) {
@@ -180,6 +180,6 @@
     g_thread_unref(g_thread_new("models", models_run, NULL));
     wb_log_message(WB_LOG_STANDIN, "The engine listens on %s.", engine_settings.listen);
     standin_signals_wait();
-    drain();
+    drain_and_wait();
     return 0;
 }
--- a/standins/engine/models.c
+++ b/standins/engine/models.c
@@ -1,4 +1,4 @@
-/* Models and adapters in accelerator memory, changed by fenced orders only. */
+/* Models and adapters in accelerator memory; only fenced orders change them. */
 #include "engine.h"
 
 #include "wickbridge/json.h"
@@ -11,32 +11,32 @@
 #define MIB (1024LL * 1024LL)
 #define GIB (1024LL * MIB)
 
-/* A load that is under way; found again by name and number when its weights are there. */
+/* A load in progress. Looked up by number when its weights have arrived. */
 typedef struct load_job_t {
     char *model;
     char *adapter; /* NULL: the model itself */
     int64_t number;
-    int64_t due_ms; /* local sources; 0 while the weight store works on it */
+    int64_t due_ms; /* for local sources; 0 while the weight store transfers it */
     gboolean fetched;
 } load_job_t;
 
-typedef struct inventory_wait_t {
+typedef struct inventory_poll_t {
     wb_http_exchange_t *exchange;
     int64_t until_ms;
-} inventory_wait_t;
+} inventory_poll_t;
 
 static GHashTable *models;
 static GPtrArray *jobs;
-static GPtrArray *inventory_waits;
+static GPtrArray *inventory_polls;
 static GHashTable *disk_copies;
 static GQueue host_copies = G_QUEUE_INIT; /* names, most recent first */
 static json_t *history;
 static uint64_t fence;
 static int64_t sequence;
 static int64_t job_count;
-static int64_t memory_attempts; /* orders that would have exceeded accelerator memory */
+static int64_t memory_attempts; /* orders refused since they exceed accelerator memory */
 static int64_t stale_orders;
-static gboolean leaving;
+static gboolean draining;
 
 static void adapter_free(gpointer data) {
     engine_adapter_t *adapter = data;
@@ -54,7 +54,7 @@
 void models_setup(void) {
     models = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, model_free);
     jobs = g_ptr_array_new();
-    inventory_waits = g_ptr_array_new();
+    inventory_polls = g_ptr_array_new();
     disk_copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     history = json_array();
     g_auto(GStrv) names = g_strsplit(engine_settings.disk_models, ",", -1);
@@ -77,7 +77,7 @@
     return used;
 }
 
-/* The history is also printed: it outlives a killed engine. */
+/* The history is also printed, so that it survives a killed engine. */
 static void history_add(const char *event, const char *model, const char *adapter) {
     fprintf(stderr, "EVENT %" G_GINT64_FORMAT " %s %s %s\n", (gint64)g_get_monotonic_time(), event,
             model, adapter != NULL ? adapter : "-");
@@ -132,12 +132,12 @@
 
 static json_t *host_copies_describe(void) {
     json_t *list = json_array();
-    for (GList *place = host_copies.head; place != NULL; place = place->next)
-        json_array_append_new(list, json_string(place->data));
+    for (GList *item = host_copies.head; item != NULL; item = item->next)
+        json_array_append_new(list, json_string(item->data));
     return list;
 }
 
-/* The fence is a string in JSON: it has 64 bits. */
+/* The fence is a string in JSON, since it has 64 bits. */
 static json_t *inventory_describe(void) {
     char fence_text[32];
     g_snprintf(fence_text, sizeof(fence_text), "%" G_GUINT64_FORMAT, (guint64)fence);
@@ -146,19 +146,19 @@
     return json_pack("{s:s, s:s, s:I, s:I, s:I, s:b, s:i, s:i, s:i, s:o, s:o, s:o}", "id",
                      engine_settings.id, "fence", fence_text, "sequence", (json_int_t)sequence,
                      "capacity_bytes", (json_int_t)(engine_settings.memory_mib * MIB), "used_bytes",
-                     (json_int_t)memory_used(), "leaving", leaving, "running", running, "waiting",
+                     (json_int_t)memory_used(), "leaving", draining, "running", running, "waiting",
                      waiting, "batch", (int)engine_settings.batch, "models", models_describe(),
                      "disk_copies", copies_describe(), "memory_copies", host_copies_describe());
 }
 
 void models_changed(void) {
     sequence++;
-    for (guint i = 0; i < inventory_waits->len; i++) {
-        inventory_wait_t *wait = inventory_waits->pdata[i];
-        standin_reply_json(wait->exchange, 200, inventory_describe());
-        g_free(wait);
+    for (guint i = 0; i < inventory_polls->len; i++) {
+        inventory_poll_t *poll = inventory_polls->pdata[i];
+        standin_reply_json(poll->exchange, 200, inventory_describe());
+        g_free(poll);
     }
-    g_ptr_array_set_size(inventory_waits, 0);
+    g_ptr_array_set_size(inventory_polls, 0);
 }
 
 void models_inventory(wb_http_exchange_t *exchange) {
@@ -166,10 +166,10 @@
     const char *wait_ms = wb_http_exchange_query(exchange, "wait_ms");
     g_mutex_lock(&engine_lock);
     if (after != NULL && wait_ms != NULL && g_ascii_strtoll(after, NULL, 10) == sequence) {
-        inventory_wait_t *wait = g_new(inventory_wait_t, 1);
-        wait->exchange = exchange;
-        wait->until_ms = engine_now_ms() + g_ascii_strtoll(wait_ms, NULL, 10);
-        g_ptr_array_add(inventory_waits, wait);
+        inventory_poll_t *poll = g_new(inventory_poll_t, 1);
+        poll->exchange = exchange;
+        poll->until_ms = engine_now_ms() + g_ascii_strtoll(wait_ms, NULL, 10);
+        g_ptr_array_add(inventory_polls, poll);
     } else
         standin_reply_json(exchange, 200, inventory_describe());
     g_mutex_unlock(&engine_lock);
@@ -184,16 +184,16 @@
     g_mutex_unlock(&engine_lock);
 }
 
-static engine_adapter_t *adapter_of(const char *model_name, const char *name,
-                                    engine_model_t **model) {
+static engine_adapter_t *adapter_find(const char *model_name, const char *name,
+                                      engine_model_t **model) {
     *model = g_hash_table_lookup(models, model_name);
     return *model != NULL && name != NULL ? g_hash_table_lookup((*model)->adapters, name) : NULL;
 }
 
-/* The load behind a job is whole. Lock held. */
+/* Completes a load. Lock held. */
 static void job_finish(load_job_t *job) {
     engine_model_t *model;
-    engine_adapter_t *adapter = adapter_of(job->model, job->adapter, &model);
+    engine_adapter_t *adapter = adapter_find(job->model, job->adapter, &model);
     if (job->adapter != NULL && adapter != NULL && adapter->state == ENGINE_LOADING)
         adapter->state = ENGINE_LOADED;
     else if (job->adapter == NULL && model != NULL && model->state == ENGINE_LOADING)
@@ -210,7 +210,7 @@
     g_free(job);
 }
 
-static void remote_finished(void *ticket) {
+static void remote_load_finished(void *ticket) {
     int64_t number = *(int64_t *)ticket;
     g_free(ticket);
     g_mutex_lock(&engine_lock);
@@ -222,23 +222,23 @@
     g_mutex_unlock(&engine_lock);
 }
 
-static gboolean host_copy_find(const char *name) {
-    for (GList *place = host_copies.head; place != NULL; place = place->next)
-        if (strcmp(place->data, name) == 0)
+static gboolean host_copy_exists(const char *name) {
+    for (GList *item = host_copies.head; item != NULL; item = item->next)
+        if (strcmp(item->data, name) == 0)
             return TRUE;
     return FALSE;
 }
 
 static void host_copy_add(const char *name) {
-    if (host_copy_find(name))
+    if (host_copy_exists(name))
         return;
     g_queue_push_head(&host_copies, g_strdup(name));
-    int64_t most = MAX(engine_settings.host_cache_mib / 4096, 1);
-    while ((int64_t)host_copies.length > most)
+    int64_t max_copies = MAX(engine_settings.host_cache_mib / 4096, 1);
+    while ((int64_t)host_copies.length > max_copies)
         g_free(g_queue_pop_tail(&host_copies));
 }
 
-/* Chooses the nearest source and starts the load. Lock held. */
+/* Starts a load from the fastest source: host memory, disk, weight store. Lock held. */
 static void job_start(const char *model, const char *adapter, int64_t bytes) {
     load_job_t *job = g_new0(load_job_t, 1);
     job->model = g_strdup(model);
@@ -247,7 +247,7 @@
     const char *weights = adapter != NULL ? adapter : model;
     double gib = (double)bytes / (double)GIB * (double)engine_settings.load_slowdown;
     g_ptr_array_add(jobs, job);
-    if (host_copy_find(weights))
+    if (host_copy_exists(weights))
         job->due_ms = engine_now_ms() + (int64_t)(gib * (double)engine_settings.memory_ms_per_gib);
     else if (g_hash_table_contains(disk_copies, weights) || *engine_settings.weights == '\0')
         job->due_ms = engine_now_ms() + (int64_t)(gib * (double)engine_settings.disk_ms_per_gib);
@@ -255,12 +255,12 @@
         int64_t *ticket = g_new(int64_t, 1);
         *ticket = job->number;
         loads_fetch_remote((int64_t)(gib * (double)engine_settings.remote_ms_per_gib),
-                           remote_finished, ticket);
+                           remote_load_finished, ticket);
     }
     history_add("loading", model, adapter);
 }
 
-/* Gives back memory of what is unloading and has no streams left. Lock held. */
+/* Frees models and adapters that are unloading and have no streams left. Lock held. */
 static void unloads_finish(void) {
     GHashTableIter iterator, adapters;
     gpointer value, adapter_value;
@@ -300,13 +300,13 @@
         job_free(job);
     }
     unloads_finish();
-    for (guint i = inventory_waits->len; i-- > 0;) {
-        inventory_wait_t *wait = inventory_waits->pdata[i];
-        if (wait->until_ms > now_ms)
+    for (guint i = inventory_polls->len; i-- > 0;) {
+        inventory_poll_t *poll = inventory_polls->pdata[i];
+        if (poll->until_ms > now_ms)
             continue;
-        standin_reply_json(wait->exchange, 200, inventory_describe());
-        g_ptr_array_remove_index_fast(inventory_waits, i);
-        g_free(wait);
+        standin_reply_json(poll->exchange, 200, inventory_describe());
+        g_ptr_array_remove_index_fast(inventory_polls, i);
+        g_free(poll);
     }
     g_mutex_unlock(&engine_lock);
 }
@@ -324,7 +324,7 @@
 void models_release(const char *model_name, const char *adapter_name) {
     engine_model_t *model;
     engine_adapter_t *adapter =
-        adapter_of(model_name, *adapter_name != '\0' ? adapter_name : NULL, &model);
+        adapter_find(model_name, *adapter_name != '\0' ? adapter_name : NULL, &model);
     if (model != NULL)
         model->running--;
     if (adapter != NULL)
@@ -371,7 +371,7 @@
 
 static unsigned unload(const char *model_name, const char *adapter_name) {
     engine_model_t *model;
-    engine_adapter_t *adapter = adapter_of(model_name, adapter_name, &model);
+    engine_adapter_t *adapter = adapter_find(model_name, adapter_name, &model);
     if (adapter_name != NULL && adapter != NULL)
         adapter->state = ENGINE_UNLOADING;
     else if (adapter_name == NULL && model != NULL)
@@ -380,7 +380,7 @@
     return 202;
 }
 
-/* Carries out an order that the fence let through. Lock held. */
+/* Applies an order that passed the fence check. Returns its HTTP status. Lock held. */
 static unsigned order_apply(const json_t *order) {
     const char *action = wb_json_text(order, "action", "");
     const char *model = wb_json_text(order, "model", "");
@@ -391,7 +391,7 @@
     else if (strcmp(action, "unload") == 0)
         status = unload(model, adapter);
     else if (strcmp(action, "set_role") == 0) {
-        leaving = strcmp(wb_json_text(order, "role", ""), "leaving") == 0;
+        draining = strcmp(wb_json_text(order, "role", ""), "leaving") == 0;
         status = 202;
     }
     if (status == 507) {
@@ -441,16 +441,16 @@
     standin_reply_json(exchange, status, inventory);
 }
 
-gboolean engine_is_leaving(void) {
+gboolean engine_is_draining(void) {
     g_mutex_lock(&engine_lock);
-    gboolean result = leaving;
+    gboolean result = draining;
     g_mutex_unlock(&engine_lock);
     return result;
 }
 
-void engine_leave(void) {
+void engine_drain(void) {
     g_mutex_lock(&engine_lock);
-    leaving = TRUE;
+    draining = TRUE;
     models_changed();
     g_mutex_unlock(&engine_lock);
 }
--- a/standins/engine/report.c
+++ b/standins/engine/report.c
@@ -1,4 +1,4 @@
-/* The load report, which shows the engine as it was some time ago. */
+/* The load report. It shows the state of report_lag_ms ago. */
 #include "engine.h"
 
 typedef struct report_t {
--- a/standins/engine/streams.c
+++ b/standins/engine/streams.c
@@ -1,4 +1,4 @@
-/* Streams in a bounded batch: waiting by priority, one token a step, resumed at an offset. */
+/* Streams in a bounded batch: queued by priority, one token a step, resumable at an offset. */
 #include "engine.h"
 
 #include "wickbridge/json.h"
@@ -16,13 +16,13 @@
     STREAM_WAITING,
     STREAM_RUNNING,
     STREAM_DONE,
-    STREAM_CANCELLED /* also: cancelled before it was ever seen */
+    STREAM_CANCELLED /* or cancelled before its start arrived */
 } stream_state_t;
 
-/* Someone who reads a stream. */
+/* A connection that reads a stream. */
 typedef struct stream_reader_t {
     wb_http_exchange_t *exchange;
-    gboolean streaming; /* else the whole answer at the end */
+    gboolean streaming; /* FALSE: gets the complete response at the end */
 } stream_reader_t;
 
 typedef struct engine_stream_t {
@@ -30,14 +30,14 @@
     char *model;
     char *adapter;
     stream_state_t state;
-    gboolean ran; /* it was taken into the batch */
-    char *path;   /* of a call */
+    gboolean ran; /* it has been in the batch */
+    char *path;   /* path of a call */
     int priority;
     int64_t arrived;     /* order of arrival */
     int64_t ready_ms;    /* prefill ends */
     int64_t finished_ms; /* done or cancelled */
     int produced;        /* events so far */
-    int64_t written_ms;  /* when readers last got something */
+    int64_t written_ms;  /* time of the last write to readers */
     answer_t answer;
     GPtrArray *readers;
 } engine_stream_t;
@@ -90,7 +90,7 @@
     standin_reply_error(exchange, status, code, code, retry_after_ms);
 }
 
-/* Lets a reader have what is there already. Lock held. */
+/* Sends a reader what is produced so far, and adds it for the rest. Lock held. */
 static void reader_add(engine_stream_t *stream, wb_http_exchange_t *exchange, gboolean streaming,
                        int offset) {
     char seed[24];
@@ -167,7 +167,7 @@
     return value != NULL ? atoi(value) : fallback;
 }
 
-/* Why the stream can't start, as an HTTP status with a code; 0 when it can. Lock held. */
+/* Returns 0 when the stream can start, else an HTTP status, with its code. Lock held. */
 static unsigned start_check(const char *id, const char *model_name, const char *adapter,
                             const char **code) {
     if (g_hash_table_lookup(streams, id) != NULL) {
@@ -186,7 +186,7 @@
     return 0;
 }
 
-static void model_use(const char *model_name, const char *adapter_name) {
+static void model_retain(const char *model_name, const char *adapter_name) {
     engine_model_t *model = models_find_loaded(model_name);
     model->running++;
     engine_adapter_t *adapter =
@@ -205,7 +205,7 @@
         refuse(exchange, 400, "no_model", -1);
         return;
     }
-    if (engine_is_leaving()) {
+    if (engine_is_draining()) {
         refuse(exchange, 503, "leaving", 0);
         return;
     }
@@ -232,7 +232,7 @@
         answer_prepare(stream, body, text, length);
         if (stream->answer.kind == ANSWER_CALL)
             stream->answer.call_result = g_strndup(text, length);
-        model_use(model, adapter);
+        model_retain(model, adapter);
         g_ptr_array_add(waiting, stream);
         reader_add(stream, exchange, header_integer(exchange, "Engine-Stream", 0) != 0, first);
     }
@@ -289,7 +289,7 @@
     g_mutex_unlock(&engine_lock);
 }
 
-/* A call takes effect when it starts to run: here it gets its place in the ledger. */
+/* A call takes effect when it starts to run, so it enters the ledger here. */
 static void call_run(engine_stream_t *stream) {
     char *body = stream->answer.call_result;
     fprintf(stderr, "RAN %s\n", body);
@@ -349,7 +349,7 @@
     }
 }
 
-/* A comment line without an event, so that readers can tell a quiet stream from a dead one. */
+/* Writes a comment line, by which readers distinguish an idle stream from a dead connection. */
 static void stream_keep_alive(engine_stream_t *stream, int64_t now_ms) {
     if (now_ms - stream->written_ms < KEEP_ALIVE_MS)
         return;
--- a/standins/estate/engine.c
+++ b/standins/estate/engine.c
@@ -1,4 +1,4 @@
-/* The stand-in's engines: they run requests, stream events, and take orders. */
+/* The stand-in's engines: lifecycle, requests and event streams. */
 #include "engine_inner.h"
 
 #include "wickbridge/json.h"
@@ -6,13 +6,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A request whose body begins so crashes each engine that begins to run it. */
+/* The prefix of a body that crashes each engine that runs the request. */
 #define CRASH_TEXT "crash"
 #define CRASH_AFTER_MS 20
-/* A row that isn't renewed lapses after so many beats. */
-#define LAPSE_BEATS 3
+/* A row that isn't renewed expires after this many heartbeat intervals. */
+#define EXPIRY_HEARTBEATS 3
 
-/* A request that runs. */
+/* A request in progress. */
 typedef struct wb_estate_run_t {
     wb_estate_engine_t *engine;
     wb_http_connection_t *connection;
@@ -21,7 +21,7 @@
     gboolean streams;
     int next_event;
     int events;
-    int cut_after; /* events after which it breaks off; -1: never */
+    int cut_after; /* number of the event after which the stream is aborted; -1: never */
 } wb_estate_run_t;
 
 const char *wb_estate_engine_id(const wb_estate_engine_t *engine) {
@@ -33,9 +33,9 @@
     return wb_json_integer(engine->options, name, fallback);
 }
 
-/* Everything that it says of itself tells when it started. */
-static void born_tell(const wb_estate_engine_t *engine, json_t *object) {
-    json_object_set_new(object, "born", json_integer((json_int_t)engine->born_ms));
+/* The engine's row and report include its start time. */
+static void start_time_add(const wb_estate_engine_t *engine, json_t *object) {
+    json_object_set_new(object, "born", json_integer((json_int_t)engine->started_ms));
 }
 
 void wb_estate_engine_set_option(wb_estate_engine_t *engine, const char *name, int64_t value) {
@@ -52,38 +52,38 @@
                             wb_json_text(engine->options, "service", "engines"), "address", address,
                             "zone", wb_json_text(engine->options, "zone", "zone-1"), "version",
                             "v1", "slots", (int)wb_estate_engine_option(engine, "slots", 8),
-                            "state", engine->leaving ? "draining" : "ready", "coldRemainingMs",
+                            "state", engine->draining ? "draining" : "ready", "coldRemainingMs",
                             (int)wb_estate_engine_option(engine, "cold_ms", 0), "sequence",
-                            (json_int_t)++engine->beats, "models", engine->models);
-    born_tell(engine, row);
+                            (json_int_t)++engine->heartbeats, "models", engine->models);
+    start_time_add(engine, row);
     char *text = wb_json_dump(row);
     wb_estate_store_put(engine->store, "servers", engine->id, text);
     free(text);
     json_decref(row);
 }
 
-static void engine_beat(void *context) {
+static void heartbeat_due(void *context) {
     wb_estate_engine_announce(context);
 }
 
-gboolean wb_estate_engine_take_fault(wb_estate_engine_t *engine, const char *fault) {
+gboolean wb_estate_engine_consume_fault(wb_estate_engine_t *engine, const char *fault) {
     if (engine->fault_count <= 0 || strcmp(engine->fault, fault) != 0)
         return FALSE;
     engine->fault_count--;
     return TRUE;
 }
 
-/* A row that lapses some time after its engine crashed. */
-typedef struct wb_estate_lapse_t {
+/* The row of a crashed engine until it expires. */
+typedef struct wb_estate_expiry_t {
     wb_estate_store_t *store;
     char *id;
-} wb_estate_lapse_t;
+} wb_estate_expiry_t;
 
-static void row_lapses(void *context) {
-    wb_estate_lapse_t *lapse = context;
-    wb_estate_store_put(lapse->store, "servers", lapse->id, NULL);
-    g_free(lapse->id);
-    g_free(lapse);
+static void row_expire(void *context) {
+    wb_estate_expiry_t *expiry = context;
+    wb_estate_store_put(expiry->store, "servers", expiry->id, NULL);
+    g_free(expiry->id);
+    g_free(expiry);
 }
 
 static void engine_open(wb_estate_engine_t *engine);
@@ -93,46 +93,46 @@
     engine->restart = NULL;
     engine->ended = FALSE;
     engine->busy = FALSE;
-    engine->leaving = FALSE;
+    engine->draining = FALSE;
     wb_estate_engine_set_state_lines(engine, "");
-    wb_estate_engine_set_rest(engine, "");
+    wb_estate_engine_set_backoff(engine, "");
     engine->sequence = 0;
     json_array_clear(engine->models);
     engine_open(engine);
 }
 
-static void engine_down(wb_estate_engine_t *engine) {
+static void engine_close(wb_estate_engine_t *engine) {
     engine->ended = TRUE;
     if (engine->crash != NULL)
         wb_timer_cancel(engine->crash);
     engine->crash = NULL;
-    wb_timer_cancel(engine->beat);
+    wb_timer_cancel(engine->heartbeat);
     wb_http_listener_close(engine->listener);
 }
 
 void wb_estate_engine_crash(wb_estate_engine_t *engine) {
     json_array_append_new(engine->seen->crashes, json_pack("{s:s, s:I}", "engine", engine->id,
                                                            "at_ms", (json_int_t)wb_clock_ms()));
-    wb_estate_engine_end(engine);
+    wb_estate_engine_kill(engine);
 }
 
-/* All connections end, nobody listens, and the row stays for a while. Another start of the engine
- * comes at the same address, empty. */
-void wb_estate_engine_end(wb_estate_engine_t *engine) {
+/* Closes all connections and the listener; the row stays until it expires. The engine restarts at
+ * the same address without models. */
+void wb_estate_engine_kill(wb_estate_engine_t *engine) {
     if (engine->ended) {
         return;
     }
-    engine_down(engine);
+    engine_close(engine);
     engine->restart = wb_loop_after(engine->loop, wb_estate_engine_option(engine, "back_ms", 600),
                                     engine_restart, engine);
     if (wb_estate_engine_option(engine, "same_id", 0) != 0) {
-        return; /* the next start writes the row before it lapses */
+        return; /* the restarted engine renews the row before it expires */
     }
-    wb_estate_lapse_t *lapse = g_new0(wb_estate_lapse_t, 1);
-    lapse->store = engine->store;
-    lapse->id = g_strdup(engine->id);
-    wb_loop_after(engine->loop, LAPSE_BEATS * wb_estate_engine_option(engine, "beat_ms", 300),
-                  row_lapses, lapse);
+    wb_estate_expiry_t *expiry = g_new0(wb_estate_expiry_t, 1);
+    expiry->store = engine->store;
+    expiry->id = g_strdup(engine->id);
+    wb_loop_after(engine->loop, EXPIRY_HEARTBEATS * wb_estate_engine_option(engine, "beat_ms", 300),
+                  row_expire, expiry);
 }
 
 static void run_free(gpointer data) {
@@ -143,25 +143,25 @@
     g_free(run);
 }
 
-/* Takes the run off its engine and returns its connection. */
-static wb_http_connection_t *run_end(wb_estate_run_t *run) {
+/* Detaches and frees the run. Returns its connection. */
+static wb_http_connection_t *run_detach(wb_estate_run_t *run) {
     wb_http_connection_t *connection = run->connection;
     wb_http_connection_set_request(connection, NULL);
     g_hash_table_remove(run->engine->runs, connection);
     return connection;
 }
 
-void wb_estate_engine_set_pace(wb_estate_engine_t *engine, const char *told, int64_t percent) {
-    json_object_set_new(engine->options, "pace_told", json_string(told));
+void wb_estate_engine_set_pace(wb_estate_engine_t *engine, const char *reported, int64_t percent) {
+    json_object_set_new(engine->options, "pace_told", json_string(reported));
     json_object_set_new(engine->options, "pace", json_integer(percent));
 }
 
-/* Time that work takes there: engines differ, whatever they tell. */
-static int64_t paced_ms(const wb_estate_engine_t *engine, int64_t usual_ms) {
-    return usual_ms * wb_estate_engine_option(engine, "pace", 100) / 100;
+/* Duration of work at the engine's real pace, whatever pace it reports. */
+static int64_t paced_ms(const wb_estate_engine_t *engine, int64_t nominal_ms) {
+    return nominal_ms * wb_estate_engine_option(engine, "pace", 100) / 100;
 }
 
-/* What it tells of its state at the head of each answer. */
+/* Header lines that report its state in each response. */
 static const char *state_lines(const wb_estate_engine_t *engine) {
     return wb_json_text(engine->options, "state_lines", "");
 }
@@ -173,26 +173,26 @@
                                     "at_ms", (json_int_t)wb_clock_ms()));
 }
 
-void wb_estate_engine_set_rest(wb_estate_engine_t *engine, const char *retry_after) {
+void wb_estate_engine_set_backoff(wb_estate_engine_t *engine, const char *retry_after) {
     json_object_set_new(engine->options, "rest", json_string(retry_after));
 }
 
 static char *head_lines(const wb_estate_run_t *run, const char *more) {
-    const char *told = wb_json_text(run->engine->options, "pace_told", "");
+    const char *reported = wb_json_text(run->engine->options, "pace_told", "");
     return g_strdup_printf("Request-Attempt-Id: %s\r\nServer-Load: %u,0,%d%s%s\r\n"
                            "Keep-Alive: timeout=5\r\n%s%s",
                            run->id, g_hash_table_size(run->engine->runs),
                            (int)wb_estate_engine_option(run->engine, "slots", 8),
-                           *told != '\0' ? "," : "", told, state_lines(run->engine), more);
+                           *reported != '\0' ? "," : "", reported, state_lines(run->engine), more);
 }
 
 static void run_answer(wb_estate_run_t *run, unsigned status, const char *more, const char *body) {
     g_autofree char *lines = head_lines(run, more);
-    wb_http_connection_answer(run_end(run), status, wb_http_reason(status), lines, body,
+    wb_http_connection_answer(run_detach(run), status, wb_http_reason(status), lines, body,
                               strlen(body));
 }
 
-static void run_go_on(void *context) {
+static void run_advance(void *context) {
     wb_estate_run_t *run = context;
     wb_estate_engine_t *engine = run->engine;
     run->timer = NULL;
@@ -202,12 +202,12 @@
         return;
     }
     if (run->cut_after >= 0 && run->next_event > run->cut_after) {
-        wb_http_connection_stream_write(run->connection, "id: 99\nda", 9); /* part of an event */
-        wb_http_connection_abort(run_end(run));
+        wb_http_connection_stream_write(run->connection, "id: 99\nda", 9); /* an incomplete event */
+        wb_http_connection_abort(run_detach(run));
         return;
     }
     if (run->next_event > run->events) {
-        wb_http_connection_stream_end(run_end(run));
+        wb_http_connection_stream_end(run_detach(run));
         return;
     }
     g_autofree char *event =
@@ -216,7 +216,7 @@
     wb_http_connection_stream_write(run->connection, event, strlen(event));
     run->timer = wb_loop_after(engine->loop,
                                paced_ms(engine, wb_estate_engine_option(engine, "event_ms", 5)),
-                               run_go_on, run);
+                               run_advance, run);
 }
 
 static void crash_due(void *context) {
@@ -225,7 +225,7 @@
     wb_estate_engine_crash(engine);
 }
 
-/* The headers that came, as an object; of several with one name the last. */
+/* The request's headers as an object. The last one wins when a name is repeated. */
 static json_t *headers_json(const wb_http_head_t *head) {
     json_t *headers = json_object();
     for (guint i = 0; i < head->headers->len; i++) {
@@ -267,17 +267,18 @@
         run_answer(run, 421, "Not-Executed: 1\r\n", "");
         return;
     }
-    const char *rest = wb_json_text(engine->options, "rest", "");
-    if (*rest != '\0') {
-        g_autofree char *lines = g_strdup_printf("Not-Executed: 1\r\nRetry-After: %s\r\n", rest);
-        json_array_append_new(engine->seen->rests,
+    const char *backoff = wb_json_text(engine->options, "rest", "");
+    if (*backoff != '\0') {
+        g_autofree char *lines = g_strdup_printf("Not-Executed: 1\r\nRetry-After: %s\r\n", backoff);
+        json_array_append_new(engine->seen->backoffs,
                               json_pack("{s:s, s:s, s:I, s:I}", "id", run->id, "engine", engine->id,
-                                        "rest_ms", (json_int_t)(g_ascii_strtod(rest, NULL) * 1000),
-                                        "at_ms", (json_int_t)wb_clock_ms()));
+                                        "rest_ms",
+                                        (json_int_t)(g_ascii_strtod(backoff, NULL) * 1000), "at_ms",
+                                        (json_int_t)wb_clock_ms()));
         run_answer(run, 503, lines, "");
         return;
     }
-    if (wb_estate_engine_take_fault(engine, "reject")) {
+    if (wb_estate_engine_consume_fault(engine, "reject")) {
         run_answer(run, 503, "Not-Executed: 1\r\n", "");
         return;
     }
@@ -291,21 +292,21 @@
                       : "",
                   "deadline_ms", (json_int_t)wb_http_head_number(head, "Request-Deadline-Ms", -1),
                   "at_ms", (json_int_t)wb_clock_ms(), "headers", headers_json(head)));
-    if (wb_estate_engine_take_fault(engine, "error")) {
+    if (wb_estate_engine_consume_fault(engine, "error")) {
         run_answer(run, 500, "Response-Seal: seal\r\n", "failed");
         return;
     }
-    if (wb_estate_engine_take_fault(engine, "unsealed")) {
+    if (wb_estate_engine_consume_fault(engine, "unsealed")) {
         run_answer(run, 200, "", "no seal");
         return;
     }
-    if (wb_estate_engine_take_fault(engine, "reset")) {
-        wb_http_connection_abort(run_end(run));
+    if (wb_estate_engine_consume_fault(engine, "reset")) {
+        wb_http_connection_abort(run_detach(run));
         return;
     }
-    if (wb_estate_engine_take_fault(engine, "mute"))
+    if (wb_estate_engine_consume_fault(engine, "mute"))
         return;
-    if (wb_estate_engine_take_fault(engine, "cut"))
+    if (wb_estate_engine_consume_fault(engine, "cut"))
         run->cut_after = 2;
     if (run->streams) {
         g_autofree char *lines =
@@ -317,16 +318,16 @@
             engine->crash = wb_loop_after(engine->loop, CRASH_AFTER_MS, crash_due, engine);
         return;
     }
-    run->timer =
-        wb_loop_after(engine->loop, wb_estate_engine_option(engine, "work_ms", 5), run_go_on, run);
+    run->timer = wb_loop_after(engine->loop, wb_estate_engine_option(engine, "work_ms", 5),
+                               run_advance, run);
 }
 
-static void report_call(wb_estate_engine_t *engine, wb_http_connection_t *connection) {
+static void report_handle(wb_estate_engine_t *engine, wb_http_connection_t *connection) {
     json_t *report =
         json_pack("{s:s, s:O, s:b, s:I, s:i, s:i}", "stage", "both", "models", engine->models,
                   "busy", engine->busy, "sequence", (json_int_t)engine->sequence, "queued", 0,
                   "running", (int)g_hash_table_size(engine->runs));
-    born_tell(engine, report);
+    start_time_add(engine, report);
     char *text = wb_json_dump(report);
     g_autofree char *lines =
         g_strconcat("Content-Type: application/json\r\n", state_lines(engine), NULL);
@@ -339,7 +340,7 @@
                            void *context) {
     wb_estate_engine_t *engine = context;
     if (strcmp(head->target, "/report") == 0)
-        report_call(engine, connection);
+        report_handle(engine, connection);
     else if (strcmp(head->target, "/order") == 0)
         wb_estate_engine_order(engine, connection, head, body);
     else
@@ -348,33 +349,33 @@
     g_byte_array_unref(body);
 }
 
-static void engine_gone(wb_http_connection_t *connection, void *request, void *context) {
+static void engine_disconnected(wb_http_connection_t *connection, void *request, void *context) {
     (void)request;
     wb_estate_engine_t *engine = context;
     g_hash_table_remove(engine->runs, connection);
 }
 
-/* Begins to listen and to announce itself, under an id of its own at each start unless it is to
- * keep it. */
+/* Listens and writes the engine's row. Each incarnation has an id of its own, unless same_id is
+ * set. */
 static void engine_open(wb_estate_engine_t *engine) {
     static const wb_http_limits_t limits = {65536, 8 * 1024 * 1024, 30000, 600000};
-    wb_http_handler_t handler = {engine_request, engine_gone, NULL, engine};
+    wb_http_handler_t handler = {engine_request, engine_disconnected, NULL, engine};
     wb_error_t error;
     gboolean same_id = wb_estate_engine_option(engine, "same_id", 0) != 0;
-    engine->starts++;
-    engine->born_ms = g_get_real_time() / 1000;
+    engine->start_count++;
+    engine->started_ms = g_get_real_time() / 1000;
     g_free(engine->id);
-    engine->id = engine->starts == 1 || same_id
+    engine->id = engine->start_count == 1 || same_id
                      ? g_strdup(engine->name)
-                     : g_strdup_printf("%s.%u", engine->name, engine->starts);
+                     : g_strdup_printf("%s.%u", engine->name, engine->start_count);
     g_autofree char *listen = g_strdup_printf("127.0.0.1:%u", engine->port);
     if (wb_http_listener_open(engine->loop, listen, &handler, &limits, &engine->listener, &error) !=
         APR_SUCCESS)
         g_error("%s", error.message);
     engine->port = wb_http_listener_port(engine->listener);
     wb_estate_engine_announce(engine);
-    engine->beat = wb_loop_every(engine->loop, wb_estate_engine_option(engine, "beat_ms", 300),
-                                 engine_beat, engine);
+    engine->heartbeat = wb_loop_every(engine->loop, wb_estate_engine_option(engine, "beat_ms", 300),
+                                      heartbeat_due, engine);
 }
 
 wb_estate_engine_t *wb_estate_engine_start(wb_loop_t *loop, wb_estate_store_t *store,
@@ -392,7 +393,7 @@
     size_t i;
     json_t *name;
     json_array_foreach(json_object_get(options, "models"), i, name)
-        wb_estate_engine_put_model(engine, json_string_value(name));
+        wb_estate_engine_add_model(engine, json_string_value(name));
     engine->port = (unsigned)wb_estate_engine_option(engine, "port", 0);
     engine_open(engine);
     return engine;
@@ -403,13 +404,13 @@
         wb_timer_cancel(engine->restart);
     engine->restart = NULL;
     if (!engine->ended)
-        engine_down(engine);
+        engine_close(engine);
     if (announce)
         wb_estate_store_put(engine->store, "servers", engine->id, NULL);
 }
 
-void wb_estate_engine_set_leaving(wb_estate_engine_t *engine) {
-    engine->leaving = TRUE;
+void wb_estate_engine_set_draining(wb_estate_engine_t *engine) {
+    engine->draining = TRUE;
     wb_estate_engine_announce(engine);
 }
 
--- a/standins/estate/engine_inner.h
+++ b/standins/estate/engine_inner.h
@@ -1,7 +1,9 @@
 /**
  * @file engine_inner.h
- * @brief What the files of the stand-in's engines share: engine.c (starts, crashes and runs) and
- * engine_orders.c.
+ * @brief Private to the stand-in's engines: shared by engine.c (lifecycle, requests) and
+ * engine_orders.c (models, orders).
+ *
+ * An engine owns its members, but for loop, store and seen, which outlive it. Times are in ms.
  */
 #ifndef WICKBRIDGE_STANDIN_ESTATE_ENGINE_H
 #define WICKBRIDGE_STANDIN_ESTATE_ENGINE_H
@@ -13,44 +15,46 @@
     wb_estate_store_t *store;
     wb_estate_seen_t *seen;
     wb_http_listener_t *listener;
-    wb_timer_t *beat;
-    char *name; /* that it keeps when it starts again */
+    wb_timer_t *heartbeat;
+    char *name; /* kept over restarts */
     char *id;
-    unsigned starts;
-    int64_t born_ms; /* of this start, Unix ms */
-    unsigned port;   /* 0: any */
+    unsigned start_count;
+    int64_t started_ms; /* start of this incarnation, Unix ms */
+    unsigned port;      /* 0: chosen by the system */
     wb_timer_t *crash;
     wb_timer_t *restart;
-    json_t *options; /* service, zone, models, work_ms, event_ms, events, load_ms, weights_mb,
-                        adapter_slots, back_ms, same_id (1: it starts again under its id), cold_ms,
-                        quiet (1: it doesn't announce itself) */
+    json_t *options; /* service, zone, models, slots, port, announce_port, beat_ms, back_ms,
+                        cold_ms, work_ms, streams (1: answers with events), event_ms, events,
+                        load_ms, unload_ms, weights_mb, model_mb, adapter_slots, same_id (1: it
+                        restarts under its id), quiet (1: it writes no row); set by functions: pace,
+                        pace_told, rest, state_lines */
     json_t *models;  /* [{name, version, adapters}] */
     int64_t sequence;
-    int64_t beats;
+    int64_t heartbeats;
     gboolean busy;
-    gboolean leaving;
-    gboolean hardened; /* no request crashes it any more */
-    char *crash_model; /* its load ends in a crash; NULL: none */
-    gboolean ended;    /* for good, or until it starts again */
+    gboolean draining;
+    gboolean hardened; /* requests no longer crash it */
+    char *crash_model; /* loading it crashes the engine; NULL: none */
+    gboolean ended;    /* stopped, or crashed and not restarted yet */
     char *fault;
     int fault_count;
     GHashTable *runs; /* connection -> wb_estate_run_t */
 };
 
-/** @return a number of the engine's options */
+/** @return the value of a numeric option */
 int64_t wb_estate_engine_option(const wb_estate_engine_t *engine, const char *name,
                                 int64_t fallback);
-/** Write the engine's row, unless it has ended. */
+/** Write the engine's row, unless it has ended or is quiet. */
 void wb_estate_engine_announce(wb_estate_engine_t *engine);
-/** @return TRUE when the fault is set; one of its times is used up then */
-gboolean wb_estate_engine_take_fault(wb_estate_engine_t *engine, const char *fault);
+/** @return TRUE when the fault is set and uses remain; uses one up */
+gboolean wb_estate_engine_consume_fault(wb_estate_engine_t *engine, const char *fault);
 
 /* engine_orders.c */
-/** @param wanted MODEL or MODEL/ADAPTER */
+/** @return TRUE when the engine holds the model. @param wanted MODEL or MODEL/ADAPTER */
 gboolean wb_estate_engine_holds(const wb_estate_engine_t *engine, const char *wanted);
-/** Hold a model; beyond the engine's room that is a violation. */
-void wb_estate_engine_put_model(wb_estate_engine_t *engine, const char *name);
-/** Take an order, and answer it unless a fault says otherwise. */
+/** Add a model. Exceeding the engine's capacity is recorded as a violation. */
+void wb_estate_engine_add_model(wb_estate_engine_t *engine, const char *name);
+/** Handle an order, and respond unless a fault prevents it. */
 void wb_estate_engine_order(wb_estate_engine_t *engine, wb_http_connection_t *connection,
                             const wb_http_head_t *head, const GByteArray *body);
 
--- a/standins/estate/engine_orders.c
+++ b/standins/estate/engine_orders.c
@@ -1,4 +1,4 @@
-/* The stand-in's engines: the models that they hold, and the orders that they take. */
+/* The stand-in's engines: models and orders. */
 #include "engine_inner.h"
 
 #include "wickbridge/json.h"
@@ -7,17 +7,17 @@
 
 #define ORDER_LATE_MS 1500
 
-/* An order that takes its time. */
+/* An order in progress. */
 typedef struct wb_estate_load_t {
     wb_estate_engine_t *engine;
-    unsigned start; /* of the engine: what a crashed one was doing isn't done */
+    unsigned start; /* incarnation that it belongs to: a crash discards it */
     json_t *order;
 } wb_estate_load_t;
 
 static wb_estate_load_t *load_create(wb_estate_engine_t *engine, const json_t *order) {
     wb_estate_load_t *load = g_new0(wb_estate_load_t, 1);
     load->engine = engine;
-    load->start = engine->starts;
+    load->start = engine->start_count;
     load->order = json_deep_copy(order);
     return load;
 }
@@ -27,21 +27,21 @@
     g_free(load);
 }
 
-static gboolean load_is_off(const wb_estate_load_t *load) {
-    return load->engine->ended || load->start != load->engine->starts;
+static gboolean load_is_stale(const wb_estate_load_t *load) {
+    return load->engine->ended || load->start != load->engine->start_count;
 }
 
 static void violation(wb_estate_engine_t *engine, const char *text) {
     json_array_append_new(engine->seen->violations, json_sprintf("%s at %s", text, engine->id));
 }
 
-static json_t *model_find(const wb_estate_engine_t *engine, const char *name, size_t *place) {
+static json_t *model_find(const wb_estate_engine_t *engine, const char *name, size_t *index) {
     size_t i;
     json_t *model;
     json_array_foreach(engine->models, i,
                        model) if (strcmp(wb_json_text(model, "name", ""), name) == 0) {
-        if (place != NULL)
-            *place = i;
+        if (index != NULL)
+            *index = i;
         return model;
     }
     return NULL;
@@ -70,7 +70,7 @@
     return used;
 }
 
-void wb_estate_engine_put_model(wb_estate_engine_t *engine, const char *name) {
+void wb_estate_engine_add_model(wb_estate_engine_t *engine, const char *name) {
     if (used_mb(engine) + (double)wb_estate_engine_option(engine, "model_mb", 1000) >
         (double)wb_estate_engine_option(engine, "weights_mb", 2000))
         violation(engine, "loaded beyond its room");
@@ -82,8 +82,8 @@
     wb_estate_load_t *load = context;
     wb_estate_engine_t *engine = load->engine;
     const char *name = wb_json_text(load->order, "model", "");
-    size_t place;
-    if (load_is_off(load)) {
+    size_t index;
+    if (load_is_stale(load)) {
         load_free(load);
         return;
     }
@@ -95,9 +95,9 @@
     }
     if (strcmp(wb_json_text(load->order, "operation", ""), "model_load") == 0) {
         if (model_find(engine, name, NULL) == NULL)
-            wb_estate_engine_put_model(engine, name);
-    } else if (model_find(engine, name, &place) != NULL) {
-        json_array_remove(engine->models, place);
+            wb_estate_engine_add_model(engine, name);
+    } else if (model_find(engine, name, &index) != NULL) {
+        json_array_remove(engine->models, index);
     }
     wb_estate_engine_announce(engine);
     load_free(load);
@@ -109,21 +109,21 @@
     if (model == NULL)
         return 400;
     json_t *adapters = json_object_get(model, "adapters");
-    size_t place = adapter_find(model, adapter);
-    if (is_load && place == G_MAXSIZE) {
+    size_t index = adapter_find(model, adapter);
+    if (is_load && index == G_MAXSIZE) {
         if ((int64_t)json_array_size(adapters) >=
             wb_estate_engine_option(engine, "adapter_slots", 2))
             violation(engine, "adapters beyond its places");
         json_array_append_new(adapters, json_string(adapter));
-    } else if (!is_load && place != G_MAXSIZE) {
-        json_array_remove(adapters, place);
+    } else if (!is_load && index != G_MAXSIZE) {
+        json_array_remove(adapters, index);
     }
     engine->sequence++;
     return is_load ? 202 : 200;
 }
 
-/* Carries an order out. Returns its status. */
-static unsigned order_do(wb_estate_engine_t *engine, const json_t *order) {
+/* Applies an order. Returns its HTTP status. */
+static unsigned order_apply(wb_estate_engine_t *engine, const json_t *order) {
     const json_t *expected = json_object_get(order, "expectedVersion");
     if (json_object_get(order, "holder") == NULL || json_object_get(order, "fencingToken") == NULL)
         return 400;
@@ -143,10 +143,10 @@
     return 202;
 }
 
-static void order_late(void *context) {
+static void order_due(void *context) {
     wb_estate_load_t *load = context;
-    if (!load_is_off(load))
-        order_do(load->engine, load->order);
+    if (!load_is_stale(load))
+        order_apply(load->engine, load->order);
     load_free(load);
 }
 
@@ -155,19 +155,19 @@
     json_t *order = json_loadb((const char *)body->data, body->len, 0, NULL);
     const char *expected = wb_http_head_get(head, "Expected-Instance");
     unsigned status = 400;
-    gboolean answered = TRUE;
+    gboolean responds = TRUE;
     if (expected != NULL && strcmp(expected, engine->id) != 0) {
         status = 421;
-    } else if (wb_estate_engine_take_fault(engine, "order-lost")) {
-        status = order_do(engine, order);
-        answered = FALSE;
-    } else if (wb_estate_engine_take_fault(engine, "order-late")) {
+    } else if (wb_estate_engine_consume_fault(engine, "order-lost")) {
+        status = order_apply(engine, order);
+        responds = FALSE;
+    } else if (wb_estate_engine_consume_fault(engine, "order-late")) {
         wb_estate_load_t *load = load_create(engine, order);
-        wb_loop_after(engine->loop, ORDER_LATE_MS, order_late, load);
+        wb_loop_after(engine->loop, ORDER_LATE_MS, order_due, load);
         status = 0;
-        answered = FALSE;
+        responds = FALSE;
     } else if (order != NULL) {
-        status = order_do(engine, order);
+        status = order_apply(engine, order);
     }
     json_array_append_new(engine->seen->orders,
                           json_pack("{s:s, s:s, s:I, s:s, s:s, s:s, s:i, s:I}", "engine",
@@ -178,6 +178,6 @@
                                     wb_json_text(order, "adapter", ""), "status", (int)status,
                                     "at_ms", (json_int_t)wb_clock_ms()));
     json_decref(order);
-    if (answered)
+    if (responds)
         wb_http_connection_answer(connection, status, wb_http_reason(status), "", NULL, 0);
 }
--- a/standins/estate/main.c
+++ b/standins/estate/main.c
@@ -1,5 +1,5 @@
-/* The stand-in for the platform as a process: its store, its engines, and calls by which tests
- * steer it. */
+/* Program of the platform stand-in: its store, its engines, and the control interface by which
+ * tests drive it. */
 #include "estate.h"
 
 #include "wickbridge/json.h"
@@ -29,51 +29,52 @@
     return json_pack("{s:O, s:O, s:O, s:O, s:O, s:O, s:O}", "runs", estate->seen.runs, "arrivals",
                      estate->seen.arrivals, "orders", estate->seen.orders, "crashes",
                      estate->seen.crashes, "states", estate->seen.states, "rests",
-                     estate->seen.rests, "violations", estate->seen.violations);
+                     estate->seen.backoffs, "violations", estate->seen.violations);
 }
 
-/* One call that steers: {"do": ..., ...}. Returns FALSE when it isn't known. */
-static gboolean steer(wb_estate_t *estate, const json_t *call) {
-    const char *verb = wb_json_text(call, "do", "");
-    const char *id = wb_json_text(call, "engine", "");
+/* Runs a control command {"do": NAME, ...}. Returns FALSE for an unknown command or engine. */
+static gboolean command_run(wb_estate_t *estate, const json_t *command) {
+    const char *name = wb_json_text(command, "do", "");
+    const char *id = wb_json_text(command, "engine", "");
     wb_estate_engine_t *engine = g_hash_table_lookup(estate->engines, id);
-    if (strcmp(verb, "put") == 0)
-        wb_estate_store_put(estate->store, wb_json_text(call, "table", "op"),
-                            wb_json_text(call, "key", "config"), wb_json_text(call, "value", NULL));
-    else if (strcmp(verb, "store-fault") == 0)
-        wb_estate_store_set_fault(estate->store, wb_json_text(call, "fault", ""),
-                                  wb_json_integer(call, "delay_ms", 0));
-    else if (strcmp(verb, "compact") == 0)
+    if (strcmp(name, "put") == 0)
+        wb_estate_store_put(estate->store, wb_json_text(command, "table", "op"),
+                            wb_json_text(command, "key", "config"),
+                            wb_json_text(command, "value", NULL));
+    else if (strcmp(name, "store-fault") == 0)
+        wb_estate_store_set_fault(estate->store, wb_json_text(command, "fault", ""),
+                                  wb_json_integer(command, "delay_ms", 0));
+    else if (strcmp(name, "compact") == 0)
         wb_estate_store_compact(estate->store);
-    else if (strcmp(verb, "engine-start") == 0)
+    else if (strcmp(name, "engine-start") == 0)
         g_hash_table_insert(estate->engines, g_strdup(id),
                             wb_estate_engine_start(estate->loop, estate->store, &estate->seen, id,
-                                                   json_object_get(call, "options")));
+                                                   json_object_get(command, "options")));
     else if (engine == NULL)
         return FALSE;
-    else if (strcmp(verb, "engine-fault") == 0)
-        wb_estate_engine_set_fault(engine, wb_json_text(call, "fault", ""),
-                                   (int)wb_json_integer(call, "count", 1));
-    else if (strcmp(verb, "engine-crash-model") == 0)
-        wb_estate_engine_set_crash_model(engine, wb_json_text(call, "model", ""));
-    else if (strcmp(verb, "engine-pace") == 0)
-        wb_estate_engine_set_pace(engine, wb_json_text(call, "told", ""),
-                                  wb_json_integer(call, "percent", 100));
-    else if (strcmp(verb, "engine-state") == 0)
-        wb_estate_engine_set_state_lines(engine, wb_json_text(call, "lines", ""));
-    else if (strcmp(verb, "engine-rest") == 0)
-        wb_estate_engine_set_rest(engine, wb_json_text(call, "retry_after", ""));
-    else if (strcmp(verb, "engine-crash") == 0)
-        wb_estate_engine_end(engine);
-    else if (strcmp(verb, "engine-option") == 0)
-        wb_estate_engine_set_option(engine, wb_json_text(call, "name", ""),
-                                    wb_json_integer(call, "value", 0));
-    else if (strcmp(verb, "engine-harden") == 0)
+    else if (strcmp(name, "engine-fault") == 0)
+        wb_estate_engine_set_fault(engine, wb_json_text(command, "fault", ""),
+                                   (int)wb_json_integer(command, "count", 1));
+    else if (strcmp(name, "engine-crash-model") == 0)
+        wb_estate_engine_set_crash_model(engine, wb_json_text(command, "model", ""));
+    else if (strcmp(name, "engine-pace") == 0)
+        wb_estate_engine_set_pace(engine, wb_json_text(command, "told", ""),
+                                  wb_json_integer(command, "percent", 100));
+    else if (strcmp(name, "engine-state") == 0)
+        wb_estate_engine_set_state_lines(engine, wb_json_text(command, "lines", ""));
+    else if (strcmp(name, "engine-rest") == 0)
+        wb_estate_engine_set_backoff(engine, wb_json_text(command, "retry_after", ""));
+    else if (strcmp(name, "engine-crash") == 0)
+        wb_estate_engine_kill(engine);
+    else if (strcmp(name, "engine-option") == 0)
+        wb_estate_engine_set_option(engine, wb_json_text(command, "name", ""),
+                                    wb_json_integer(command, "value", 0));
+    else if (strcmp(name, "engine-harden") == 0)
         wb_estate_engine_harden(engine);
-    else if (strcmp(verb, "engine-leave") == 0)
-        wb_estate_engine_set_leaving(engine);
-    else if (strcmp(verb, "engine-stop") == 0) {
-        wb_estate_engine_stop(engine, wb_json_boolean(call, "announce", 1));
+    else if (strcmp(name, "engine-leave") == 0)
+        wb_estate_engine_set_draining(engine);
+    else if (strcmp(name, "engine-stop") == 0) {
+        wb_estate_engine_stop(engine, wb_json_boolean(command, "announce", 1));
         g_hash_table_remove(estate->engines, id);
     } else
         return FALSE;
@@ -86,9 +87,9 @@
     if (strcmp(head->method, "GET") == 0) {
         text_answer(connection, 200, seen_json(estate));
     } else {
-        json_t *call = json_loadb((const char *)body->data, body->len, 0, NULL);
-        gboolean known = json_is_object(call) && steer(estate, call);
-        json_decref(call);
+        json_t *command = json_loadb((const char *)body->data, body->len, 0, NULL);
+        gboolean known = json_is_object(command) && command_run(estate, command);
+        json_decref(command);
         text_answer(connection, known ? 200 : 400, json_object());
     }
     wb_http_head_free(head);
--- a/standins/estate/store.c
+++ b/standins/estate/store.c
@@ -1,5 +1,4 @@
-/* The stand-in's store: rows with versions, transactions, and calls held until something changes.
- */
+/* The stand-in's store: versioned rows, conditional transactions, and long polls for changes. */
 #include "estate.h"
 
 #include "wickbridge/json.h"
@@ -7,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LATE_MS 1000
+#define LATE_WRITE_MS 1000
 
 typedef struct wb_estate_row_t {
     char *table;
@@ -16,33 +15,33 @@
     int64_t version;
 } wb_estate_row_t;
 
-/* A call for changes that is held. */
-typedef struct wb_estate_wait_t {
+/* A pending long poll for changes. */
+typedef struct wb_estate_poll_t {
     wb_estate_store_t *store;
     wb_http_connection_t *connection;
     wb_timer_t *timer;
     char *table;
     int64_t after;
-} wb_estate_wait_t;
+} wb_estate_poll_t;
 
-/* An answer that is given later. */
+/* A delayed response. */
 typedef struct wb_estate_delayed_t {
     wb_estate_store_t *store;
-    wb_http_connection_t *connection; /* NULL: the caller left */
+    wb_http_connection_t *connection; /* NULL: the client disconnected */
     unsigned status;
     char *body;
-    json_t *transaction; /* done when its time comes, or NULL */
-    gboolean mute;
+    json_t *transaction; /* applied at the due time, or NULL */
+    gboolean unanswered;
 } wb_estate_delayed_t;
 
 struct wb_estate_store_t {
     wb_loop_t *loop;
     wb_http_listener_t *listener;
-    GPtrArray *rows; /* of wb_estate_row_t, all that ever were */
-    GPtrArray *waits;
+    GPtrArray *rows; /* of wb_estate_row_t, removed rows included */
+    GPtrArray *polls;
     GPtrArray *delayed;
     int64_t version;
-    int64_t history_from; /* changes before it are forgotten */
+    int64_t history_from; /* changes before it have expired */
     char *fault;
     int64_t delay_ms;
 };
@@ -72,13 +71,13 @@
                      (json_int_t)store->version, "now_ms", (json_int_t)wb_clock_ms());
 }
 
-static gint by_version(gconstpointer left, gconstpointer right) {
+static gint row_compare_version(gconstpointer left, gconstpointer right) {
     const wb_estate_row_t *a = *(wb_estate_row_t *const *)left;
     const wb_estate_row_t *b = *(wb_estate_row_t *const *)right;
     return a->version < b->version ? -1 : a->version > b->version;
 }
 
-/* Rows of a table that changed after a version, or all that are there. */
+/* Rows of a table that changed after a version (removed ones included), or all current rows. */
 static json_t *rows_json(const wb_estate_store_t *store, const char *table, int64_t after,
                          gboolean changes) {
     g_autoptr(GPtrArray) rows = g_ptr_array_new();
@@ -87,7 +86,7 @@
         if (strcmp(row->table, table) == 0 && (changes ? row->version > after : row->value != NULL))
             g_ptr_array_add(rows, row);
     }
-    g_ptr_array_sort(rows, by_version);
+    g_ptr_array_sort(rows, row_compare_version);
     json_t *list = json_array();
     for (guint i = 0; i < rows->len; i++)
         json_array_append_new(list, row_json(g_ptr_array_index(rows, i)));
@@ -102,36 +101,36 @@
     json_decref(body);
 }
 
-static void wait_free(wb_estate_wait_t *wait) {
-    g_ptr_array_remove_fast(wait->store->waits, wait);
-    if (wait->timer != NULL)
-        wb_timer_cancel(wait->timer);
-    g_free(wait->table);
-    g_free(wait);
+static void poll_free(wb_estate_poll_t *poll) {
+    g_ptr_array_remove_fast(poll->store->polls, poll);
+    if (poll->timer != NULL)
+        wb_timer_cancel(poll->timer);
+    g_free(poll->table);
+    g_free(poll);
 }
 
-static void wait_answer(wb_estate_wait_t *wait) {
-    wb_estate_store_t *store = wait->store;
-    wb_http_connection_t *connection = wait->connection;
-    json_t *body = answer_json(store, rows_json(store, wait->table, wait->after, TRUE));
-    wait_free(wait);
+static void poll_answer(wb_estate_poll_t *poll) {
+    wb_estate_store_t *store = poll->store;
+    wb_http_connection_t *connection = poll->connection;
+    json_t *body = answer_json(store, rows_json(store, poll->table, poll->after, TRUE));
+    poll_free(poll);
     json_answer(connection, 200, body);
 }
 
-static void wait_over(void *context) {
-    wb_estate_wait_t *wait = context;
-    wait->timer = NULL;
-    wait_answer(wait);
+static void poll_timeout(void *context) {
+    wb_estate_poll_t *poll = context;
+    poll->timer = NULL;
+    poll_answer(poll);
 }
 
-/* Answers the held calls that a change concerns. */
-static void waits_wake(wb_estate_store_t *store, const char *table) {
-    for (guint i = store->waits->len; i > 0; i--) {
-        if (i > store->waits->len)
+/* Answers the pending polls of a changed table. */
+static void polls_answer(wb_estate_store_t *store, const char *table) {
+    for (guint i = store->polls->len; i > 0; i--) {
+        if (i > store->polls->len)
             continue;
-        wb_estate_wait_t *wait = g_ptr_array_index(store->waits, i - 1);
-        if (strcmp(wait->table, table) == 0)
-            wait_answer(wait);
+        wb_estate_poll_t *poll = g_ptr_array_index(store->polls, i - 1);
+        if (strcmp(poll->table, table) == 0)
+            poll_answer(poll);
     }
 }
 
@@ -155,34 +154,35 @@
         value != NULL ? g_base64_encode((const guchar *)value, strlen(value)) : NULL;
     store->version++;
     row_write(store, table, key, base64);
-    waits_wake(store, table);
+    polls_answer(store, table);
 }
 
-/* Returns the rows whose condition doesn't hold, or NULL when all hold. */
+/* Returns NULL when all conditions hold, else the current rows that they name. */
 static json_t *conflicts(const wb_estate_store_t *store, const json_t *transaction) {
     json_t *list = json_array();
-    gboolean good = TRUE;
+    gboolean all_hold = TRUE;
     size_t i;
     json_t *entry;
     json_array_foreach(json_object_get(transaction, "expectedVersion"), i, entry) {
         const wb_estate_row_t *row =
             row_find(store, wb_json_text(entry, "table", ""), wb_json_text(entry, "key", ""));
-        gboolean there = row != NULL && row->value != NULL;
-        int64_t version = there ? row->version : 0;
-        good &= version == wb_json_integer(entry, "ver", -1);
-        if (there)
+        gboolean exists = row != NULL && row->value != NULL;
+        int64_t version = exists ? row->version : 0;
+        all_hold &= version == wb_json_integer(entry, "ver", -1);
+        if (exists)
             json_array_append_new(list, row_json(row));
     }
-    if (!good)
+    if (!all_hold)
         return list;
     json_decref(list);
     return NULL;
 }
 
-static unsigned transaction_do(wb_estate_store_t *store, const json_t *transaction, json_t **body) {
-    json_t *wrong = conflicts(store, transaction);
-    if (wrong != NULL) {
-        *body = answer_json(store, wrong);
+static unsigned transaction_apply(wb_estate_store_t *store, const json_t *transaction,
+                                  json_t **body) {
+    json_t *conflicting = conflicts(store, transaction);
+    if (conflicting != NULL) {
+        *body = answer_json(store, conflicting);
         return 412;
     }
     store->version++;
@@ -201,7 +201,7 @@
     }
     *body = answer_json(store, json_array());
     if (table != NULL)
-        waits_wake(store, table);
+        polls_answer(store, table);
     return 200;
 }
 
@@ -222,8 +222,8 @@
     return text != NULL ? g_ascii_strtoll(text, NULL, 10) : 0;
 }
 
-static void changes_call(wb_estate_store_t *store, wb_http_connection_t *connection,
-                         const char *target) {
+static void changes_handle(wb_estate_store_t *store, wb_http_connection_t *connection,
+                           const char *target) {
     g_autofree char *table = query_value(target, "table");
     int64_t after = query_number(target, "after");
     if (after < store->history_from) {
@@ -236,13 +236,13 @@
         return;
     }
     json_decref(rows);
-    wb_estate_wait_t *wait = g_new0(wb_estate_wait_t, 1);
-    wait->store = store;
-    wait->connection = connection;
-    wait->table = g_strdup(table);
-    wait->after = after;
-    wait->timer = wb_loop_after(store->loop, query_number(target, "waitMs"), wait_over, wait);
-    g_ptr_array_add(store->waits, wait);
+    wb_estate_poll_t *poll = g_new0(wb_estate_poll_t, 1);
+    poll->store = store;
+    poll->connection = connection;
+    poll->table = g_strdup(table);
+    poll->after = after;
+    poll->timer = wb_loop_after(store->loop, query_number(target, "waitMs"), poll_timeout, poll);
+    g_ptr_array_add(store->polls, poll);
 }
 
 static void delayed_run(void *context) {
@@ -250,8 +250,8 @@
     g_ptr_array_remove_fast(delayed->store->delayed, delayed);
     if (delayed->transaction != NULL) {
         json_t *body = NULL;
-        unsigned status = transaction_do(delayed->store, delayed->transaction, &body);
-        if (delayed->connection != NULL && !delayed->mute)
+        unsigned status = transaction_apply(delayed->store, delayed->transaction, &body);
+        if (delayed->connection != NULL && !delayed->unanswered)
             json_answer(delayed->connection, status, body);
         else
             json_decref(body);
@@ -266,18 +266,18 @@
 }
 
 static void transaction_later(wb_estate_store_t *store, wb_http_connection_t *connection,
-                              json_t *transaction, int64_t delay_ms, gboolean mute) {
+                              json_t *transaction, int64_t delay_ms, gboolean unanswered) {
     wb_estate_delayed_t *delayed = g_new0(wb_estate_delayed_t, 1);
     delayed->store = store;
     delayed->connection = connection;
     delayed->transaction = json_incref(transaction);
-    delayed->mute = mute;
+    delayed->unanswered = unanswered;
     g_ptr_array_add(store->delayed, delayed);
     wb_loop_after(store->loop, delay_ms, delayed_run, delayed);
 }
 
-static void transaction_call(wb_estate_store_t *store, wb_http_connection_t *connection,
-                             const GByteArray *body) {
+static void transaction_handle(wb_estate_store_t *store, wb_http_connection_t *connection,
+                               const GByteArray *body) {
     json_t *transaction = json_loadb((const char *)body->data, body->len, 0, NULL);
     json_t *answer = NULL;
     if (transaction == NULL) {
@@ -285,14 +285,14 @@
         return;
     }
     if (strcmp(store->fault, "late") == 0) {
-        transaction_later(store, connection, transaction, LATE_MS, TRUE);
+        transaction_later(store, connection, transaction, LATE_WRITE_MS, TRUE);
     } else if (strcmp(store->fault, "lost") == 0) {
-        transaction_do(store, transaction, &answer);
-        json_decref(answer); /* done, and never answered */
+        transaction_apply(store, transaction, &answer);
+        json_decref(answer); /* applied, but never answered */
     } else if (store->delay_ms > 0) {
         transaction_later(store, connection, transaction, store->delay_ms, FALSE);
     } else {
-        unsigned status = transaction_do(store, transaction, &answer);
+        unsigned status = transaction_apply(store, transaction, &answer);
         json_answer(connection, status, answer);
     }
     json_decref(transaction);
@@ -307,11 +307,11 @@
     else if (strcmp(store->fault, "reset") == 0)
         wb_http_connection_abort(connection);
     else if (strcmp(store->fault, "silent") == 0)
-        (void)connection; /* it is never answered */
+        (void)connection; /* never answered */
     else if (g_str_has_prefix(head->target, "/rows-tx"))
-        transaction_call(store, connection, body);
+        transaction_handle(store, connection, body);
     else if (g_str_has_prefix(head->target, "/rows-feed"))
-        changes_call(store, connection, head->target);
+        changes_handle(store, connection, head->target);
     else if (g_str_has_prefix(head->target, "/rows-get")) {
         g_autofree char *table = query_value(head->target, "table");
         json_answer(connection, 200,
@@ -322,13 +322,13 @@
     g_byte_array_unref(body);
 }
 
-static void store_gone(wb_http_connection_t *connection, void *request, void *context) {
+static void store_disconnected(wb_http_connection_t *connection, void *request, void *context) {
     (void)request;
     wb_estate_store_t *store = context;
-    for (guint i = 0; i < store->waits->len; i++) {
-        wb_estate_wait_t *wait = g_ptr_array_index(store->waits, i);
-        if (wait->connection == connection) {
-            wait_free(wait);
+    for (guint i = 0; i < store->polls->len; i++) {
+        wb_estate_poll_t *poll = g_ptr_array_index(store->polls, i);
+        if (poll->connection == connection) {
+            poll_free(poll);
             break;
         }
     }
@@ -342,11 +342,11 @@
 wb_estate_store_t *wb_estate_store_open(wb_loop_t *loop, const char *address) {
     static const wb_http_limits_t limits = {65536, 1024 * 1024, 30000, 600000};
     wb_estate_store_t *store = g_new0(wb_estate_store_t, 1);
-    wb_http_handler_t handler = {store_request, store_gone, NULL, store};
+    wb_http_handler_t handler = {store_request, store_disconnected, NULL, store};
     wb_error_t error;
     store->loop = loop;
     store->rows = g_ptr_array_new();
-    store->waits = g_ptr_array_new();
+    store->polls = g_ptr_array_new();
     store->delayed = g_ptr_array_new();
     store->fault = g_strdup("");
     if (wb_http_listener_open(loop, address, &handler, &limits, &store->listener, &error) !=
@@ -362,10 +362,10 @@
 void wb_estate_store_compact(wb_estate_store_t *store) {
     store->version++;
     store->history_from = store->version;
-    while (store->waits->len > 0) {
-        wb_estate_wait_t *wait = g_ptr_array_index(store->waits, 0);
-        wb_http_connection_t *connection = wait->connection;
-        wait_free(wait);
+    while (store->polls->len > 0) {
+        wb_estate_poll_t *poll = g_ptr_array_index(store->polls, 0);
+        wb_http_connection_t *connection = poll->connection;
+        poll_free(poll);
         json_answer(connection, 410, json_object());
     }
 }
--- a/standins/platform/machines.c
+++ b/standins/platform/machines.c
@@ -1,4 +1,4 @@
-/* The list of live and leaving machines, which tells the truth with a lag. */
+/* The list of live and draining machines. It shows changes after a lag. */
 #include "platform.h"
 
 #include "wickbridge/json.h"
@@ -9,14 +9,14 @@
 #include <string.h>
 #include <sys/types.h>
 
-typedef enum machine_state_t { MACHINE_LIVE, MACHINE_LEAVING, MACHINE_GONE } machine_state_t;
+typedef enum machine_state_t { MACHINE_LIVE, MACHINE_DRAINING, MACHINE_REMOVED } machine_state_t;
 
 typedef struct machine_t {
     json_t *description; /* id, role, zone, address, service, memory_bytes */
     pid_t pid;
-    machine_state_t state;       /* the truth */
-    int64_t changed_ms;          /* when the truth changed */
-    machine_state_t shown_state; /* what the list says */
+    machine_state_t state;       /* actual state */
+    int64_t changed_ms;          /* when `state` changed */
+    machine_state_t shown_state; /* state in the list */
     gboolean shown;
 } machine_t;
 
@@ -56,8 +56,8 @@
     machine->changed_ms = now_ms();
 }
 
-/* A killed process that its parent has not collected yet is gone as well. */
-static gboolean process_is_gone(pid_t pid) {
+/* A zombie, which its parent hasn't collected yet, counts as ended. */
+static gboolean process_has_ended(pid_t pid) {
     if (kill(pid, 0) != 0 && errno == ESRCH)
         return TRUE;
     char path[64];
@@ -65,8 +65,8 @@
     g_autofree char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
         return TRUE;
-    const char *behind_name = strrchr(text, ')');
-    return behind_name != NULL && (behind_name[2] == 'Z' || behind_name[2] == 'X');
+    const char *after_name = strrchr(text, ')');
+    return after_name != NULL && (after_name[2] == 'Z' || after_name[2] == 'X');
 }
 
 void machines_tick(void) {
@@ -76,8 +76,9 @@
     g_hash_table_iter_init(&iterator, machines.by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         machine_t *machine = value;
-        if (machine->state != MACHINE_GONE && machine->pid > 0 && process_is_gone(machine->pid))
-            state_change(machine, MACHINE_GONE);
+        if (machine->state != MACHINE_REMOVED && machine->pid > 0 &&
+            process_has_ended(machine->pid))
+            state_change(machine, MACHINE_REMOVED);
         gboolean due = now_ms() - machine->changed_ms >= machines.lag_ms;
         if (due && (!machine->shown || machine->shown_state != machine->state)) {
             machine->shown = TRUE;
@@ -97,7 +98,7 @@
     machine->state = MACHINE_LIVE;
     json_object_del(body, "pid");
     machine->description = body;
-    /* A new machine is listed at once: who starts machines waits for the list anyway. */
+    /* A new machine is listed at once, since whoever starts one waits for the list anyway. */
     machine->shown = TRUE;
     g_mutex_lock(&machines.lock);
     machines.version++;
@@ -106,14 +107,14 @@
     standin_reply_json(exchange, 200, json_object());
 }
 
-void machines_leave(wb_http_exchange_t *exchange) {
+void machines_drain(wb_http_exchange_t *exchange) {
     json_t *body = standin_read_json(exchange);
     if (body == NULL)
         return;
     g_mutex_lock(&machines.lock);
     machine_t *machine = g_hash_table_lookup(machines.by_id, wb_json_text(body, "id", ""));
     if (machine != NULL && machine->state == MACHINE_LIVE)
-        state_change(machine, MACHINE_LEAVING);
+        state_change(machine, MACHINE_DRAINING);
     g_mutex_unlock(&machines.lock);
     json_decref(body);
     standin_reply_json(exchange, machine != NULL ? 200 : 404, json_object());
--- a/standins/platform/main.c
+++ b/standins/platform/main.c
@@ -1,4 +1,4 @@
-/* The platform stand-in's program: settings, paths, faults and the ticking thread. */
+/* Program of the platform stand-in: settings, routes, faults and the tick thread. */
 #include "platform.h"
 
 #include "wickbridge/json.h"
@@ -58,7 +58,7 @@
 }
 
 void platform_hang(wb_http_exchange_t *exchange) {
-    (void)exchange; /* stays suspended until the caller gives up */
+    (void)exchange; /* stays suspended until the client disconnects */
 }
 
 static platform_mode_t mode_parse(const json_t *faults, const char *key) {
@@ -100,7 +100,7 @@
     else if (strcmp(path, "/standin/v1/machines") == 0)
         machines_register(exchange);
     else if (strcmp(path, "/standin/v1/leave") == 0)
-        machines_leave(exchange);
+        machines_drain(exchange);
     else if (strcmp(path, "/standin/v1/faults") == 0)
         faults_set(exchange);
     else if (strcmp(path, "/standin/v1/counters") == 0)
--- a/standins/platform/objects.c
+++ b/standins/platform/objects.c
@@ -1,4 +1,4 @@
-/* The object store: whole bodies by name, with a rate limit. */
+/* The object store: complete bodies by name, with a rate limit. */
 #include "platform.h"
 
 #include <string.h>
@@ -58,7 +58,7 @@
 void objects_handle(wb_http_exchange_t *exchange) {
     g_mutex_lock(&objects.lock);
     platform_mode_t mode = objects.mode;
-    int64_t wait_ms = mode == PLATFORM_UP ? platform_bucket_take(&objects.bucket) : 0;
+    int64_t retry_after_ms = mode == PLATFORM_UP ? platform_bucket_take(&objects.bucket) : 0;
     g_mutex_unlock(&objects.lock);
     const char *name = wb_http_exchange_path(exchange) + strlen("/objects/v1/");
     const char *method = wb_http_exchange_method(exchange);
@@ -66,8 +66,8 @@
         platform_hang(exchange);
     else if (mode == PLATFORM_REFUSE)
         standin_reply_error(exchange, 503, "unavailable", "The object store is down.", 1000);
-    else if (wait_ms > 0)
-        standin_reply_error(exchange, 429, "rate_limited", "Too many operations.", wait_ms);
+    else if (retry_after_ms > 0)
+        standin_reply_error(exchange, 429, "rate_limited", "Too many operations.", retry_after_ms);
     else if (strcmp(method, "PUT") == 0)
         object_put(exchange, name);
     else if (strcmp(method, "GET") == 0)
--- a/standins/platform/platform.h
+++ b/standins/platform/platform.h
@@ -1,8 +1,13 @@
 /**
  * @file platform.h
- * @brief The parts of the platform stand-in: table service, object store, machines, weights.
+ * @brief Stand-in for platform services: table service, object store, machine list, weight store.
  *
- * Locks: each part has one lock of its own, held only inside its functions.
+ * Each service has a rate limit or a lag, and faults that tests set. Handlers (functions that take
+ * a wb_http_exchange_t) answer it themselves, errors included. Times are monotonic ms unless a name
+ * says otherwise. Functions that return json_t * pass its reference to the caller.
+ *
+ * Locks: each service has its own, held only inside its functions; any thread may call them
+ * after the setup.
  */
 #ifndef WICKBRIDGE_STANDIN_PLATFORM_H
 #define WICKBRIDGE_STANDIN_PLATFORM_H
@@ -11,14 +16,14 @@
 
 #include <stdint.h>
 
-/** How a service behaves at present. */
+/** Availability of a service. */
 typedef enum platform_mode_t {
-    PLATFORM_UP,     /**< answers */
-    PLATFORM_REFUSE, /**< answers 503 at once */
-    PLATFORM_HANG    /**< never answers */
+    PLATFORM_UP,     /**< responds */
+    PLATFORM_REFUSE, /**< responds with 503 at once */
+    PLATFORM_HANG    /**< never responds */
 } platform_mode_t;
 
-/** Settings of the stand-in. */
+/** Settings of the process; see main.c for defaults. */
 typedef struct platform_settings_t {
     const char *listen;
     int64_t table_operations_per_s;
@@ -32,16 +37,16 @@
     const char *tls_trust;
 } platform_settings_t;
 
-/** A rate limit: tokens refill at `per_s`, at most one second's worth is kept. */
+/** A token bucket: refills at `per_s`, holds at most one second's tokens. */
 typedef struct platform_bucket_t {
     double tokens;
     double per_s;
     int64_t filled_us;
-    int64_t taken;   /**< operations let through so far */
-    int64_t refused; /**< operations refused so far */
+    int64_t taken;   /**< operations admitted */
+    int64_t refused; /**< operations refused */
 } platform_bucket_t;
 
-/** Take one token. @return 0, or the time in ms after which to come back */
+/** Take one token. @return 0, or the time in ms after which to retry */
 int64_t platform_bucket_take(platform_bucket_t *bucket);
 
 void table_setup(double operations_per_s);
@@ -56,23 +61,22 @@
 
 void machines_setup(int64_t lag_ms);
 void machines_handle(wb_http_exchange_t *exchange);
-/** A stand-in for the platform's own knowledge: machine processes are registered by who starts
- * them. */
+/** Register a machine's process; called by the program that starts it. */
 void machines_register(wb_http_exchange_t *exchange);
-/** Mark a machine as leaving; takes effect in the list after the lag. */
-void machines_leave(wb_http_exchange_t *exchange);
+/** Set a machine to draining; listed after the lag. */
+void machines_drain(wb_http_exchange_t *exchange);
 void machines_set_fault(platform_mode_t mode);
-/** Look at the registered processes; called regularly. */
+/** Check the registered processes and publish changes that are due; called regularly. */
 void machines_tick(void);
 
 void weights_setup(double loads_per_s, int64_t at_once);
 void weights_handle(wb_http_exchange_t *exchange);
 void weights_set_slowdown(double factor);
-/** Let transfers make progress; called regularly. */
+/** Advance transfers; called regularly. */
 void weights_tick(void);
 json_t *weights_counters(void);
 
-/** Hold an exchange for ever, as a service that hangs does. */
+/** Never answer this exchange. */
 void platform_hang(wb_http_exchange_t *exchange);
 
 #endif
--- a/standins/platform/table.c
+++ b/standins/platform/table.c
@@ -1,4 +1,4 @@
-/* The table service: rows with versions, and transactions of checks and writes. */
+/* The table service: versioned rows, and transactions of checks and writes, with a rate limit. */
 #include "platform.h"
 
 #include "wickbridge/json.h"
@@ -58,7 +58,7 @@
                      row->value);
 }
 
-/* Returns the first check that fails as a row, or NULL. The lock is held. */
+/* Returns the current row of the first failed check, or NULL. Lock held. */
 static json_t *conflict_find(const json_t *checks) {
     size_t index;
     json_t *check;
@@ -141,7 +141,7 @@
     g_mutex_lock(&table.lock);
     platform_mode_t mode = table.mode;
     int64_t delay_ms = table.delay_ms;
-    int64_t wait_ms = mode == PLATFORM_UP ? platform_bucket_take(&table.bucket) : 0;
+    int64_t retry_after_ms = mode == PLATFORM_UP ? platform_bucket_take(&table.bucket) : 0;
     g_mutex_unlock(&table.lock);
     const char *path = wb_http_exchange_path(exchange);
     if (delay_ms > 0)
@@ -150,8 +150,8 @@
         platform_hang(exchange);
     else if (mode == PLATFORM_REFUSE)
         standin_reply_error(exchange, 503, "unavailable", "The table service is down.", 1000);
-    else if (wait_ms > 0)
-        standin_reply_error(exchange, 429, "rate_limited", "Too many operations.", wait_ms);
+    else if (retry_after_ms > 0)
+        standin_reply_error(exchange, 429, "rate_limited", "Too many operations.", retry_after_ms);
     else if (strcmp(path, "/table/v1/transact") == 0)
         transact(exchange);
     else if (strcmp(path, "/table/v1/row") == 0)
--- a/standins/platform/weights.c
+++ b/standins/platform/weights.c
@@ -1,4 +1,4 @@
-/* The weight store: transfers that share its speed, limited in starts a second. */
+/* The weight store: transfers share its speed, and their start rate is limited. */
 #include "platform.h"
 
 #include "wickbridge/json.h"
@@ -6,8 +6,8 @@
 #include <string.h>
 
 typedef struct weight_transfer_t {
-    wb_http_exchange_t *exchange; /* answered when the transfer is whole */
-    double left_ms;               /* at full speed */
+    wb_http_exchange_t *exchange; /* answered when the transfer is complete */
+    double remaining_ms;          /* remaining time at full speed */
 } weight_transfer_t;
 
 static struct {
@@ -15,7 +15,7 @@
     GPtrArray *transfers;
     platform_bucket_t bucket;
     int64_t at_once;
-    int64_t most_at_once;
+    int64_t max_at_once;
     double slowdown;
     int64_t ticked_us;
 } weights = {.slowdown = 1.0};
@@ -37,7 +37,7 @@
     g_mutex_lock(&weights.lock);
     json_t *counters = json_pack("{s:I, s:I, s:I}", "loads", (json_int_t)weights.bucket.taken,
                                  "refused", (json_int_t)weights.bucket.refused, "most_at_once",
-                                 (json_int_t)weights.most_at_once);
+                                 (json_int_t)weights.max_at_once);
     g_mutex_unlock(&weights.lock);
     return counters;
 }
@@ -49,23 +49,24 @@
     double duration_ms = (double)wb_json_integer(body, "full_speed_ms", 0);
     json_decref(body);
     g_mutex_lock(&weights.lock);
-    int64_t wait_ms = platform_bucket_take(&weights.bucket);
-    if (wait_ms == 0) {
+    int64_t retry_after_ms = platform_bucket_take(&weights.bucket);
+    if (retry_after_ms == 0) {
         weight_transfer_t *transfer = g_new0(weight_transfer_t, 1);
         transfer->exchange = exchange;
-        transfer->left_ms = duration_ms;
+        transfer->remaining_ms = duration_ms;
         g_ptr_array_add(weights.transfers, transfer);
-        weights.most_at_once = MAX(weights.most_at_once, (int64_t)weights.transfers->len);
+        weights.max_at_once = MAX(weights.max_at_once, (int64_t)weights.transfers->len);
     }
     g_mutex_unlock(&weights.lock);
-    if (wait_ms > 0)
-        standin_reply_error(exchange, 429, "rate_limited", "Too many loads a second.", wait_ms);
+    if (retry_after_ms > 0)
+        standin_reply_error(exchange, 429, "rate_limited", "Too many loads a second.",
+                            retry_after_ms);
 }
 
-/* The share of full speed that each transfer has. The lock is held. */
+/* The fraction of full speed that each transfer gets. Lock held. */
 static double speed_share(void) {
-    double crowd = (double)weights.transfers->len / (double)weights.at_once;
-    return 1.0 / (MAX(crowd, 1.0) * weights.slowdown);
+    double contention = (double)weights.transfers->len / (double)weights.at_once;
+    return 1.0 / (MAX(contention, 1.0) * weights.slowdown);
 }
 
 void weights_tick(void) {
@@ -76,8 +77,8 @@
     weights.ticked_us = now_us;
     for (guint i = weights.transfers->len; i-- > 0;) {
         weight_transfer_t *transfer = weights.transfers->pdata[i];
-        transfer->left_ms -= progress_ms;
-        if (transfer->left_ms > 0)
+        transfer->remaining_ms -= progress_ms;
+        if (transfer->remaining_ms > 0)
             continue;
         g_queue_push_tail(&finished, transfer->exchange);
         g_ptr_array_remove_index_fast(weights.transfers, i);
--- a/standins/proxy/main.c
+++ b/standins/proxy/main.c
@@ -1,4 +1,5 @@
-/* The fault-injecting proxy's program: its relays, and the way to set their faults. */
+/* Program of the fault-injecting proxy: its relays, and the control interface that sets their
+ * faults. */
 #include "relay.h"
 
 #include "../standin_http.h"
--- a/standins/proxy/relay.c
+++ b/standins/proxy/relay.c
@@ -1,11 +1,11 @@
-/* Passes bytes between two sockets, with the faults that were asked for. */
+/* Forwards bytes between two sockets, subject to the relay's fault. */
 #include "relay.h"
 
 #include <apr_network_io.h>
 #include <apr_pools.h>
 #include <string.h>
 
-#define PIECE_BYTES 16384
+#define CHUNK_BYTES 16384
 
 struct relay_t {
     wb_loop_t *loop;
@@ -14,16 +14,16 @@
     apr_socket_t *socket;
     relay_fault_t fault;
     GPtrArray *pairs;
-    char **blocked; /* IPs whose connections are refused; may be NULL */
+    char **blocked; /* IPs whose connections are closed; may be NULL */
 };
 
-/* A piece that waits for its time or for a socket. */
-typedef struct piece_t {
+/* Bytes that wait for their due time or for the socket. */
+typedef struct chunk_t {
     int64_t due_ms;
     gsize length;
     gsize sent;
     char data[];
-} piece_t;
+} chunk_t;
 
 typedef struct pair_t pair_t;
 
@@ -33,10 +33,10 @@
     apr_socket_t *from;
     apr_socket_t *to;
     wb_watch_t *watch; /* on `from` */
-    GQueue pieces;
-    int64_t passed; /* bytes */
-    gboolean ended; /* `from` has closed its side */
-    gboolean is_answer;
+    GQueue chunks;
+    int64_t forwarded; /* bytes sent */
+    gboolean ended;    /* `from` has closed its side */
+    gboolean is_response;
 } flow_t;
 
 /* A connection through the relay. */
@@ -44,10 +44,10 @@
     relay_t *relay;
     apr_pool_t *pool;
     flow_t request;
-    flow_t answer;
+    flow_t response;
     wb_timer_t *timer;
-    relay_fault_t fault; /* this connection's, when it is counted */
-    gboolean counted;
+    relay_fault_t fault; /* this connection's, when has_own_fault */
+    gboolean has_own_fault;
     gboolean closing;
 };
 
@@ -62,35 +62,35 @@
 }
 
 static const relay_fault_t *pair_fault(const pair_t *pair) {
-    return pair->counted ? &pair->fault : &pair->relay->fault;
+    return pair->has_own_fault ? &pair->fault : &pair->relay->fault;
 }
 
 static void pair_close(pair_t *pair) {
     wb_watch_remove(pair->request.watch);
-    wb_watch_remove(pair->answer.watch);
+    wb_watch_remove(pair->response.watch);
     wb_timer_cancel(pair->timer);
     apr_socket_close(pair->request.from);
     apr_socket_close(pair->request.to);
-    g_queue_clear_full(&pair->request.pieces, g_free);
-    g_queue_clear_full(&pair->answer.pieces, g_free);
+    g_queue_clear_full(&pair->request.chunks, g_free);
+    g_queue_clear_full(&pair->response.chunks, g_free);
     g_ptr_array_remove_fast(pair->relay->pairs, pair);
     apr_pool_destroy(pair->pool);
     g_free(pair);
 }
 
-/* Sends what is due. Returns FALSE when the connection must be closed. */
+/* Sends chunks that are due. Returns FALSE when the connection must be closed. */
 static gboolean flow_send(flow_t *flow) {
-    piece_t *piece;
-    while ((piece = g_queue_peek_head(&flow->pieces)) != NULL && piece->due_ms <= wb_clock_ms()) {
-        apr_size_t length = piece->length - piece->sent;
-        apr_status_t status = apr_socket_send(flow->to, piece->data + piece->sent, &length);
-        piece->sent += length;
-        flow->passed += (int64_t)length;
-        if (piece->sent < piece->length)
+    chunk_t *chunk;
+    while ((chunk = g_queue_peek_head(&flow->chunks)) != NULL && chunk->due_ms <= wb_clock_ms()) {
+        apr_size_t length = chunk->length - chunk->sent;
+        apr_status_t status = apr_socket_send(flow->to, chunk->data + chunk->sent, &length);
+        chunk->sent += length;
+        flow->forwarded += (int64_t)length;
+        if (chunk->sent < chunk->length)
             return APR_STATUS_IS_EAGAIN(status) || status == APR_SUCCESS;
-        g_free(g_queue_pop_head(&flow->pieces));
+        g_free(g_queue_pop_head(&flow->chunks));
     }
-    if (flow->ended && flow->pieces.length == 0)
+    if (flow->ended && flow->chunks.length == 0)
         apr_socket_shutdown(flow->to, APR_SHUTDOWN_WRITE);
     return TRUE;
 }
@@ -98,35 +98,36 @@
 static gboolean flow_is_frozen(const flow_t *flow) {
     relay_fault_kind_t kind = pair_fault(flow->pair)->kind;
     return kind == RELAY_FREEZE ||
-           kind == (flow->is_answer ? RELAY_FREEZE_ANSWER : RELAY_FREEZE_REQUEST);
+           kind == (flow->is_response ? RELAY_FREEZE_RESPONSE : RELAY_FREEZE_REQUEST);
 }
 
-/* How much of a piece may pass. Sets `close` when the connection ends behind it. */
+/* Returns how much of a chunk may be forwarded. Sets `close` when the connection closes after it.
+ */
 static gsize fault_limit(const flow_t *flow, gsize length, gboolean *close) {
     const relay_fault_t *fault = pair_fault(flow->pair);
-    gboolean here = (fault->kind == RELAY_CUT_REQUEST && !flow->is_answer) ||
-                    (fault->kind == RELAY_CUT_ANSWER && flow->is_answer);
-    if (fault->kind == RELAY_DROP_ANSWER && flow->is_answer) {
+    gboolean applies = (fault->kind == RELAY_CUT_REQUEST && !flow->is_response) ||
+                       (fault->kind == RELAY_CUT_RESPONSE && flow->is_response);
+    if (fault->kind == RELAY_DROP_RESPONSE && flow->is_response) {
         *close = TRUE;
         return 0;
     }
-    if (!here || flow->passed + (int64_t)length < fault->bytes)
+    if (!applies || flow->forwarded + (int64_t)length < fault->bytes)
         return length;
     *close = TRUE;
-    return (gsize)MAX(fault->bytes - flow->passed, 0);
+    return (gsize)MAX(fault->bytes - flow->forwarded, 0);
 }
 
-static void piece_queue(flow_t *flow, const char *data, gsize length) {
+static void chunk_queue(flow_t *flow, const char *data, gsize length) {
     const relay_fault_t *fault = pair_fault(flow->pair);
-    piece_t *piece = g_malloc(sizeof(piece_t) + length);
-    piece->due_ms = wb_clock_ms() + (fault->kind == RELAY_DELAY ? fault->delay_ms : 0);
-    piece->length = length;
-    piece->sent = 0;
-    memcpy(piece->data, data, length);
-    g_queue_push_tail(&flow->pieces, piece);
+    chunk_t *chunk = g_malloc(sizeof(chunk_t) + length);
+    chunk->due_ms = wb_clock_ms() + (fault->kind == RELAY_DELAY ? fault->delay_ms : 0);
+    chunk->length = length;
+    chunk->sent = 0;
+    memcpy(chunk->data, data, length);
+    g_queue_push_tail(&flow->chunks, chunk);
 }
 
-static void flow_ready(int16_t events, void *context) {
+static void flow_readable(int16_t events, void *context) {
     (void)events;
     flow_t *flow = context;
     pair_t *pair = flow->pair;
@@ -134,25 +135,25 @@
         wb_watch_change(flow->watch, 0);
         return;
     }
-    char data[PIECE_BYTES];
+    char data[CHUNK_BYTES];
     apr_size_t length = sizeof(data);
     apr_status_t status = apr_socket_recv(flow->from, data, &length);
     gboolean close = FALSE;
     if (length > 0) {
-        gsize passing = fault_limit(flow, length, &close);
-        if (passing > 0)
-            piece_queue(flow, data, passing);
+        gsize allowed = fault_limit(flow, length, &close);
+        if (allowed > 0)
+            chunk_queue(flow, data, allowed);
     } else if (APR_STATUS_IS_EOF(status)) {
         flow->ended = TRUE;
         wb_watch_change(flow->watch, 0);
     } else if (!APR_STATUS_IS_EAGAIN(status))
         close = TRUE;
     if (!flow_send(flow) || close ||
-        (pair->request.ended && pair->answer.ended && pair->answer.pieces.length == 0))
+        (pair->request.ended && pair->response.ended && pair->response.chunks.length == 0))
         pair_close(pair);
 }
 
-/* Takes up reading again after a freeze, and sends what is due. Returns FALSE when that failed. */
+/* Resumes reading after a freeze, and sends chunks that are due. Returns FALSE when that failed. */
 static gboolean flow_tick(flow_t *flow) {
     if (flow_is_frozen(flow)) {
         return TRUE;
@@ -163,23 +164,23 @@
     return flow_send(flow);
 }
 
-/* Sends what was late or didn't fit. */
+/* Sends delayed chunks and those that the socket didn't accept. */
 static void pair_tick(void *context) {
     pair_t *pair = context;
-    gboolean fine = flow_tick(&pair->request) && flow_tick(&pair->answer);
-    if (!fine || (pair->request.ended && pair->answer.ended && pair->request.pieces.length == 0 &&
-                  pair->answer.pieces.length == 0))
+    gboolean ok = flow_tick(&pair->request) && flow_tick(&pair->response);
+    if (!ok || (pair->request.ended && pair->response.ended && pair->request.chunks.length == 0 &&
+                pair->response.chunks.length == 0))
         pair_close(pair);
 }
 
 static void flow_begin(flow_t *flow, pair_t *pair, apr_socket_t *from, apr_socket_t *to,
-                       gboolean is_answer) {
+                       gboolean is_response) {
     flow->pair = pair;
     flow->from = from;
     flow->to = to;
-    flow->is_answer = is_answer;
-    g_queue_init(&flow->pieces);
-    flow->watch = wb_loop_watch(pair->relay->loop, from, APR_POLLIN, flow_ready, flow);
+    flow->is_response = is_response;
+    g_queue_init(&flow->chunks);
+    flow->watch = wb_loop_watch(pair->relay->loop, from, APR_POLLIN, flow_readable, flow);
 }
 
 static apr_status_t target_connect(relay_t *relay, apr_pool_t *pool, apr_socket_t **socket) {
@@ -192,7 +193,7 @@
         status = apr_sockaddr_info_get(&address, host, APR_INET, port, 0, pool);
     if (status == APR_SUCCESS)
         status = apr_socket_create(socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool);
-    if (status == APR_SUCCESS) /* on this machine it is immediate */
+    if (status == APR_SUCCESS) /* immediate, as the target is on this machine */
         status = apr_socket_connect(*socket, address);
     return status;
 }
@@ -203,21 +204,21 @@
     apr_socket_timeout_set(socket, 0);
 }
 
-static void fault_count(pair_t *pair) {
+static void fault_assign(pair_t *pair) {
     relay_fault_t *fault = &pair->relay->fault;
     if (fault->times <= 0)
         return;
-    pair->counted = TRUE;
+    pair->has_own_fault = TRUE;
     pair->fault = *fault;
     if (--fault->times == 0)
         *fault = (relay_fault_t){RELAY_PASS, 0, 0, 0};
 }
 
-static gboolean is_blocked(const relay_t *relay, apr_socket_t *caller) {
+static gboolean is_blocked(const relay_t *relay, apr_socket_t *client) {
     apr_sockaddr_t *address;
     char host[64] = "";
     if (relay->blocked == NULL ||
-        apr_socket_addr_get(&address, APR_REMOTE, caller) != APR_SUCCESS ||
+        apr_socket_addr_get(&address, APR_REMOTE, client) != APR_SUCCESS ||
         apr_sockaddr_ip_getbuf(host, sizeof(host), address) != APR_SUCCESS)
         return FALSE;
     return g_strv_contains((const char *const *)relay->blocked, host);
@@ -228,25 +229,25 @@
     relay_t *relay = context;
     apr_pool_t *pool;
     apr_pool_create(&pool, NULL);
-    apr_socket_t *caller, *target;
-    if (apr_socket_accept(&caller, relay->socket, pool) != APR_SUCCESS) {
+    apr_socket_t *client, *target;
+    if (apr_socket_accept(&client, relay->socket, pool) != APR_SUCCESS) {
         apr_pool_destroy(pool);
         return;
     }
-    if (relay->fault.kind == RELAY_CUT || is_blocked(relay, caller) ||
+    if (relay->fault.kind == RELAY_CUT || is_blocked(relay, client) ||
         target_connect(relay, pool, &target) != APR_SUCCESS) {
-        apr_socket_close(caller);
+        apr_socket_close(client);
         apr_pool_destroy(pool);
         return;
     }
-    socket_prepare(caller);
+    socket_prepare(client);
     socket_prepare(target);
     pair_t *pair = g_new0(pair_t, 1);
     pair->relay = relay;
     pair->pool = pool;
-    fault_count(pair);
-    flow_begin(&pair->request, pair, caller, target, FALSE);
-    flow_begin(&pair->answer, pair, target, caller, TRUE);
+    fault_assign(pair);
+    flow_begin(&pair->request, pair, client, target, FALSE);
+    flow_begin(&pair->response, pair, target, client, TRUE);
     pair->timer = wb_loop_every(relay->loop, 10, pair_tick, pair);
     g_ptr_array_add(relay->pairs, pair);
 }
--- a/standins/proxy/relay.h
+++ b/standins/proxy/relay.h
@@ -1,8 +1,10 @@
 /**
  * @file relay.h
- * @brief Relays of the fault-injecting proxy: each listens on one address and passes to another.
+ * @brief TCP relays of the fault-injecting proxy: each listens on one address and forwards to
+ * another.
  *
- * Threads: everything on the loop's thread, but relay_set_fault, which posts to it.
+ * Times are in ms. A relay lives as long as its loop's process. relay_open runs before the loop
+ * starts or on its thread; the setters may be called from any thread and post to the loop.
  */
 #ifndef WICKBRIDGE_STANDIN_RELAY_H
 #define WICKBRIDGE_STANDIN_RELAY_H
@@ -13,35 +15,40 @@
 
 typedef enum relay_fault_kind_t {
     RELAY_PASS,
-    RELAY_DELAY,          /**< each piece is passed `delay_ms` late */
-    RELAY_CUT,            /**< open connections are closed, new ones at once */
-    RELAY_FREEZE,         /**< connections stay open and carry nothing */
-    RELAY_DROP_ANSWER,    /**< the request passes; the answer's first byte closes the connection */
-    RELAY_CUT_REQUEST,    /**< closed after `bytes` of the request have passed */
-    RELAY_CUT_ANSWER,     /**< closed after `bytes` of the answer have passed */
-    RELAY_FREEZE_REQUEST, /**< open, but nothing passes towards the target */
-    RELAY_FREEZE_ANSWER   /**< open, but nothing passes back */
+    RELAY_DELAY,          /**< each chunk is forwarded `delay_ms` late */
+    RELAY_CUT,            /**< open connections are closed, new ones closed at once */
+    RELAY_FREEZE,         /**< connections stay open, nothing is forwarded */
+    RELAY_DROP_RESPONSE,  /**< the request is forwarded; the first byte of the response closes the
+                             connection */
+    RELAY_CUT_REQUEST,    /**< closed after `bytes` of the request were forwarded */
+    RELAY_CUT_RESPONSE,   /**< closed after `bytes` of the response were forwarded */
+    RELAY_FREEZE_REQUEST, /**< open, but nothing is forwarded to the target */
+    RELAY_FREEZE_RESPONSE /**< open, but nothing is forwarded to the client */
 } relay_fault_kind_t;
 
 typedef struct relay_fault_t {
     relay_fault_kind_t kind;
     int64_t delay_ms;
     int64_t bytes;
-    int64_t times; /**< so many connections are hit, then it passes again; 0: no limit */
+    int64_t times; /**< number of new connections affected, after which the fault ends; 0: all
+                      connections */
 } relay_fault_t;
 
 typedef struct relay_t relay_t;
 
-/** @return the kind with this name, or -1 */
+/** @return the kind with this name on the control interface, or -1 */
 int relay_fault_kind_parse(const char *name);
 
+/** Listen on one address and forward each connection to the target. @return APR_SUCCESS, or an
+ * error when the address is malformed or can't be bound */
 apr_status_t relay_open(wb_loop_t *loop, const char *listen, const char *target, relay_t **relay,
                         wb_error_t *error);
 
-/** Refuse connections from these IPs (with commas between), and close open ones; any thread. */
+/** Close connections from these IPs (separated by commas), open and new ones. Any thread. */
 void relay_set_blocked(relay_t *relay, const char *hosts);
 
-/** Change what happens, from any thread. */
+/** Set the fault. It affects open connections too, but for those that count against the `times` of
+ * an earlier fault. Any thread. */
 void relay_set_fault(relay_t *relay, const relay_fault_t *fault);
 
 #endif
--- a/standins/standin_http.c
+++ b/standins/standin_http.c
@@ -1,4 +1,4 @@
-/* Answers in JSON and waits for signals, for every stand-in. */
+/* Helpers shared by the stand-in programs. */
 #include "standin_http.h"
 
 #include "wickbridge/json.h"
--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define DEADLINE_MS 3000
-#define ANSWER_SLACK_MS                                                                            \
-    1500 /* after the deadline within which a response or the end of the connection must come */
+/* A response or the end of the connection must come within this time after the deadline. */
+#define ANSWER_SLACK_MS 1500
 #define EVENTS 5
 #define MODELS 8
 #define RECOVERY_MS 15000
--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -7,12 +7,12 @@
 #include <string.h>
 
 #define RESUME_SLACK_MS 300
-#define LOADS_PER_S 4 /* load rate limit in the platform's configuration */
+#define LOADS_PER_S 4 /* loadsPerS in the harness's configuration */
 #define WINDOW_MS 5000
-#define CEILING_OVERAGE 1.1
-#define CEILING_SLACK 3
-/* Bounds on a poison request once it has crashed POISON_ENGINES engines: runs after the time for
- * the nodes to detect it, by undisturbed nodes. */
+#define LOAD_RATE_OVERAGE 1.1
+#define LOAD_RATE_SLACK 3
+/* Once a poison request has crashed POISON_ENGINES engines, and nodes had POISON_DETECT_MS to
+ * detect it, undisturbed nodes may run it this many times more. */
 #define POISON_ENGINES 3
 #define POISON_DETECT_MS 3000
 #define POISON_LATE_MAX 3
@@ -65,7 +65,7 @@
 }
 
 /* Orders sent before their sender was paused may arrive once it resumes. */
-static gboolean order_was_delayed(soak_t *soak, int64_t at_ms) {
+static gboolean order_may_be_delayed(soak_t *soak, int64_t at_ms) {
     gboolean excused = FALSE;
     for (guint i = 0; i < soak->spans->len; i++) {
         const soak_span_t *span = &g_array_index(soak->spans, soak_span_t, i);
@@ -88,7 +88,7 @@
                   (long long)soak_number_of(before, "token"), soak_text_of(before, "holder"),
                   soak_text_of(after, "engine"));
     } else if (!same && gap_ms < SOAK_LEASE_HANDOVER_MS &&
-               !order_was_delayed(soak, soak_number_of(before, "at_ms"))) {
+               !order_may_be_delayed(soak, soak_number_of(before, "at_ms"))) {
         soak_fail(soak, "orders: %s follows %s after %lld ms at %s", soak_text_of(after, "holder"),
                   soak_text_of(before, "holder"), (long long)gap_ms, soak_text_of(after, "engine"));
     }
@@ -116,7 +116,8 @@
     g_autoptr(GArray) load_times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     size_t i;
     json_t *order;
-    guint max_loads = (guint)(LOADS_PER_S * (WINDOW_MS / 1000.0) * CEILING_OVERAGE) + CEILING_SLACK;
+    guint max_loads =
+        (guint)(LOADS_PER_S * (WINDOW_MS / 1000.0) * LOAD_RATE_OVERAGE) + LOAD_RATE_SLACK;
     json_array_foreach(orders, i, order) {
         int64_t at_ms = soak_number_of(order, "at_ms");
         if (soak_number_of(order, "status") != 202 || *soak_text_of(order, "adapter") != '\0' ||
@@ -133,7 +134,7 @@
     }
 }
 
-/* Engines that began draining without other faults get no new requests after the drain time. */
+/* Engines that drain undisturbed get no new requests after the drain time. */
 static void drain_check(soak_t *soak, const json_t *seen) {
     size_t i;
     json_t *run;
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -343,8 +343,8 @@
     {"configuration", config_begin, end_nothing, 10, 20, FALSE},
 };
 
-/* A process that isn't running can't be stopped, paused or reloaded, and only one fault may act on
- * a process. */
+/* A process that isn't running can't be stopped, paused or reloaded; neither a kind nor a process
+ * has two faults at once. */
 static gboolean can_begin(const soak_t *soak, const soak_fault_t *fault, const GArray *active) {
     gboolean is_all = fault->kind->begin == all_killed_begin;
     for (guint i = 0; i < active->len; i++) {
