--- a/standins/engine/streams.c
+++ b/standins/engine/streams.c
@@ -98,9 +98,9 @@
     wb_http_exchange_add_header(exchange, "Engine-Seed", seed);
     gboolean done = stream->state == STREAM_DONE;
     if (!streaming && done) {
-        char *whole = answer_whole(&stream->answer);
-        wb_http_exchange_reply(exchange, 200, "application/json", whole, strlen(whole));
-        g_free(whole);
+        char *complete = answer_complete(&stream->answer);
+        wb_http_exchange_reply(exchange, 200, "application/json", complete, strlen(complete));
+        g_free(complete);
         return;
     }
     if (streaming) {
@@ -122,13 +122,13 @@
     g_ptr_array_add(stream->readers, reader);
 }
 
-static void readers_finish(engine_stream_t *stream, gboolean whole) {
-    char *text = whole ? answer_whole(&stream->answer) : NULL;
+static void readers_finish(engine_stream_t *stream, gboolean complete) {
+    char *text = complete ? answer_complete(&stream->answer) : NULL;
     for (guint i = 0; i < stream->readers->len; i++) {
         stream_reader_t *reader = stream->readers->pdata[i];
         if (reader->streaming)
-            wb_http_exchange_stream_end(reader->exchange, whole);
-        else if (whole)
+            wb_http_exchange_stream_end(reader->exchange, complete);
+        else if (complete)
             wb_http_exchange_reply(reader->exchange, 200, "application/json", text, strlen(text));
         else
             standin_reply_error(reader->exchange, 410, "cancelled", "The stream was cancelled.",
--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -102,7 +102,7 @@
     request->closed = answer->closed;
     request->ended_ms = harness_now_ms();
     request->status = answer->status;
-    request->whole = answer->whole;
+    request->complete = answer->whole;
     request->reports_limit = strstr(answer->head->str, "Server-Limit: ") != NULL;
     request->reports_draining = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
     answer_check(soak, request, answer);
@@ -198,7 +198,7 @@
     g_strdelimit(request.id, "/", '-');
     g_autofree char *headers = headers_create(path, model, FALSE);
     request_send(soak, &request, NULL, headers, "hello");
-    return request.status == 200 && request.whole;
+    return request.status == 200 && request.complete;
 }
 
 void soak_recovery_check(soak_t *soak) {
--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -153,9 +153,9 @@
 }
 
 static const char *zone_of_engine(const char *engine) {
-    static const char *const first[] = {"llm-1", "lock-1"};
-    for (size_t i = 0; i < G_N_ELEMENTS(first); i++) {
-        if (strcmp(engine, first[i]) == 0) {
+    static const char *const zone_1[] = {"llm-1", "lock-1"};
+    for (size_t i = 0; i < G_N_ELEMENTS(zone_1); i++) {
+        if (strcmp(engine, zone_1[i]) == 0) {
             return "zone-1";
         }
     }
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -19,7 +19,7 @@
     void (*end)(soak_fault_t *fault, soak_t *soak);
     int min_ms;
     int max_ms;
-    gboolean single_node; /* it affects one node's process only */
+    gboolean single_node; /* it affects one node only */
 } soak_fault_kind_t;
 
 /* An active fault. */
@@ -350,9 +350,9 @@
     for (guint i = 0; i < active->len; i++) {
         const soak_fault_t *other = &g_array_index(active, soak_fault_t, i);
         gboolean same_kind = other->kind == fault->kind;
-        gboolean hits_process = other->kind->single_node && other->node == fault->node;
+        gboolean same_node = other->kind->single_node && other->node == fault->node;
         gboolean other_is_all = other->kind->begin == all_killed_begin;
-        if (same_kind || hits_process || is_all || (other_is_all && fault->kind->single_node)) {
+        if (same_kind || same_node || is_all || (other_is_all && fault->kind->single_node)) {
             return FALSE;
         }
     }
@@ -383,11 +383,11 @@
     soak_fault_t fault = {.kind = kind_draw(soak),
                           .node = g_rand_int_range(soak->rand, 0, SOAK_NODES),
                           .variant = g_rand_int_range(soak->rand, 0, 1000)};
-    int holder = -1;
+    int controller = -1;
     int duration_ms = g_rand_int_range(soak->rand, fault.kind->min_ms, fault.kind->max_ms);
     if (g_rand_int_range(soak->rand, 0, 2) == 0 &&
-        (holder = estate_controller(soak->estate)) >= 0) {
-        fault.node = holder; /* half of the faults hit the controller */
+        (controller = estate_controller(soak->estate)) >= 0) {
+        fault.node = controller; /* every second fault on average is for the controller */
     }
     if (active->len >= FAULTS_AT_ONCE || !can_begin(soak, &fault, active)) {
         return;
@@ -442,16 +442,16 @@
 /* Whether a fault of one of these names was active at a node. */
 static gboolean had_fault(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
                           const char *const *names) {
-    gboolean hit = FALSE;
+    gboolean had = FALSE;
     g_mutex_lock(&soak->lock);
     for (guint i = 0; i < soak->spans->len; i++) {
         const soak_span_t *span = &g_array_index(soak->spans, soak_span_t, i);
         gboolean overlaps = (span->node < 0 || span->node == node) && span->from_ms <= to_ms &&
                             span->to_ms >= from_ms;
-        hit |= overlaps && g_strv_contains(names, span->name);
+        had |= overlaps && g_strv_contains(names, span->name);
     }
     g_mutex_unlock(&soak->lock);
-    return hit;
+    return had;
 }
 
 gboolean soak_is_halted(soak_t *soak, int node, int64_t from_ms, int64_t to_ms) {
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -46,7 +46,7 @@
     unsigned served = 0;
     for (guint i = 0; i < soak->requests->len; i++) {
         const soak_request_t *request = &g_array_index(soak->requests, soak_request_t, i);
-        served += request->status == 200 && request->whole;
+        served += request->status == 200 && request->complete;
     }
     return served;
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -49,8 +49,8 @@
     char id[32];
     const char *path; /* "/lock/x" and so on; static */
     int node;
-    int status; /* 0: the connection closed without a response */
-    gboolean whole;
+    int status;                /* 0: the connection closed without a response */
+    gboolean complete;         /* the response arrived to its end */
     gboolean closed;           /* the node closed the connection */
     gboolean reused;           /* sent on a connection that had carried other requests */
     gboolean reports_limit;    /* its response reports its engine's limit */
