--- a/standins/engine/answers.c
+++ b/standins/engine/answers.c
@@ -59,7 +59,7 @@
         g_string_append(out, "data: [DONE]\n\n");
 }
 
-char *answer_complete(const answer_t *answer) {
+char *answer_whole(const answer_t *answer) {
     if (answer->kind == ANSWER_CALL)
         return g_strdup(answer->call_result);
     gboolean chat = answer->kind == ANSWER_CHAT;
--- a/standins/engine/engine.h
+++ b/standins/engine/engine.h
@@ -128,7 +128,7 @@
 void answer_append_event(GString *out, const answer_t *answer, int index);
 int answer_events(const answer_t *answer);
 /** @return the complete response as JSON, freed by the caller */
-char *answer_complete(const answer_t *answer);
+char *answer_whole(const answer_t *answer);
 
 void cache_setup(void);
 /** Insert a prompt's prefix, or mark it recently used. @return TRUE when it was cached. Lock held.
--- a/standins/engine/streams.c
+++ b/standins/engine/streams.c
@@ -98,7 +98,7 @@
     wb_http_exchange_add_header(exchange, "Engine-Seed", seed);
     gboolean done = stream->state == STREAM_DONE;
     if (!streaming && done) {
-        char *complete = answer_complete(&stream->answer);
+        char *complete = answer_whole(&stream->answer);
         wb_http_exchange_reply(exchange, 200, "application/json", complete, strlen(complete));
         g_free(complete);
         return;
@@ -123,7 +123,7 @@
 }
 
 static void readers_finish(engine_stream_t *stream, gboolean complete) {
-    char *text = complete ? answer_complete(&stream->answer) : NULL;
+    char *text = complete ? answer_whole(&stream->answer) : NULL;
     for (guint i = 0; i < stream->readers->len; i++) {
         stream_reader_t *reader = stream->readers->pdata[i];
         if (reader->streaming)
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -442,16 +442,16 @@
 /* Whether a fault of one of these names was active at a node. */
 static gboolean had_fault(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
                           const char *const *names) {
-    gboolean had = FALSE;
+    gboolean found = FALSE;
     g_mutex_lock(&soak->lock);
     for (guint i = 0; i < soak->spans->len; i++) {
         const soak_span_t *span = &g_array_index(soak->spans, soak_span_t, i);
         gboolean overlaps = (span->node < 0 || span->node == node) && span->from_ms <= to_ms &&
                             span->to_ms >= from_ms;
-        had |= overlaps && g_strv_contains(names, span->name);
+        found |= overlaps && g_strv_contains(names, span->name);
     }
     g_mutex_unlock(&soak->lock);
-    return had;
+    return found;
 }
 
 gboolean soak_is_halted(soak_t *soak, int node, int64_t from_ms, int64_t to_ms) {
