--- a/standins/engine/cache.c
+++ b/standins/engine/cache.c
@@ -1,5 +1,5 @@
-/* LRU cache of prompt prefixes with export and import. Its events appear late and with gaps, as
- * those of real engines may. */
+/* LRU cache of prompt prefixes with export and import. Its events appear late and with
+ * gaps. */
 #include "engine.h"
 
 #include "wickbridge/json.h"
--- a/standins/engine/engine.h
+++ b/standins/engine/engine.h
@@ -92,7 +92,8 @@
 gboolean engine_is_draining(void);
 void engine_drain(void);
 
-/** Called once when weights have arrived, from any thread, without the lock. It owns the ticket. */
+/** Called once when weights have arrived, from any thread, without the lock. Takes over the ticket.
+ */
 typedef void (*loads_finished_fn)(void *ticket);
 /** Start fetching weights, and retry until that succeeds. @param full_speed_ms duration at the
  * weight store's full speed */
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -7,8 +7,8 @@
 #define GAP_MAX_MS 900 /* between the starts of two faults */
 #define FAULTS_AT_ONCE 3
 #define STOP_TIMEOUT_MS 12000
-/* Exit status of a node that SIGTERM ended before its own handler was installed: it was killed,
- * relaunched and stopped within a few ms, and has accepted no request. */
+/* Exit status of a node that SIGTERM ended before its main() ran: it was killed, relaunched and
+ * stopped within a few ms, and has accepted no request. */
 #define STOPPED_BEFORE_MAIN (128 + SIGTERM)
 
 typedef struct soak_fault_t soak_fault_t;
@@ -199,7 +199,7 @@
     return engines[fault->variant % (int)G_N_ELEMENTS(engines)];
 }
 
-/* Restarts after 0.1 to 1.1 s, before its row would expire. */
+/* Restarts after 0.1 to 1.1 s; its row stays meanwhile, since the engine keeps its id. */
 static void engine_restart_begin(soak_fault_t *fault, soak_t *soak) {
     estate_do(soak->estate,
               "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
