--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -24,8 +24,8 @@
 /** State of an engine's machine in the platform's machine list. */
 typedef enum wb_machine_state_t {
     WB_MACHINE_LIVE,
-    WB_MACHINE_LEAVING, /**< draining */
-    WB_MACHINE_GONE     /**< permanently removed */
+    WB_MACHINE_DRAINING, /**< draining */
+    WB_MACHINE_REMOVED     /**< permanently removed */
 } wb_machine_state_t;
 
 typedef enum wb_order_action_t { WB_ORDER_FENCE, WB_ORDER_LOAD, WB_ORDER_UNLOAD } wb_order_action_t;
@@ -42,12 +42,12 @@
     int64_t bytes;
 } wb_order_t;
 
-/** Outcome of an order. Except for WB_ORDER_LOST, the engine's inventory was returned. */
+/** Outcome of an order. Except for WB_ORDER_NO_RESPONSE, the engine's inventory was returned. */
 typedef enum wb_order_outcome_t {
-    WB_ORDER_TAKEN,   /**< accepted */
+    WB_ORDER_ACCEPTED,   /**< accepted */
     WB_ORDER_REFUSED, /**< the engine recorded the fencing number but refused the order */
     WB_ORDER_STALE,   /**< the engine has seen a higher fencing number */
-    WB_ORDER_LOST     /**< no response: the order may still arrive */
+    WB_ORDER_NO_RESPONSE     /**< no response: the order may still arrive */
 } wb_order_outcome_t;
 
 /** An engine on which a model is ready. Strings are borrowed. */
@@ -60,8 +60,8 @@
 
 typedef enum wb_route_state_t {
     WB_ROUTE_READY,   /**< there are replicas */
-    WB_ROUTE_WAKING,  /**< the model is being loaded */
-    WB_ROUTE_REFUSED, /**< no engine can be used */
+    WB_ROUTE_LOADING,  /**< the model is being loaded */
+    WB_ROUTE_UNAVAILABLE, /**< no engine can be used */
     WB_ROUTE_BUSY     /**< all engines are full of models in use */
 } wb_route_state_t;
 
@@ -97,7 +97,7 @@
 
 typedef struct wb_cell_options_t {
     const char *name;
-    int64_t remote_loads_at_once; /**< max concurrent loads from the weight store */
+    int64_t max_remote_loads; /**< max concurrent loads from the weight store */
     /* Initial load time estimates by source; replaced by measurements: */
     int64_t remote_ms_per_gib;
     int64_t disk_ms_per_gib;
@@ -113,30 +113,30 @@
 void wb_cell_set_config(wb_cell_t *cell, wb_config_t *config);
 
 /** Update an engine of this cell from the machine list. */
-void wb_cell_machine(wb_cell_t *cell, const char *engine, const char *address, const char *zone,
+void wb_cell_set_machine(wb_cell_t *cell, const char *engine, const char *address, const char *zone,
                      wb_machine_state_t state, int64_t now_ms);
 
-/** All engines of a machine list were passed to wb_cell_machine. */
-void wb_cell_machines_known(wb_cell_t *cell);
+/** All engines of a machine list were passed to wb_cell_set_machine. */
+void wb_cell_set_machines_known(wb_cell_t *cell);
 
 /** All commands up to this sequence number are committed. */
-void wb_cell_committed(wb_cell_t *cell, uint64_t sequence);
+void wb_cell_set_committed(wb_cell_t *cell, uint64_t sequence);
 
 /** An order ended. @param inventory taken over; NULL if lost */
 void wb_cell_order_done(wb_cell_t *cell, const char *engine, uint64_t fence,
                         wb_order_outcome_t outcome, wb_inventory_t *inventory, int64_t now_ms);
 
 /** An engine's inventory was received. @param inventory taken over */
-void wb_cell_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms);
+void wb_cell_update_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms);
 
 /** An engine became unreachable, or reachable again. */
-void wb_cell_engine_reachable(wb_cell_t *cell, const char *engine, gboolean reachable);
+void wb_cell_set_engine_reachable(wb_cell_t *cell, const char *engine, gboolean reachable);
 
 /** Update a gateway's demand; the current route is sent to it. */
-void wb_cell_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms);
+void wb_cell_update_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms);
 
 /** Remove the demand of a gateway that is gone. */
-void wb_cell_gateway_gone(wb_cell_t *cell, const char *node);
+void wb_cell_remove_gateway(wb_cell_t *cell, const char *node);
 
 /** Make due decisions. Call after events and about every 100 ms. */
 void wb_cell_step(wb_cell_t *cell, int64_t now_ms);
@@ -145,7 +145,7 @@
 json_t *wb_cell_explain(const wb_cell_t *cell, const char *model, int64_t now_ms);
 
 /** Call a function for each engine whose machine is not gone. */
-void wb_cell_engines_each(const wb_cell_t *cell,
+void wb_cell_each_engine(const wb_cell_t *cell,
                           void (*visit)(const char *engine, const char *address, void *context),
                           void *context);
 
--- a/include/wickbridge/cell_host.h
+++ b/include/wickbridge/cell_host.h
@@ -49,13 +49,13 @@
 void wb_cell_host_stop(wb_cell_host_t *host);
 
 /** Handle a message from a node. @return TRUE if it was for the host */
-gboolean wb_cell_host_message(wb_cell_host_t *host, const char *node,
+gboolean wb_cell_host_on_message(wb_cell_host_t *host, const char *node,
                               const wb_wire_message *message);
 
 /** Handle wb_membership_events_t.on_member. */
-void wb_cell_host_member(wb_cell_host_t *host, const wb_member_t *member);
+void wb_cell_host_on_member(wb_cell_host_t *host, const wb_member_t *member);
 /** Apply a configuration. */
-void wb_cell_host_config(wb_cell_host_t *host, wb_config_t *config);
+void wb_cell_host_set_config(wb_cell_host_t *host, wb_config_t *config);
 
 /** Hand over the owned cells whose groups have other members; call repeatedly. @return TRUE once
  * there are none left, or after a time limit */
@@ -68,6 +68,6 @@
 json_t *wb_cell_host_explain(wb_cell_host_t *host, const char *model);
 
 /** @return number of cells owned by this node */
-guint wb_cell_host_owned(const wb_cell_host_t *host);
+guint wb_cell_host_owned_count(const wb_cell_host_t *host);
 
 #endif
--- a/include/wickbridge/config_store.h
+++ b/include/wickbridge/config_store.h
@@ -63,7 +63,7 @@
                            wb_config_apply_fn done, void *context);
 
 /** Handle a message from a node. @return TRUE if it is a configuration message */
-gboolean wb_config_store_message(wb_config_store_t *store, const char *node,
+gboolean wb_config_store_handle_message(wb_config_store_t *store, const char *node,
                                  const wb_wire_message *message);
 
 /** Handle the version in a neighbour's heartbeat: fetches missing changes from it. If neighbours
--- a/include/wickbridge/declaration.h
+++ b/include/wickbridge/declaration.h
@@ -101,6 +101,6 @@
  * @param change {"set": {key: declaration}, "remove": [key]}
  * @return a new set of declarations; `objects` is unchanged
  */
-json_t *wb_config_objects_change(const json_t *objects, const json_t *change);
+json_t *wb_config_objects_apply(const json_t *objects, const json_t *change);
 
 #endif
--- a/include/wickbridge/engine_client.h
+++ b/include/wickbridge/engine_client.h
@@ -4,7 +4,7 @@
  * inventories by long polling.
  *
  * docs/ENGINE-API.md has the protocol. Times are in milliseconds. Failures are reported as
- * WB_ORDER_LOST and by on_reachable. Loop thread only.
+ * WB_ORDER_NO_RESPONSE and by on_reachable. Loop thread only.
  */
 #ifndef WICKBRIDGE_ENGINE_CLIENT_H
 #define WICKBRIDGE_ENGINE_CLIENT_H
--- a/include/wickbridge/gateway.h
+++ b/include/wickbridge/gateway.h
@@ -77,13 +77,13 @@
 gboolean wb_gateway_handle(wb_gateway_t *gateway, wb_http_exchange_t *exchange);
 
 /** Handle a message from a node, on the loop's thread. @return TRUE if it was for the gateway */
-gboolean wb_gateway_message(wb_gateway_t *gateway, const char *node,
+gboolean wb_gateway_on_message(wb_gateway_t *gateway, const char *node,
                             const wb_wire_message *message);
 
 const wb_gateway_counters_t *wb_gateway_counters(const wb_gateway_t *gateway);
 
 /** @return number of unfinished requests */
-gint wb_gateway_open(const wb_gateway_t *gateway);
+gint wb_gateway_open_requests(const wb_gateway_t *gateway);
 
 /** @return this gateway's state of a model as JSON, for the explain command, or NULL */
 json_t *wb_gateway_explain(wb_gateway_t *gateway, const char *model);
--- a/include/wickbridge/group.h
+++ b/include/wickbridge/group.h
@@ -61,11 +61,11 @@
  * can still commit.
  * @param record what is known of an earlier record, or an empty one; taken over
  */
-void wb_group_found(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
+void wb_group_bootstrap(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
                     uint64_t generation, uint64_t epoch, int64_t now_ms);
 
 /** Handle a message from another member. */
-void wb_group_message(wb_group_t *group, const char *node, const wb_wire_message *message,
+void wb_group_on_message(wb_group_t *group, const char *node, const wb_wire_message *message,
                       int64_t now_ms);
 
 /** Handle timeouts and heartbeats; call about every 50 ms. */
@@ -85,7 +85,7 @@
 gboolean wb_group_has_quorum(const wb_group_t *group, int64_t now_ms);
 
 /** The owner is known to be down: start an election after a short random delay. */
-void wb_group_owner_down(wb_group_t *group, const char *node, int64_t now_ms);
+void wb_group_on_owner_down(wb_group_t *group, const char *node, int64_t now_ms);
 
 wb_group_role_t wb_group_role(const wb_group_t *group);
 /** @return the highest epoch promised */
@@ -103,6 +103,6 @@
  * Promise an epoch of a new era to a node that founds the group again because its majority is lost.
  * From then on this member rejects messages of lower epochs. @return its record, or NULL
  */
-wb_record_t *wb_group_yield(wb_group_t *group, uint64_t epoch);
+wb_record_t *wb_group_promise_epoch(wb_group_t *group, uint64_t epoch);
 
 #endif
--- a/include/wickbridge/http_client.h
+++ b/include/wickbridge/http_client.h
@@ -27,8 +27,8 @@
 /** How far a call got. */
 typedef enum wb_http_outcome_t {
     WB_HTTP_NOT_SENT, /**< no byte of the request can have arrived */
-    WB_HTTP_BROKEN,   /**< sent, but no complete response arrived */
-    WB_HTTP_ANSWERED  /**< a complete response arrived, with any status */
+    WB_HTTP_INCOMPLETE,   /**< sent, but no complete response arrived */
+    WB_HTTP_COMPLETED  /**< a complete response arrived, with any status */
 } wb_http_outcome_t;
 
 /** Result of a call. Valid only inside the callback. */
--- a/include/wickbridge/http_listener.h
+++ b/include/wickbridge/http_listener.h
@@ -53,7 +53,7 @@
 /** Close idle connections: those without a running or partly received request. */
 void wb_http_listener_close_idle(wb_http_listener_t *listener);
 /** @return number of connections with a running or partly received request, or unsent output */
-unsigned wb_http_listener_busy(const wb_http_listener_t *listener);
+unsigned wb_http_listener_active_count(const wb_http_listener_t *listener);
 /** Close all connections, also those with running requests (on_client_closed is called), and free.
  */
 void wb_http_listener_close(wb_http_listener_t *listener);
@@ -65,7 +65,7 @@
  * Send the complete response to the running request.
  * @param headers header lines, each ended by CR LF, without Content-Length; may be empty
  */
-void wb_http_connection_answer(wb_http_connection_t *connection, unsigned status,
+void wb_http_connection_reply(wb_http_connection_t *connection, unsigned status,
                                const char *reason, const char *headers, const void *body,
                                size_t length);
 /** Begin a response of unknown length; it is sent in chunks. */
@@ -83,6 +83,6 @@
 int64_t wb_http_connection_request_began_ms(const wb_http_connection_t *connection);
 
 /** @return the standard reason phrase of a status */
-const char *wb_http_reason(unsigned status);
+const char *wb_http_status_reason(unsigned status);
 
 #endif
--- a/include/wickbridge/http_peer.h
+++ b/include/wickbridge/http_pool.h
@@ -1,22 +1,22 @@
 /**
- * @file http_peer.h
+ * @file http_pool.h
  * @brief HTTP client for short calls to one address, over a small pool of keep-alive connections.
  *
  * Responses are collected in memory. Each connection carries one call at a time. Times are in
  * milliseconds. Failures are reported as a wb_http_outcome_t. Loop thread only.
  */
-#ifndef WICKBRIDGE_HTTP_PEER_H
-#define WICKBRIDGE_HTTP_PEER_H
+#ifndef WICKBRIDGE_HTTP_POOL_H
+#define WICKBRIDGE_HTTP_POOL_H
 
 #include "wickbridge/http_reader.h"
 #include "wickbridge/loop.h"
 
-typedef struct wb_http_peer_t wb_http_peer_t;
+typedef struct wb_http_pool_t wb_http_pool_t;
 typedef struct wb_http_call_t wb_http_call_t;
 
 /** Outcome of a call. */
 typedef enum wb_http_outcome_t {
-    WB_HTTP_ANSWERED, /**< a complete response arrived */
+    WB_HTTP_COMPLETED, /**< a complete response arrived */
     WB_HTTP_NOT_SENT, /**< no byte of the request was sent */
     WB_HTTP_UNKNOWN /**< sent without a complete response: it may have taken effect, or may later */
 } wb_http_outcome_t;
@@ -31,7 +31,7 @@
 
 typedef void (*wb_http_result_fn)(const wb_http_result_t *result, void *context);
 
-/** A call. Strings need to live only during wb_http_peer_call. */
+/** A call. Strings need to live only during wb_http_pool_call. */
 typedef struct wb_http_request_t {
     const char *method;
     const char *target;
@@ -48,7 +48,7 @@
     gboolean (*may_send)(void *context);
     /** Called with the response's head, before on_result. May be NULL. */
     void (*on_head)(const wb_http_head_t *head, void *context);
-    wb_http_result_fn on_result; /**< called once, never from inside wb_http_peer_call */
+    wb_http_result_fn on_result; /**< called once, never from inside wb_http_pool_call */
     void *context;
 } wb_http_request_t;
 
@@ -58,11 +58,11 @@
  * @param connect_timeout_ms timeout of a connection attempt
  * @param silence_limit_ms   max time for which sent bytes may stay unacknowledged
  */
-wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
+wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms);
 /** Close all connections and free. Calls under way end without on_result. */
-void wb_http_peer_free(wb_http_peer_t *peer);
+void wb_http_pool_free(wb_http_pool_t *peer);
 /** Start a call. on_result reports its outcome. */
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request);
+void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request);
 
 #endif
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -31,8 +31,8 @@
     gboolean released;
     unsigned recent_loads; /**< recently started loads from the weight store, for a successor */
     /* Engines that may have been ordered recently: */
-    gboolean grants_known; /**< FALSE: this copy of the row doesn't contain the lists */
-    gboolean any_granted;  /**< any engine may have been ordered; the lists are empty */
+    gboolean has_grants; /**< FALSE: this copy of the row doesn't contain the lists */
+    gboolean grants_unlisted;  /**< any engine may have been ordered; the lists are empty */
     char **granted;        /**< engines ordered by this holder */
     guint granted_count;
     char **inherited; /**< engines ordered by earlier holders */
--- a/include/wickbridge/link.h
+++ b/include/wickbridge/link.h
@@ -74,7 +74,7 @@
 void wb_link_close(wb_link_t *link);
 
 /** Close the link from the loop soon; on_close will run. Safe from any callback. */
-void wb_link_break(wb_link_t *link, const char *reason);
+void wb_link_close_later(wb_link_t *link, const char *reason);
 
 /** Attach a pointer for the owner's use. */
 void wb_link_set_data(wb_link_t *link, void *data);
--- a/include/wickbridge/loop.h
+++ b/include/wickbridge/loop.h
@@ -58,7 +58,7 @@
 /** Watch a socket, which must stay open until wb_watch_remove. @param events bit set to wait for */
 wb_watch_t *wb_loop_watch(wb_loop_t *loop, apr_socket_t *socket, int16_t events,
                           wb_watch_fn callback, void *context);
-void wb_watch_change(wb_watch_t *watch, int16_t events);
+void wb_watch_set_events(wb_watch_t *watch, int16_t events);
 void wb_watch_remove(wb_watch_t *watch);
 
 /** @return the monotonic time in milliseconds, which also advances while the machine is suspended
--- a/include/wickbridge/membership.h
+++ b/include/wickbridge/membership.h
@@ -50,7 +50,7 @@
 void wb_membership_link_up(wb_membership_t *membership, const char *node, gboolean overlay);
 /** Handle wb_peers_events_t.on_down: a neighbour becomes suspected. */
 void wb_membership_link_down(wb_membership_t *membership, const char *node);
-/** Handle wb_peers_events_t.on_replaced: the process of `node` has ended. */
+/** Handle wb_peers_events_t.on_address_reused: the process of `node` has ended. */
 void wb_membership_replaced(wb_membership_t *membership, const char *node);
 
 /** The platform has permanently removed a machine. */
--- a/include/wickbridge/message.h
+++ b/include/wickbridge/message.h
@@ -32,7 +32,7 @@
                                                wb_error_t *error);
 /** Like wb_message_decode; the bytes after the message are decoded as extensions. @param parts free
  * it with wb_extensions_clear */
-apr_status_t wb_message_decode_parts(const void *data, size_t length, wb_wire_message *message,
+apr_status_t wb_message_decode_with_extensions(const void *data, size_t length, wb_wire_message *message,
                                      wb_wire_extensions *parts, wb_error_t *error);
 /** @return TRUE if the bytes begin with a message kind that this build doesn't know. A newer build
  * sent it, and it must be ignored. */
@@ -41,7 +41,7 @@
 /** Free decoded or added extensions. */
 void wb_extensions_clear(wb_wire_extensions *parts);
 /** @return the extension of a kind, or NULL; owned by `parts` */
-const wb_wire_extension *wb_parts_find(const wb_wire_extensions *parts,
+const wb_wire_extension *wb_extensions_find(const wb_wire_extensions *parts,
                                        wb_wire_extension_kind kind);
 /** Append an extension. @param encode XDR routine of `value` @return FALSE if `value` exceeds its
  * bounds */
--- a/include/wickbridge/node.h
+++ b/include/wickbridge/node.h
@@ -99,6 +99,6 @@
 
 /** Check whether clients can be served, and update the gateway (wb_gateway_set_ready). On the
  * loop's thread. */
-gboolean wb_node_is_ready(wb_node_t *node);
+gboolean wb_node_update_ready(wb_node_t *node);
 
 #endif
--- a/include/wickbridge/peers.h
+++ b/include/wickbridge/peers.h
@@ -32,7 +32,7 @@
     void (*on_down)(const char *node, const char *reason, void *context);
     void (*on_message)(const char *node, const wb_wire_message *message, void *context);
     /** `node` answered the handshake at the address of `expected`. */
-    void (*on_replaced)(const char *expected, const char *node, void *context);
+    void (*on_address_reused)(const char *expected, const char *node, void *context);
     void *context;
 } wb_peers_events_t;
 
@@ -47,7 +47,7 @@
 gboolean wb_peers_send(wb_peers_t *peers, const char *node, const wb_wire_message *message);
 
 /** Send over an existing link only. @return FALSE if there is none */
-gboolean wb_peers_send_open(wb_peers_t *peers, const char *node, const wb_wire_message *message);
+gboolean wb_peers_send_if_connected(wb_peers_t *peers, const char *node, const wb_wire_message *message);
 
 /** Open a link unless there is one. @param overlay make it an overlay link */
 void wb_peers_connect(wb_peers_t *peers, const char *node, gboolean overlay);
@@ -56,7 +56,7 @@
 void wb_peers_connect_address(wb_peers_t *peers, const char *address);
 
 /** @return names (char *) of the nodes with an overlay link; owned by the caller */
-GPtrArray *wb_peers_overlay(wb_peers_t *peers);
+GPtrArray *wb_peers_overlay_nodes(wb_peers_t *peers);
 
 /** @return when the last message arrived from the node; 0 if there is no link to it */
 int64_t wb_peers_last_received_ms(wb_peers_t *peers, const char *node);
@@ -65,12 +65,12 @@
 void wb_peers_release_overlay(wb_peers_t *peers, const char *node);
 
 /** Close the links to a node, if any; on_down follows. */
-void wb_peers_drop(wb_peers_t *peers, const char *node, const char *reason);
+void wb_peers_disconnect(wb_peers_t *peers, const char *node, const char *reason);
 
 /** Close links, other than overlay links, that were not used for `idle_ms`. */
 void wb_peers_close_idle(wb_peers_t *peers, int64_t idle_ms);
 
 const wb_link_counters_t *wb_peers_counters(const wb_peers_t *peers);
-unsigned wb_peers_open_links(const wb_peers_t *peers);
+unsigned wb_peers_link_count(const wb_peers_t *peers);
 
 #endif
--- a/include/wickbridge/platform.h
+++ b/include/wickbridge/platform.h
@@ -39,15 +39,15 @@
                           wb_platform_done_fn done, void *context);
 /** @return a check for wb_platform_transact. @param version that the row must have; 0: it must not
  * exist */
-json_t *wb_platform_check(const char *key, int64_t version);
+json_t *wb_platform_make_check(const char *key, int64_t version);
 /** @return a write for wb_platform_transact. @param value taken over; NULL deletes the row */
-json_t *wb_platform_write(const char *key, json_t *value);
+json_t *wb_platform_make_write(const char *key, json_t *value);
 
 /** Read a row: {"key", "version", "value"}, with version 0 if it doesn't exist. */
-void wb_platform_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
+void wb_platform_read_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
                      void *context);
 /** Read rows by prefix: {"rows": [...]}. */
-void wb_platform_scan(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
+void wb_platform_scan_rows(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
                       void *context);
 /** Write an object. @param body its content; the reference isn't taken */
 void wb_platform_object_put(wb_platform_t *platform, const char *name, const json_t *body,
@@ -55,7 +55,7 @@
 void wb_platform_object_get(wb_platform_t *platform, const char *name, wb_platform_done_fn done,
                             void *context);
 /** Read the machine list. The response has no "machines" if the version is still `after`. */
-void wb_platform_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
+void wb_platform_list_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
                           void *context);
 
 /** @return number of operations sent to the table service so far, for metrics */
--- a/include/wickbridge/policy.h
+++ b/include/wickbridge/policy.h
@@ -21,7 +21,7 @@
 /** Max memory of a program. */
 #define WB_POLICY_MEMORY_LIMIT_BYTES (1024 * 1024)
 /** Max result of either function. */
-#define WB_POLICY_MOST_MS (7 * 86400000LL)
+#define WB_POLICY_MAX_MS (7 * 86400000LL)
 
 typedef struct wb_policy_program_t wb_policy_program_t;
 
@@ -51,11 +51,11 @@
 } wb_policy_engine_t;
 
 /** Result of a call to a policy. */
-typedef enum wb_policy_answer_t {
-    WB_POLICY_ANSWERED,
+typedef enum wb_policy_result_t {
+    WB_POLICY_OK,
     WB_POLICY_UNDEFINED, /**< the program doesn't define the function: the built-in rule applies */
     WB_POLICY_FAILED     /**< error, limit exceeded, or invalid result */
-} wb_policy_answer_t;
+} wb_policy_result_t;
 
 /** Compile a program and test it once. @return APR_SUCCESS, or APR_EINVAL with the reason in
  * `error` */
@@ -63,12 +63,12 @@
                                wb_error_t *error);
 void wb_policy_free(wb_policy_program_t *program);
 
-/** Call keep_alive_ms. @param keep_alive_ms out, if WB_POLICY_ANSWERED */
-wb_policy_answer_t wb_policy_keep_alive(wb_policy_program_t *program,
+/** Call keep_alive_ms. @param keep_alive_ms out, if WB_POLICY_OK */
+wb_policy_result_t wb_policy_keep_alive(wb_policy_program_t *program,
                                         const wb_policy_model_t *model, int64_t *keep_alive_ms,
                                         wb_error_t *error);
-/** Call placement_cost_ms. @param cost_ms out, if WB_POLICY_ANSWERED */
-wb_policy_answer_t wb_policy_placement_cost(wb_policy_program_t *program,
+/** Call placement_cost_ms. @param cost_ms out, if WB_POLICY_OK */
+wb_policy_result_t wb_policy_placement_cost(wb_policy_program_t *program,
                                             const wb_policy_model_t *model,
                                             const wb_policy_engine_t *engine, int64_t *cost_ms,
                                             wb_error_t *error);
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -38,11 +38,11 @@
     char *engine;
     char *address;
     char *zone;
-    unsigned state; /**< wb_machine_state_t; never WB_MACHINE_GONE, such engines are removed */
+    unsigned state; /**< wb_machine_state_t; never WB_MACHINE_REMOVED, such engines are removed */
 } wb_record_engine_t;
 
-/** wb_record_engine_t.state of an engine to remove; equals WB_MACHINE_GONE. */
-#define WB_RECORD_ENGINE_GONE 2
+/** wb_record_engine_t.state of an engine to remove; equals WB_MACHINE_REMOVED. */
+#define WB_RECORD_ENGINE_REMOVED 2
 
 typedef struct wb_record_t {
     uint64_t generation;
@@ -50,9 +50,9 @@
     GPtrArray *slots;        /**< wb_slot_t * */
     GHashTable *engines;     /**< id -> wb_record_engine_t * */
     GHashTable *claims;      /**< "model\nkey" -> wb_claim_t * */
-    int64_t unsure_until_ms; /**< until then, claims from before the loss of a majority may be
+    int64_t claims_incomplete_until_ms; /**< until then, claims from before the loss of a majority may be
                                 missing */
-    gboolean slots_unsure;   /**< slots may be missing after the loss of a majority, until the
+    gboolean slots_unverified;   /**< slots may be missing after the loss of a majority, until the
                                 inventories of all engines were received */
 } wb_record_t;
 
@@ -79,22 +79,22 @@
     WB_CLAIM_TAKEN,    /**< another attempt ran or may still run */
     WB_CLAIM_DONE,     /**< the response of the first run is known */
     WB_CLAIM_MISMATCH, /**< the key was used for a different request */
-    WB_CLAIM_UNSURE    /**< the record may have lost the key's claim */
+    WB_CLAIM_UNVERIFIED    /**< the record may have lost the key's claim */
 } wb_claim_decision_t;
 
 /** Decide on a claim. @param want must have a stream: it asks to run, not only to look the key up
  */
-wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_want *want,
+wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_request *want,
                                     int64_t now_ms);
 
 /** Fill in the command that claims a key for a request. It borrows the strings of `want`. */
-void wb_claim_command(const wb_wire_claim_want *want, uint64_t attempt, wb_wire_command *command);
+void wb_claim_fill_command(const wb_wire_claim_request *want, uint64_t attempt, wb_wire_command *command);
 
 /** Retention of responses in claims; the claims themselves are kept longer. */
-#define WB_CLAIM_ANSWER_KEEP_MS 60000
+#define WB_CLAIM_RESPONSE_RETENTION_MS 60000
 
-/** Remove claims older than `retention_ms`, and responses older than WB_CLAIM_ANSWER_KEEP_MS, so
+/** Remove claims older than `retention_ms`, and responses older than WB_CLAIM_RESPONSE_RETENTION_MS, so
  * that a record with many claims still fits into a message. */
-void wb_record_expire(wb_record_t *record, int64_t now_ms, int64_t retention_ms);
+void wb_record_expire_claims(wb_record_t *record, int64_t now_ms, int64_t retention_ms);
 
 #endif
--- a/include/wickbridge/settings.h
+++ b/include/wickbridge/settings.h
@@ -64,7 +64,7 @@
                                    const void *right);
 
 /** Write the table as a Markdown section. */
-void wb_settings_document(const wb_settings_table_t *table, FILE *file);
+void wb_settings_print_markdown(const wb_settings_table_t *table, FILE *file);
 
 /** @return nonzero if the text is IP:PORT with a numeric IPv4 address */
 int wb_address_is_valid(const char *text);
--- a/include/wickbridge/tcp_stream.h
+++ b/include/wickbridge/tcp_stream.h
@@ -17,19 +17,19 @@
 typedef struct wb_tcp_listener_t wb_tcp_listener_t;
 
 /** How a connection ended. */
-typedef enum wb_tcp_end_t {
+typedef enum wb_tcp_end_reason_t {
     WB_TCP_END_UNREACHABLE, /**< never connected, nothing was sent: timeout or unreachable */
     WB_TCP_END_REFUSED,     /**< never connected, nothing was sent: connection refused */
     WB_TCP_END_CLOSED,      /**< closed normally by the peer */
     WB_TCP_END_RESET        /**< reset, or the peer stopped acknowledging */
-} wb_tcp_end_t;
+} wb_tcp_end_reason_t;
 
 typedef struct wb_tcp_events_t {
     /** Connected; not called for accepted connections. May be NULL. */
     void (*on_open)(wb_tcp_stream_t *stream, void *context);
     void (*on_data)(wb_tcp_stream_t *stream, const char *data, size_t length, void *context);
     /** The connection has ended; the callee must still call wb_tcp_stream_close. */
-    void (*on_end)(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context);
+    void (*on_end)(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context);
     /** All buffered output was handed to the system. May be NULL. */
     void (*on_drained)(wb_tcp_stream_t *stream, void *context);
 } wb_tcp_events_t;
--- a/include/wickbridge/tls.h
+++ b/include/wickbridge/tls.h
@@ -3,7 +3,7 @@
  * @brief Mutual TLS on links between nodes, with GnuTLS: both sides must present a certificate
  * signed by the configured authority.
  *
- * Steps of a session never block. Failures are WB_TLS_FAILED, described by wb_tls_session_failure.
+ * Steps of a session never block. Failures are WB_TLS_FAILED, described by wb_tls_session_error.
  * Threads: a context is read-only once created; a session is used on its link's loop only.
  */
 #ifndef WICKBRIDGE_TLS_H
@@ -45,6 +45,6 @@
 wb_tls_step_t wb_tls_session_receive(wb_tls_session_t *session, char *data, gsize *length);
 
 /** @return one line that describes the last failure */
-const char *wb_tls_session_failure(const wb_tls_session_t *session);
+const char *wb_tls_session_error(const wb_tls_session_t *session);
 
 #endif
--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -91,7 +91,7 @@
     line_append(kind, members);
 }
 
-const char *wb_event_text(const char *text) {
+const char *wb_event_escape(const char *text) {
     static char buffers[TEXT_BUFFERS][TEXT_BYTES];
     static unsigned next;
     char *buffer = buffers[next++ % TEXT_BUFFERS];
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -147,7 +147,7 @@
     if (key == FLAG_KEY_SETTINGS)
         parse->file = argument;
     else if (key == FLAG_KEY_DOCUMENT) {
-        wb_settings_document(parse->table, stdout);
+        wb_settings_print_markdown(parse->table, stdout);
         exit(0);
     } else if (key >= FLAG_KEY_BASE && (size_t)(key - FLAG_KEY_BASE) < parse->table->count)
         parse->flag_values[key - FLAG_KEY_BASE] = argument;
@@ -252,7 +252,7 @@
     return differ;
 }
 
-void wb_settings_document(const wb_settings_table_t *table, FILE *file) {
+void wb_settings_print_markdown(const wb_settings_table_t *table, FILE *file) {
     static const char *const type_names[] = {"text", "address", "integer", "number", "boolean"};
     fprintf(file, "## %s\n\n%s\n\n", table->program, table->purpose);
     fprintf(file,
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -114,7 +114,7 @@
 /* Lets the next owner know without a machine list. */
 static void engine_record(wb_cell_t *cell, const cell_engine_t *engine) {
     const wb_record_engine_t *known = g_hash_table_lookup(cell->record->engines, engine->id);
-    gboolean gone = engine->machine == WB_MACHINE_GONE;
+    gboolean gone = engine->machine == WB_MACHINE_REMOVED;
     if (known == NULL ? gone : known->state == (unsigned)engine->machine)
         return;
     wb_wire_command command = {.kind = WB_WIRE_COMMAND_ENGINE};
@@ -126,18 +126,18 @@
     cell->events.propose(&command, cell->events.context);
 }
 
-void wb_cell_machine(wb_cell_t *cell, const char *id, const char *address, const char *zone,
+void wb_cell_set_machine(wb_cell_t *cell, const char *id, const char *address, const char *zone,
                      wb_machine_state_t state, int64_t now_ms) {
     cell_engine_t *engine = engine_get(cell, id, address, zone, now_ms);
     engine->machine = MAX(engine->machine, state); /* a leaving machine never comes back */
     engine_record(cell, engine);
 }
 
-void wb_cell_machines_known(wb_cell_t *cell) {
+void wb_cell_set_machines_known(wb_cell_t *cell) {
     cell->machines_known = TRUE;
 }
 
-void wb_cell_committed(wb_cell_t *cell, uint64_t sequence) {
+void wb_cell_set_committed(wb_cell_t *cell, uint64_t sequence) {
     cell->committed = MAX(cell->committed, sequence);
 }
 
@@ -186,7 +186,7 @@
 }
 
 gboolean cell_engine_is_orderable(const cell_engine_t *engine, int64_t now_ms) {
-    return engine->machine != WB_MACHINE_GONE && engine->fenced && engine->settled &&
+    return engine->machine != WB_MACHINE_REMOVED && engine->fenced && engine->settled &&
            engine->reachable && !engine->ordering && engine->inventory != NULL &&
            now_ms >= engine->retry_at_ms;
 }
@@ -230,7 +230,7 @@
     if (inventory != NULL)
         inventory_take(cell, engine, inventory, now_ms);
     switch (outcome) {
-    case WB_ORDER_TAKEN:
+    case WB_ORDER_ACCEPTED:
         engine->fenced = TRUE;
         engine->settled = TRUE;
         engine->ordered_bytes = 0;
@@ -247,14 +247,14 @@
         engine->settled = FALSE;
         engine->retry_at_ms = now_ms + ORDER_RETRY_MS;
         break;
-    case WB_ORDER_LOST:
+    case WB_ORDER_NO_RESPONSE:
         engine->settled = FALSE;
         engine->retry_at_ms = now_ms + ORDER_RETRY_MS;
         break;
     }
 }
 
-void wb_cell_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms) {
+void wb_cell_update_inventory(wb_cell_t *cell, wb_inventory_t *inventory, int64_t now_ms) {
     cell_engine_t *engine = g_hash_table_lookup(cell->engines, inventory->engine);
     if (engine == NULL || engine->inventory == NULL) {
         wb_inventory_free(inventory);
@@ -263,13 +263,13 @@
     inventory_take(cell, engine, inventory, now_ms);
 }
 
-void wb_cell_engine_reachable(wb_cell_t *cell, const char *id, gboolean reachable) {
+void wb_cell_set_engine_reachable(wb_cell_t *cell, const char *id, gboolean reachable) {
     cell_engine_t *engine = g_hash_table_lookup(cell->engines, id);
     if (engine != NULL)
         engine->reachable = reachable;
 }
 
-void wb_cell_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms) {
+void wb_cell_update_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms) {
     char pair[CELL_PAIR_SIZE];
     cell_pair(pair, demand->model, demand->adapter);
     cell_target_t *target = g_hash_table_lookup(cell->targets, pair);
@@ -298,7 +298,7 @@
     cell_route_show_to(cell, target, gateway, TRUE, now_ms);
 }
 
-void wb_cell_gateway_gone(wb_cell_t *cell, const char *node) {
+void wb_cell_remove_gateway(wb_cell_t *cell, const char *node) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, cell->targets);
@@ -306,7 +306,7 @@
         g_hash_table_remove(((cell_target_t *)value)->gateways, node);
 }
 
-void wb_cell_engines_each(const wb_cell_t *cell,
+void wb_cell_each_engine(const wb_cell_t *cell,
                           void (*visit)(const char *engine, const char *address, void *context),
                           void *context) {
     GHashTableIter iterator;
@@ -314,7 +314,7 @@
     g_hash_table_iter_init(&iterator, cell->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const cell_engine_t *engine = value;
-        if (engine->machine != WB_MACHINE_GONE)
+        if (engine->machine != WB_MACHINE_REMOVED)
             visit(engine->id, engine->address, context);
     }
 }
--- a/src/cell/cell_balance.c
+++ b/src/cell/cell_balance.c
@@ -47,7 +47,7 @@
     if (host->leaving || now_ms < host->balance_next_ms)
         return;
     host->balance_next_ms = now_ms + BALANCE_INTERVAL_MS;
-    guint own = wb_cell_host_owned(host);
+    guint own = wb_cell_host_owned_count(host);
     if (own < WORTH_MOVING)
         return;
     g_autoptr(GHashTable) counts = owned_count(host);
--- a/src/cell/cell_founding.c
+++ b/src/cell/cell_bootstrap.c
@@ -61,10 +61,10 @@
 static void row_write(founding_t *founding, int64_t row_version, wb_platform_done_fn done) {
     g_autofree char *key = row_key(founding->cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(key, row_version));
+    json_array_append_new(checks, wb_platform_make_check(key, row_version));
     json_t *writes = json_array();
     json_array_append_new(writes,
-                          wb_platform_write(key, row_describe(founding->generation, founding->era,
+                          wb_platform_make_write(key, row_describe(founding->generation, founding->era,
                                                               founding->members)));
     wb_platform_transact(founding->host->parts.platform, checks, writes, done, founding);
 }
@@ -105,12 +105,12 @@
         wb_record_wire_clear(&wire);
     }
     if (founding->again) {
-        record->slots_unsure = TRUE;
-        record->unsure_until_ms = now_ms + founding->host->options.claim_retention_ms;
+        record->slots_unverified = TRUE;
+        record->claims_incomplete_until_ms = now_ms + founding->host->options.claim_retention_ms;
     }
     wb_log_message(WB_LOG_CELL, "Cell %s is founded%s by this node at epoch %" G_GUINT64_FORMAT ".",
                    hosted->name, founding->again ? " again" : "", (guint64)epoch);
-    wb_group_found(group, record, founding->members, founding->generation, epoch, now_ms);
+    wb_group_bootstrap(group, record, founding->members, founding->generation, epoch, now_ms);
 }
 
 static void founding_read_back(wb_platform_status_t status, const json_t *body, void *context) {
@@ -127,7 +127,7 @@
     founding_t *founding = context;
     if (status == WB_PLATFORM_UNKNOWN) {
         g_autofree char *key = row_key(founding->cell);
-        wb_platform_row(founding->host->parts.platform, key, founding_read_back, founding);
+        wb_platform_read_row(founding->host->parts.platform, key, founding_read_back, founding);
         return;
     }
     if (status == WB_PLATFORM_DONE)
@@ -188,7 +188,7 @@
     hosted_cell_t *hosted = cell_host_find(host, founding->cell);
     /* A survivor promises the new era to itself before it writes the row. */
     if (self_in && hosted->group != NULL)
-        wb_group_yield(hosted->group, founding->era << WB_GROUP_ERA_SHIFT);
+        wb_group_promise_epoch(hosted->group, founding->era << WB_GROUP_ERA_SHIFT);
     members_choose(host, founding->cell, founding->members);
     row_write(founding, founding->row_version, founding_written);
 }
@@ -223,7 +223,7 @@
         return;
     }
     founding->row_members = json_deep_copy(members);
-    wb_platform_machines(host->parts.platform, NO_VERSION, founding_machines_read, founding);
+    wb_platform_list_machines(host->parts.platform, NO_VERSION, founding_machines_read, founding);
 }
 
 /* How many better candidates for founding there are. */
@@ -263,7 +263,7 @@
     hosted->orphan_since_ms = now_ms - patience_ms + RANK_DELAY_MS; /* the next try */
     founding_t *founding = founding_create(hosted);
     g_autofree char *key = row_key(hosted->name);
-    wb_platform_row(host->parts.platform, key, founding_row_read, founding);
+    wb_platform_read_row(host->parts.platform, key, founding_row_read, founding);
 }
 
 /* The members of the row, as agreed by the table service: now the group's turn. */
@@ -295,7 +295,7 @@
     founding_t *founding = context;
     if (status == WB_PLATFORM_UNKNOWN) {
         g_autofree char *key = row_key(founding->cell);
-        wb_platform_row(founding->host->parts.platform, key, members_read_back, founding);
+        wb_platform_read_row(founding->host->parts.platform, key, members_read_back, founding);
         return;
     }
     if (status == WB_PLATFORM_DONE)
@@ -371,5 +371,5 @@
     for (guint i = 0; i < next->len; i++)
         g_ptr_array_add(founding->members, g_strdup(next->pdata[i]));
     g_autofree char *key = row_key(hosted->name);
-    wb_platform_row(hosted->host->parts.platform, key, members_row_read, founding);
+    wb_platform_read_row(hosted->host->parts.platform, key, members_row_read, founding);
 }
--- a/src/cell/cell_claims.c
+++ b/src/cell/cell_claims.c
@@ -7,8 +7,8 @@
 
 static void show_send(wb_cell_host_t *host, const char *node, uint64_t request,
                       wb_wire_claim_state state, const wb_claim_t *claim, const char *reason) {
-    wb_wire_message message = {.kind = WB_WIRE_CLAIM_SHOW};
-    wb_wire_claim_show *show = &message.wb_wire_message_u.claim_show;
+    wb_wire_message message = {.kind = WB_WIRE_CLAIM_RESPONSE};
+    wb_wire_claim_response *show = &message.wb_wire_message_u.claim_response;
     show->request = request;
     show->state = state;
     show->reason = (char *)reason;
@@ -34,10 +34,10 @@
     g_free(wait);
 }
 
-static void claim_propose(hosted_cell_t *hosted, const char *node, const wb_wire_claim_want *want,
+static void claim_propose(hosted_cell_t *hosted, const char *node, const wb_wire_claim_request *want,
                           uint64_t attempt) {
     wb_wire_command command;
-    wb_claim_command(want, attempt, &command);
+    wb_claim_fill_command(want, attempt, &command);
     claim_wait_t *wait = g_new0(claim_wait_t, 1);
     wait->node = g_strdup(node);
     wait->request = want->request;
@@ -62,7 +62,7 @@
                   claim, "");
 }
 
-void cell_claim_want(wb_cell_host_t *host, const char *node, const wb_wire_claim_want *want) {
+void cell_claim_want(wb_cell_host_t *host, const char *node, const wb_wire_claim_request *want) {
     hosted_cell_t *hosted = cell_host_find_model(host, want->model);
     int64_t now_ms = wb_clock_ms();
     if (hosted == NULL || hosted->cell == NULL) {
@@ -80,7 +80,7 @@
         return;
     }
     switch (wb_claim_decide(record, want, now_ms)) {
-    case WB_CLAIM_UNSURE:
+    case WB_CLAIM_UNVERIFIED:
         refuse(host, node, want->request, "earlier runs may have been forgotten");
         break;
     case WB_CLAIM_PROPOSE:
--- a/src/cell/cell_explain.c
+++ b/src/cell/cell_explain.c
@@ -30,7 +30,7 @@
     cell_busy_t busy = cell_model_busy(cell, model);
     return json_pack(
         "{s:s, s:s, s:I, s:b, s:i, s:i, s:i, s:I, s:I, s:o}", "model", model, "cell", cell->name,
-        "epoch", (json_int_t)cell->epoch, "record_is_sure", !cell->record->slots_unsure, "slots",
+        "epoch", (json_int_t)cell->epoch, "record_is_sure", !cell->record->slots_unverified, "slots",
         (int)wb_record_slot_count(cell->record, model), "waiting", busy.waiting, "running",
         busy.running, "idle_ms", (json_int_t)(busy.used_ms > 0 ? now_ms - busy.used_ms : -1),
         "wake_estimate_ms", (json_int_t)cell_wake_estimate_ms(cell, model, now_ms), "engines",
--- a/src/cell/cell_host.c
+++ b/src/cell/cell_host.c
@@ -40,10 +40,10 @@
 
 static void cell_show(const char *node, const wb_route_t *route, void *context) {
     hosted_cell_t *hosted = context;
-    wb_wire_message message = {.kind = WB_WIRE_ROUTE_SHOW};
-    wb_wire_route_show *show = &message.wb_wire_message_u.route_show;
-    static const wb_wire_route_state states[] = {WB_WIRE_ROUTE_READY, WB_WIRE_ROUTE_WAKING,
-                                                 WB_WIRE_ROUTE_REFUSED, WB_WIRE_ROUTE_BUSY};
+    wb_wire_message message = {.kind = WB_WIRE_ROUTE_UPDATE};
+    wb_wire_route_update *show = &message.wb_wire_message_u.route_update;
+    static const wb_wire_route_state states[] = {WB_WIRE_ROUTE_READY, WB_WIRE_ROUTE_LOADING,
+                                                 WB_WIRE_ROUTE_UNAVAILABLE, WB_WIRE_ROUTE_BUSY};
     show->model = (char *)route->model;
     show->adapter = (char *)route->adapter;
     show->state = states[route->state];
@@ -73,13 +73,13 @@
 static void engine_inventory(wb_inventory_t *inventory, void *context) {
     hosted_cell_t *hosted = context;
     int64_t now_ms = wb_clock_ms();
-    wb_cell_inventory(hosted->cell, inventory, now_ms);
+    wb_cell_update_inventory(hosted->cell, inventory, now_ms);
     wb_cell_step(hosted->cell, now_ms);
 }
 
 static void engine_reachable(const char *engine, gboolean reachable, void *context) {
     hosted_cell_t *hosted = context;
-    wb_cell_engine_reachable(hosted->cell, engine, reachable);
+    wb_cell_set_engine_reachable(hosted->cell, engine, reachable);
     wb_cell_step(hosted->cell, wb_clock_ms());
 }
 
@@ -104,15 +104,15 @@
                                               &engine_events);
     wb_cell_options_t cell_options = {
         .name = hosted->name,
-        .remote_loads_at_once = MAX(options->weight_loads_at_once / (int64_t)MAX(cells->len, 1), 1),
+        .max_remote_loads = MAX(options->weight_loads_at_once / (int64_t)MAX(cells->len, 1), 1),
         .remote_ms_per_gib = 250,
         .disk_ms_per_gib = 120,
         .memory_ms_per_gib = 30};
     wb_cell_events_t cell_events = {cell_propose, cell_order, cell_show, hosted};
     hosted->cell = wb_cell_create(&cell_options, wb_group_record(hosted->group), epoch,
                                   &cell_events, wb_clock_ms());
-    wb_cell_committed(hosted->cell, wb_group_committed(hosted->group));
-    wb_cell_engines_each(hosted->cell, engine_follow, hosted);
+    wb_cell_set_committed(hosted->cell, wb_group_committed(hosted->group));
+    wb_cell_each_engine(hosted->cell, engine_follow, hosted);
     wb_cell_set_config(hosted->cell, config);
     hosted->machines_version = 0;
     hosted->machines_next_ms = 0;
@@ -162,7 +162,7 @@
     hosted_cell_t *hosted = context;
     if (hosted->cell == NULL)
         return;
-    wb_cell_committed(hosted->cell, sequence);
+    wb_cell_set_committed(hosted->cell, sequence);
     cell_claims_committed(hosted, sequence);
     step_soon(hosted);
 }
@@ -217,7 +217,7 @@
     if (hosted->group != NULL && wb_group_record(hosted->group) != NULL &&
         now_ms >= hosted->expire_next_ms) {
         hosted->expire_next_ms = now_ms + EXPIRE_INTERVAL_MS;
-        wb_record_expire(wb_group_record(hosted->group), now_ms,
+        wb_record_expire_claims(wb_group_record(hosted->group), now_ms,
                          hosted->host->options.claim_retention_ms);
     }
 }
@@ -249,7 +249,7 @@
     g_free(host);
 }
 
-void wb_cell_host_config(wb_cell_host_t *host, wb_config_t *config) {
+void wb_cell_host_set_config(wb_cell_host_t *host, wb_config_t *config) {
     g_autoptr(GPtrArray) cells = wb_config_cells(config);
     for (guint i = 0; i < cells->len; i++)
         hosted_get(host, cells->pdata[i]);
@@ -266,7 +266,7 @@
     }
 }
 
-static void route_want(wb_cell_host_t *host, const char *node, const wb_wire_route_want *want) {
+static void route_subscribe(wb_cell_host_t *host, const char *node, const wb_wire_route_subscribe *want) {
     hosted_cell_t *hosted = cell_host_find_model(host, want->model);
     if (hosted != NULL && hosted->cell != NULL) {
         wb_demand_t demand = {node,
@@ -275,11 +275,11 @@
                               (int)MIN(want->waiting, G_MAXINT32),
                               (int)MIN(want->running, G_MAXINT32),
                               want->earliest_deadline_ms};
-        wb_cell_demand(hosted->cell, &demand, wb_clock_ms());
+        wb_cell_update_demand(hosted->cell, &demand, wb_clock_ms());
         return;
     }
-    wb_wire_message message = {.kind = WB_WIRE_ROUTE_SHOW};
-    wb_wire_route_show *show = &message.wb_wire_message_u.route_show;
+    wb_wire_message message = {.kind = WB_WIRE_ROUTE_UPDATE};
+    wb_wire_route_update *show = &message.wb_wire_message_u.route_update;
     show->model = want->model;
     show->adapter = want->adapter;
     show->state = WB_WIRE_ROUTE_NOT_OWNER;
@@ -296,10 +296,10 @@
         hosted = hosted_get(host, cell);
         cell_host_group(hosted);
     }
-    wb_group_message(hosted->group, node, message, wb_clock_ms());
+    wb_group_on_message(hosted->group, node, message, wb_clock_ms());
 }
 
-gboolean wb_cell_host_message(wb_cell_host_t *host, const char *node,
+gboolean wb_cell_host_on_message(wb_cell_host_t *host, const char *node,
                               const wb_wire_message *message) {
     switch (message->kind) {
     case WB_WIRE_GROUP_STATE:
@@ -322,13 +322,13 @@
             return TRUE; /* the sender tries another member */
         group_message(host, message->wb_wire_message_u.group_hand_over.cell, node, message);
         return TRUE;
-    case WB_WIRE_ROUTE_WANT:
-        route_want(host, node, &message->wb_wire_message_u.route_want);
+    case WB_WIRE_ROUTE_SUBSCRIBE:
+        route_subscribe(host, node, &message->wb_wire_message_u.route_subscribe);
         return TRUE;
-    case WB_WIRE_CLAIM_WANT:
-        cell_claim_want(host, node, &message->wb_wire_message_u.claim_want);
+    case WB_WIRE_CLAIM_REQUEST:
+        cell_claim_want(host, node, &message->wb_wire_message_u.claim_request);
         return TRUE;
-    case WB_WIRE_CLAIM_DONE_NOTE:
+    case WB_WIRE_CLAIM_DONE_NOTICE:
         cell_claim_done(host, &message->wb_wire_message_u.claim_done);
         return TRUE;
     default:
@@ -336,7 +336,7 @@
     }
 }
 
-void wb_cell_host_member(wb_cell_host_t *host, const wb_member_t *member) {
+void wb_cell_host_on_member(wb_cell_host_t *host, const wb_member_t *member) {
     if (member->state != WB_MEMBER_DEAD && member->state != WB_MEMBER_GONE)
         return;
     int64_t now_ms = wb_clock_ms();
@@ -344,9 +344,9 @@
     for (GList *place = cells; place != NULL; place = place->next) {
         hosted_cell_t *hosted = place->data;
         if (hosted->group != NULL)
-            wb_group_owner_down(hosted->group, member->node, now_ms);
+            wb_group_on_owner_down(hosted->group, member->node, now_ms);
         if (hosted->cell != NULL)
-            wb_cell_gateway_gone(hosted->cell, member->node);
+            wb_cell_remove_gateway(hosted->cell, member->node);
     }
 }
 
@@ -371,7 +371,7 @@
     return done;
 }
 
-guint wb_cell_host_owned(const wb_cell_host_t *host) {
+guint wb_cell_host_owned_count(const wb_cell_host_t *host) {
     guint count = 0;
     GHashTableIter iterator;
     gpointer value;
--- a/src/cell/cell_host_types.h
+++ b/src/cell/cell_host_types.h
@@ -48,12 +48,12 @@
 /* cell_balance.c: no node owns many cells while another owns few. */
 void cell_balance_tick(wb_cell_host_t *host, int64_t now_ms);
 
-/* cell_founding.c: rows of the table service. */
+/* cell_bootstrap.c: rows of the table service. */
 void cell_founding_tick(hosted_cell_t *hosted, int64_t now_ms);
 void cell_members_maintain(hosted_cell_t *hosted, int64_t now_ms);
 
 /* cell_claims.c: requests that may not be repeated. */
-void cell_claim_want(wb_cell_host_t *host, const char *node, const wb_wire_claim_want *want);
+void cell_claim_want(wb_cell_host_t *host, const char *node, const wb_wire_claim_request *want);
 void cell_claim_done(wb_cell_host_t *host, const wb_wire_claim_done *done);
 void cell_claims_committed(hosted_cell_t *hosted, uint64_t sequence);
 void cell_claims_drop(hosted_cell_t *hosted);
--- a/src/cell/cell_machines.c
+++ b/src/cell/cell_machines.c
@@ -10,8 +10,8 @@
 static wb_machine_state_t state_parse(const json_t *machine) {
     const char *state = wb_json_text(machine, "state", "live");
     if (strcmp(state, "gone") == 0)
-        return WB_MACHINE_GONE;
-    return strcmp(state, "leaving") == 0 ? WB_MACHINE_LEAVING : WB_MACHINE_LIVE;
+        return WB_MACHINE_REMOVED;
+    return strcmp(state, "leaving") == 0 ? WB_MACHINE_DRAINING : WB_MACHINE_LIVE;
 }
 
 /* An engine belongs to one cell of its service, by its id. */
@@ -28,8 +28,8 @@
     const char *id = wb_json_text(machine, "id", "");
     const char *address = wb_json_text(machine, "address", "");
     wb_machine_state_t state = state_parse(machine);
-    wb_cell_machine(hosted->cell, id, address, wb_json_text(machine, "zone", ""), state, now_ms);
-    if (state == WB_MACHINE_GONE)
+    wb_cell_set_machine(hosted->cell, id, address, wb_json_text(machine, "zone", ""), state, now_ms);
+    if (state == WB_MACHINE_REMOVED)
         wb_engine_client_unfollow(hosted->engines, id);
     else
         wb_engine_client_follow(hosted->engines, id, address);
@@ -43,7 +43,7 @@
     json_t *machine;
     json_array_foreach(machines, index, machine) {
         const char *role = wb_json_text(machine, "role", "");
-        if (strcmp(role, "node") == 0 && state_parse(machine) == WB_MACHINE_GONE)
+        if (strcmp(role, "node") == 0 && state_parse(machine) == WB_MACHINE_REMOVED)
             wb_membership_machine_gone(host->parts.membership, wb_json_text(machine, "id", ""));
         else if (hosted->cell != NULL && strcmp(role, "engine") == 0 &&
                  engine_is_ours(hosted, config, machine))
@@ -51,7 +51,7 @@
     }
     if (hosted->cell == NULL)
         return;
-    wb_cell_machines_known(hosted->cell);
+    wb_cell_set_machines_known(hosted->cell);
     wb_cell_step(hosted->cell, now_ms);
 }
 
@@ -84,5 +84,5 @@
     machines_call_t *call = g_new0(machines_call_t, 1);
     call->host = hosted->host;
     call->cell = g_strdup(hosted->name);
-    wb_platform_machines(hosted->host->parts.platform, hosted->machines_version, list_read, call);
+    wb_platform_list_machines(hosted->host->parts.platform, hosted->machines_version, list_read, call);
 }
--- a/src/cell/cell_route.c
+++ b/src/cell/cell_route.c
@@ -90,7 +90,7 @@
         some = some || cell_engine_is_usable(engine);
     }
     if (!some) {
-        *state = WB_ROUTE_REFUSED;
+        *state = WB_ROUTE_UNAVAILABLE;
         return "no engine of the service can be used";
     }
     return "no engine has room: all that is loaded is in use";
@@ -123,7 +123,7 @@
         route->reason = reason;
         return;
     }
-    route->state = WB_ROUTE_WAKING;
+    route->state = WB_ROUTE_LOADING;
     route->estimate_ms = cell_wake_estimate_ms(cell, target->model, now_ms);
 }
 
--- a/src/cell/cell_step.c
+++ b/src/cell/cell_step.c
@@ -22,7 +22,7 @@
 /* An engine holds the model without a slot, as can be after a lost majority. */
 static gboolean engine_has_stray(const wb_cell_t *cell, const cell_engine_t *engine,
                                  const char *model) {
-    return engine->machine != WB_MACHINE_GONE && cell_held(engine, model) != NULL &&
+    return engine->machine != WB_MACHINE_REMOVED && cell_held(engine, model) != NULL &&
            !wb_record_has_slot(cell->record, model, engine->id);
 }
 
@@ -50,15 +50,15 @@
     g_hash_table_iter_init(&iterator, cell->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         cell_engine_t *engine = value;
-        if (engine->machine == WB_MACHINE_GONE)
+        if (engine->machine == WB_MACHINE_REMOVED)
             continue;
         all_seen = all_seen && engine->fenced;
         if (engine->ordering || now_ms < engine->retry_at_ms || (engine->fenced && engine->settled))
             continue;
         cell_order_send(cell, engine, WB_ORDER_FENCE, NULL, NULL, 0, 0);
     }
-    if (cell->record->slots_unsure && all_seen && cell->machines_known && !cell_has_stray(cell)) {
-        wb_wire_command command = {.kind = WB_WIRE_COMMAND_SLOTS_SURE};
+    if (cell->record->slots_unverified && all_seen && cell->machines_known && !cell_has_stray(cell)) {
+        wb_wire_command command = {.kind = WB_WIRE_COMMAND_SLOTS_VERIFIED};
         cell->events.propose(&command, cell->events.context);
     }
 }
@@ -86,7 +86,7 @@
  */
 static void slot_load(wb_cell_t *cell, cell_engine_t *engine, const wb_model_t *model,
                       int64_t now_ms) {
-    if (cell->record->slots_unsure)
+    if (cell->record->slots_unverified)
         return;
     if (cell_engine_free_bytes(cell, engine, NULL) < 0) {
         /* An earlier owner gave the slot up and used its memory, and then lost its office before
@@ -97,7 +97,7 @@
         return;
     }
     if (cell_source(engine, model->name) == SOURCE_REMOTE &&
-        (int64_t)cell_remote_loads(cell) >= cell->options.remote_loads_at_once)
+        (int64_t)cell_remote_loads(cell) >= cell->options.max_remote_loads)
         return; /* the weight store is busy with loads of ours */
     cell_load_begun(cell, engine, model->name, model->memory_bytes, now_ms);
     cell_order_send(cell, engine, WB_ORDER_LOAD, model->name, NULL, model->version,
@@ -109,7 +109,7 @@
     cell_engine_t *engine = g_hash_table_lookup(cell->engines, slot->engine);
     if (engine == NULL)
         return; /* not in the machine list yet */
-    if (engine->machine == WB_MACHINE_GONE) {
+    if (engine->machine == WB_MACHINE_REMOVED) {
         slot_remove_propose(cell, slot->model, slot->engine);
         return;
     }
@@ -117,7 +117,7 @@
     cell_pair(pair, slot->model, slot->engine);
     const wb_model_t *model = wb_config_model(cell->config, slot->model);
     const wb_held_model_t *held = cell_held(engine, slot->model);
-    gboolean leaving = engine->machine == WB_MACHINE_LEAVING ||
+    gboolean leaving = engine->machine == WB_MACHINE_DRAINING ||
                        (engine->inventory != NULL && engine->inventory->leaving);
     gboolean outdated = model == NULL || (held != NULL && held->version != model->version);
     if ((leaving || outdated) && !g_hash_table_contains(cell->retiring, pair))
@@ -259,7 +259,7 @@
     }
     g_hash_table_remove(cell->surplus, model->name);
     gboolean needed = busy.waiting > 0 || model->min_replicas > staying;
-    if (staying < wanted && needed && slots < model->max_replicas && !cell->record->slots_unsure)
+    if (staying < wanted && needed && slots < model->max_replicas && !cell->record->slots_unverified)
         cell_place(cell, model, now_ms);
 }
 
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -105,7 +105,7 @@
 void cell_order_send(wb_cell_t *cell, cell_engine_t *engine, wb_order_action_t action,
                      const char *model, const char *adapter, int64_t version, int64_t bytes);
 
-/* cell_place.c */
+/* cell_placement.c */
 int64_t cell_engine_free_bytes(const wb_cell_t *cell, const cell_engine_t *engine,
                                const char *except_model);
 guint cell_zone_replicas(const wb_cell_t *cell, const char *model, const char *zone);
--- a/src/cell/group.c
+++ b/src/cell/group.c
@@ -199,7 +199,7 @@
     commit_advance(group);
 }
 
-void wb_group_found(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
+void wb_group_bootstrap(wb_group_t *group, wb_record_t *record, const GPtrArray *members,
                     uint64_t generation, uint64_t epoch, int64_t now_ms) {
     if (epoch <= group->promised) {
         wb_record_free(record);
@@ -215,7 +215,7 @@
     establish(group, now_ms);
 }
 
-wb_record_t *wb_group_yield(wb_group_t *group, uint64_t epoch) {
+wb_record_t *wb_group_promise_epoch(wb_group_t *group, uint64_t epoch) {
     if (epoch <= group->promised)
         return NULL;
     promise(group, epoch, group->heard_ms);
@@ -400,7 +400,7 @@
         candidacy_start(group, TRUE, now_ms);
 }
 
-void wb_group_message(wb_group_t *group, const char *node, const wb_wire_message *message,
+void wb_group_on_message(wb_group_t *group, const char *node, const wb_wire_message *message,
                       int64_t now_ms) {
     switch (message->kind) {
     case WB_WIRE_GROUP_STATE:
@@ -535,7 +535,7 @@
     return heard >= majority(group);
 }
 
-void wb_group_owner_down(wb_group_t *group, const char *node, int64_t now_ms) {
+void wb_group_on_owner_down(wb_group_t *group, const char *node, int64_t now_ms) {
     if (group->role != WB_GROUP_FOLLOWER || group->owner == NULL || strcmp(group->owner, node) != 0)
         return;
     owner_set(group, NULL);
--- a/src/cell/record.c
+++ b/src/cell/record.c
@@ -78,7 +78,7 @@
 }
 
 static void engine_set(wb_record_t *record, const wb_wire_engine *wire) {
-    if (wire->state >= WB_RECORD_ENGINE_GONE) {
+    if (wire->state >= WB_RECORD_ENGINE_REMOVED) {
         g_hash_table_remove(record->engines, wire->engine);
         return;
     }
@@ -153,8 +153,8 @@
     case WB_WIRE_COMMAND_ENGINE:
         engine_set(record, &command->wb_wire_command_u.engine);
         break;
-    case WB_WIRE_COMMAND_SLOTS_SURE:
-        record->slots_unsure = FALSE;
+    case WB_WIRE_COMMAND_SLOTS_VERIFIED:
+        record->slots_unverified = FALSE;
         break;
     }
 }
@@ -208,8 +208,8 @@
     GHashTableIter iterator;
     gpointer value;
     engines_to_wire(record, wire);
-    wire->slots_unsure = record->slots_unsure;
-    wire->unsure_ms = (u_int)MAX(record->unsure_until_ms - now_ms, 0);
+    wire->slots_unverified = record->slots_unverified;
+    wire->claims_incomplete_ms = (u_int)MAX(record->claims_incomplete_until_ms - now_ms, 0);
     g_hash_table_iter_init(&iterator, record->claims);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         claim_to_wire(value, &wire->claims.claims_val[wire->claims.claims_len++], now_ms);
@@ -232,8 +232,8 @@
         engine_set(record, &wire->engines.engines_val[i]);
     for (u_int i = 0; i < wire->claims.claims_len; i++)
         claim_put(record, &wire->claims.claims_val[i], now_ms);
-    record->slots_unsure = wire->slots_unsure;
-    record->unsure_until_ms = now_ms + (int64_t)wire->unsure_ms;
+    record->slots_unverified = wire->slots_unverified;
+    record->claims_incomplete_until_ms = now_ms + (int64_t)wire->claims_incomplete_ms;
     return record;
 }
 
@@ -258,11 +258,11 @@
     return g_hash_table_lookup(record->claims, index);
 }
 
-wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_want *want,
+wb_claim_decision_t wb_claim_decide(const wb_record_t *record, const wb_wire_claim_request *want,
                                     int64_t now_ms) {
     const wb_claim_t *claim = wb_record_claim(record, want->model, want->key);
     if (claim == NULL)
-        return now_ms < record->unsure_until_ms ? WB_CLAIM_UNSURE : WB_CLAIM_PROPOSE;
+        return now_ms < record->claims_incomplete_until_ms ? WB_CLAIM_UNVERIFIED : WB_CLAIM_PROPOSE;
     if (claim->digest != want->digest)
         return WB_CLAIM_MISMATCH;
     if (strcmp(claim->stream, want->stream) == 0)
@@ -274,7 +274,7 @@
     return WB_CLAIM_TAKEN;
 }
 
-void wb_claim_command(const wb_wire_claim_want *want, uint64_t attempt, wb_wire_command *command) {
+void wb_claim_fill_command(const wb_wire_claim_request *want, uint64_t attempt, wb_wire_command *command) {
     memset(command, 0, sizeof(*command));
     command->kind = WB_WIRE_COMMAND_CLAIM;
     wb_wire_claim *claim = &command->wb_wire_command_u.claim;
@@ -289,7 +289,7 @@
     claim->answer = "";
 }
 
-void wb_record_expire(wb_record_t *record, int64_t now_ms, int64_t retention_ms) {
+void wb_record_expire_claims(wb_record_t *record, int64_t now_ms, int64_t retention_ms) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, record->claims);
@@ -297,7 +297,7 @@
         wb_claim_t *claim = value;
         if (now_ms - claim->taken_ms > retention_ms)
             g_hash_table_iter_remove(&iterator);
-        else if (now_ms - claim->taken_ms > WB_CLAIM_ANSWER_KEEP_MS && *claim->answer != '\0') {
+        else if (now_ms - claim->taken_ms > WB_CLAIM_RESPONSE_RETENTION_MS && *claim->answer != '\0') {
             g_free(claim->answer);
             claim->answer = g_strdup("");
         }
--- a/src/config/config_apply.c
+++ b/src/config/config_apply.c
@@ -1,6 +1,6 @@
 /* Gets an operator's change accepted: check, transaction, and a look back when the answer is lost.
  */
-#include "config_apply.h"
+#include "config_store_internal.h"
 
 #include "wickbridge/log.h"
 
@@ -69,11 +69,11 @@
         json_t *writes = json_array();
         json_t *pointer =
             json_pack("{s:I, s:s}", "version", (json_int_t)write->version, "object", write->object);
-        json_array_append_new(writes, wb_platform_write(WB_CONFIG_ROW_SNAPSHOT, pointer));
+        json_array_append_new(writes, wb_platform_make_write(WB_CONFIG_ROW_SNAPSHOT, pointer));
         for (uint64_t old = write->version; old + 2 * SNAPSHOT_EVERY > write->version && old > 0;
              old--) {
             g_autofree char *key = wb_config_change_key(old);
-            json_array_append_new(writes, wb_platform_write(key, NULL));
+            json_array_append_new(writes, wb_platform_make_write(key, NULL));
         }
         wb_platform_transact(write->store->platform, json_array(), writes, snapshot_pointer_written,
                              NULL);
@@ -137,7 +137,7 @@
 static void read_back_start(void *context) {
     config_change_t *change = context;
     g_autofree char *key = wb_config_change_key(change->version);
-    wb_platform_row(change->store->platform, key, read_back_done, change);
+    wb_platform_read_row(change->store->platform, key, read_back_done, change);
 }
 
 static void current_read_start(void *context);
@@ -175,12 +175,12 @@
 static void transaction_start(config_change_t *change) {
     g_autofree char *key = wb_config_change_key(change->version);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(WB_CONFIG_ROW_CURRENT, change->current_row));
-    json_array_append_new(checks, wb_platform_check(key, 0));
+    json_array_append_new(checks, wb_platform_make_check(WB_CONFIG_ROW_CURRENT, change->current_row));
+    json_array_append_new(checks, wb_platform_make_check(key, 0));
     json_t *writes = json_array();
     json_t *current = json_pack("{s:I}", "version", (json_int_t)change->version);
-    json_array_append_new(writes, wb_platform_write(WB_CONFIG_ROW_CURRENT, current));
-    json_array_append_new(writes, wb_platform_write(key, json_incref(change->change)));
+    json_array_append_new(writes, wb_platform_make_write(WB_CONFIG_ROW_CURRENT, current));
+    json_array_append_new(writes, wb_platform_make_write(key, json_incref(change->change)));
     wb_platform_transact(change->store->platform, checks, writes, transaction_done, change);
 }
 
@@ -207,7 +207,7 @@
 
 static gboolean change_check(config_change_t *change, wb_config_apply_status_t *status) {
     const wb_config_t *current = change->store->current;
-    json_t *objects = wb_config_objects_change(current->objects, change->change);
+    json_t *objects = wb_config_objects_apply(current->objects, change->change);
     gboolean same = json_equal(objects, current->objects);
     wb_config_t *checked = NULL;
     apr_status_t result = wb_config_parse(objects, change->version, &checked, &change->result.fault,
@@ -223,7 +223,7 @@
 
 static void current_read_start(void *context) {
     config_change_t *change = context;
-    wb_platform_row(change->store->platform, WB_CONFIG_ROW_CURRENT, current_read, change);
+    wb_platform_read_row(change->store->platform, WB_CONFIG_ROW_CURRENT, current_read, change);
 }
 
 static void current_read(wb_platform_status_t status, const json_t *body, void *context) {
--- a/src/config/config_catch_up.c
+++ b/src/config/config_catch_up.c
@@ -1,5 +1,5 @@
 /* Reads the accepted configuration from the table service and the object store. */
-#include "config_apply.h"
+#include "config_store_internal.h"
 
 #include "wickbridge/log.h"
 
@@ -37,7 +37,7 @@
 }
 
 static void changes_fetch(wb_config_store_t *store) {
-    wb_platform_scan(store->platform, WB_CONFIG_CHANGE_PREFIX, changes_read, store);
+    wb_platform_scan_rows(store->platform, WB_CONFIG_CHANGE_PREFIX, changes_read, store);
 }
 
 static void snapshot_read(wb_platform_status_t status, const json_t *body, void *context) {
@@ -74,7 +74,7 @@
     }
     uint64_t version = (uint64_t)wb_json_integer(json_object_get(body, "value"), "version", 0);
     if (version > store->current->version) {
-        wb_platform_row(store->platform, WB_CONFIG_ROW_SNAPSHOT, snapshot_row_read, store);
+        wb_platform_read_row(store->platform, WB_CONFIG_ROW_SNAPSHOT, snapshot_row_read, store);
         return;
     }
     if (!store->ready)
@@ -87,7 +87,7 @@
     if (store->catching_up)
         return;
     store->catching_up = TRUE;
-    wb_platform_row(store->platform, WB_CONFIG_ROW_CURRENT, current_read, store);
+    wb_platform_read_row(store->platform, WB_CONFIG_ROW_CURRENT, current_read, store);
 }
 
 static void poll_tick(void *context) {
--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -1,7 +1,7 @@
 /* Keeps the configuration in force, spreads accepted changes and catches up with missed ones. */
 #include "wickbridge/config_store.h"
 
-#include "config_apply.h"
+#include "config_store_internal.h"
 #include "wickbridge/log.h"
 
 #include <stdlib.h>
@@ -16,10 +16,10 @@
 }
 
 static void flood(wb_config_store_t *store, const wb_wire_message *message, const char *except) {
-    g_autoptr(GPtrArray) nodes = wb_peers_overlay(store->peers);
+    g_autoptr(GPtrArray) nodes = wb_peers_overlay_nodes(store->peers);
     for (guint i = 0; i < nodes->len; i++)
         if (except == NULL || strcmp(nodes->pdata[i], except) != 0)
-            wb_peers_send_open(store->peers, nodes->pdata[i], message);
+            wb_peers_send_if_connected(store->peers, nodes->pdata[i], message);
 }
 
 static void change_message(wb_wire_message *message, uint64_t from, uint64_t to, char *text) {
@@ -51,7 +51,7 @@
                                const char *from_node) {
     if (to != store->current->version + 1)
         return FALSE;
-    json_t *objects = wb_config_objects_change(store->current->objects, change);
+    json_t *objects = wb_config_objects_apply(store->current->objects, change);
     gboolean installed = config_install(store, objects, to);
     json_decref(objects);
     if (!installed)
@@ -121,7 +121,7 @@
     json_decref(body);
 }
 
-gboolean wb_config_store_message(wb_config_store_t *store, const char *node,
+gboolean wb_config_store_handle_message(wb_config_store_t *store, const char *node,
                                  const wb_wire_message *message) {
     if (message->kind == WB_WIRE_CONFIG_FETCH)
         fetch_answer(store, node, message->wb_wire_message_u.config_fetch.have);
--- a/src/config/declaration.c
+++ b/src/config/declaration.c
@@ -386,7 +386,7 @@
     return g_strdup_printf("%s/%d", service->name, (int)best);
 }
 
-json_t *wb_config_objects_change(const json_t *objects, const json_t *change) {
+json_t *wb_config_objects_apply(const json_t *objects, const json_t *change) {
     json_t *result = json_copy((json_t *)objects);
     const char *key;
     json_t *object;
--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -122,7 +122,7 @@
     wb_load_concurrency_record(concurrency, at_once, took_ms, nominal_ms);
     wb_event("store-load-ended",
              ",\"service\":\"%s\",\"at_once\":%u,\"ms\":%lld,\"alone_ms\":%lld,\"limit\":%u",
-             wb_event_text(service), at_once, (long long)took_ms, (long long)nominal_ms,
+             wb_event_escape(service), at_once, (long long)took_ms, (long long)nominal_ms,
              wb_load_concurrency_limit(concurrency, nominal_ms));
 }
 
@@ -137,7 +137,7 @@
     wb_event("load-crashed",
              ",\"service\":\"%s\",\"model\":\"%s\",\"engine\":\"%s\",\"in_a_row\":%u,"
              "\"paused_ms\":%lld",
-             wb_event_text(service), wb_event_text(model), wb_event_text(engine->state->id),
+             wb_event_escape(service), wb_event_escape(model), wb_event_escape(engine->state->id),
              engines,
              (long long)wb_load_faults_backoff_ms(controller->faults, service, model, now_ms));
 }
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -162,7 +162,7 @@
     wb_engine_orders_t *orders = context;
     orders->calling = FALSE;
     wb_engine_state_t *state = NULL;
-    if (result->outcome == WB_HTTP_ANSWERED && result->status == 200)
+    if (result->outcome == WB_HTTP_COMPLETED && result->status == 200)
         state =
             orders->dialect->report_parse(orders->engine->state->id, result->body, result->length);
     if (result->refused && orders->awaited == WB_AWAIT_LOADED) {
@@ -218,7 +218,7 @@
                                  .context = orders};
     orders->calling = TRUE;
     orders->call_sent_ms = wb_clock_ms();
-    wb_http_peer_call(orders->peer, &request);
+    wb_http_pool_call(orders->peer, &request);
 }
 
 /* Returns 0 when an order may be sent now, else ms after which to ask again. */
@@ -341,7 +341,7 @@
                                  .context = orders};
     orders->calling = TRUE;
     orders->call_sent_ms = orders->order_sent_ms;
-    wb_http_peer_call(orders->peer, &request);
+    wb_http_pool_call(orders->peer, &request);
 }
 
 static void order_prepare(wb_engine_orders_t *orders, wb_order_kind_t kind, const char *model,
--- a/src/control/engine_orders_create.c
+++ b/src/control/engine_orders_create.c
@@ -12,7 +12,7 @@
     orders->engine = wb_engine_ref(engine);
     orders->metrics = metrics;
     orders->owner = *owner;
-    orders->peer = wb_http_peer_create(loop, engine->state->address, settings->connect_timeout_ms,
+    orders->peer = wb_http_pool_create(loop, engine->state->address, settings->connect_timeout_ms,
                                        settings->silence_limit_ms);
     wb_list_init(&orders->tasks);
     return orders;
@@ -21,7 +21,7 @@
 void wb_engine_orders_free(wb_engine_orders_t *orders) {
     if (orders->timer != NULL)
         wb_timer_cancel(orders->timer);
-    wb_http_peer_free(orders->peer);
+    wb_http_pool_free(orders->peer);
     while (orders->tasks.len > 0) {
         wb_engine_task_free(wb_engine_task_pop(&orders->tasks));
     }
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -10,7 +10,7 @@
 #include "control/engine_orders.h"
 #include "control/engine_task.h"
 
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 
 /* Effect of an accepted order that must still show in a report. */
 typedef enum wb_awaited_t { WB_AWAIT_NONE, WB_AWAIT_LOADED, WB_AWAIT_UNLOADED } wb_awaited_t;
@@ -22,7 +22,7 @@
     wb_engine_t *engine;
     wb_edge_metrics_t *metrics;
     wb_engine_orders_owner_t owner;
-    wb_http_peer_t *peer;
+    wb_http_pool_t *peer;
     wb_list_t tasks;          /* of wb_engine_task_t; the first is under way */
     wb_engine_state_t *state; /* as last read, updated with orders; NULL: must be read */
     gboolean calling;         /* a report or order is under way */
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -118,7 +118,7 @@
 
 void wb_lease_on_row(wb_lease_t *lease, const wb_lease_row_t *row, int64_t version,
                      int64_t now_ms) {
-    if (version == lease->version && row != NULL && row->grants_known) {
+    if (version == lease->version && row != NULL && row->has_grants) {
         /* A peer sent this version of the row before, without its engines; this one is complete. */
         wb_lease_row_copy(&lease->known, row);
         return;
@@ -171,7 +171,7 @@
 static void takeover_begin(wb_lease_t *lease, int64_t now_ms) {
     const wb_lease_settings_t *settings = &lease->settings;
     gboolean had_holder = lease->known.holder != NULL;
-    gboolean engines_listed = lease->known.grants_known && !lease->known.any_granted;
+    gboolean engines_listed = lease->known.has_grants && !lease->known.grants_unlisted;
     lease->predecessor.max_ordered_engines =
         engines_listed ? lease->known.granted_count : G_MAXUINT;
     wb_lease_grants_begin(
--- a/src/control/lease_grants.c
+++ b/src/control/lease_grants.c
@@ -72,7 +72,7 @@
     if (row == NULL) {
         return;
     }
-    if (!row->grants_known || row->any_granted) {
+    if (!row->has_grants || row->grants_unlisted) {
         grants->all_blocked_ms = until_ms;
         return;
     }
@@ -155,13 +155,13 @@
             g_ptr_array_add(grants->granted, name);
         }
     }
-    row->grants_known = TRUE;
-    row->any_granted =
+    row->has_grants = TRUE;
+    row->grants_unlisted =
         now_ms < grants->all_blocked_ms || g_hash_table_size(grants->engines) > MAX_NAMES;
-    row->granted = row->any_granted ? NULL : (char **)grants->granted->pdata;
-    row->granted_count = row->any_granted ? 0 : grants->granted->len;
-    row->inherited = row->any_granted ? NULL : (char **)grants->inherited->pdata;
-    row->inherited_count = row->any_granted ? 0 : grants->inherited->len;
+    row->granted = row->grants_unlisted ? NULL : (char **)grants->granted->pdata;
+    row->granted_count = row->grants_unlisted ? 0 : grants->granted->len;
+    row->inherited = row->grants_unlisted ? NULL : (char **)grants->inherited->pdata;
+    row->inherited_count = row->grants_unlisted ? 0 : grants->inherited->len;
 }
 
 void wb_lease_grants_on_written(wb_lease_grants_t *grants, uint64_t beat) {
--- a/src/ctl/commands_config.c
+++ b/src/ctl/commands_config.c
@@ -71,7 +71,7 @@
 static int difference_check(const difference_t *difference,
                             const ctl_declarations_t *declarations) {
     json_t *change = json_pack("{s:O, s:O}", "set", difference->set, "remove", difference->remove);
-    json_t *objects = wb_config_objects_change(difference->before, change);
+    json_t *objects = wb_config_objects_apply(difference->before, change);
     wb_config_t *config = NULL;
     wb_config_fault_t fault;
     wb_error_t error;
--- a/src/ctl/commands_policy.c
+++ b/src/ctl/commands_policy.c
@@ -48,8 +48,8 @@
     };
 }
 
-static json_t *answer_describe(wb_policy_answer_t answer, int64_t value, const wb_error_t *error) {
-    if (answer == WB_POLICY_ANSWERED)
+static json_t *answer_describe(wb_policy_result_t answer, int64_t value, const wb_error_t *error) {
+    if (answer == WB_POLICY_OK)
         return json_integer((json_int_t)value);
     return json_string(answer == WB_POLICY_UNDEFINED ? "built-in" : error->message);
 }
@@ -60,7 +60,7 @@
     wb_error_t error = {0};
     int64_t value = 0;
     gint64 started_us = g_get_monotonic_time();
-    wb_policy_answer_t answer = wb_policy_keep_alive(program, &model, &value, &error);
+    wb_policy_result_t answer = wb_policy_keep_alive(program, &model, &value, &error);
     *failures += answer == WB_POLICY_FAILED;
     json_t *result = json_pack("{s:s, s:o}", "model", model.name, "keep_alive_ms",
                                answer_describe(answer, value, &error));
--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -62,7 +62,7 @@
         status = wb_edge_node_is_ready(node) ? 200 : 503;
     wb_http_head_free(head);
     g_byte_array_unref(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status), "", NULL, 0);
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status), "", NULL, 0);
 }
 
 static apr_status_t listeners_open(wb_edge_node_t *node, wb_error_t *error) {
@@ -123,7 +123,7 @@
         node->idle_closed = TRUE;
         wb_http_listener_close_idle(node->client_listener);
     }
-    if (wb_http_listener_busy(node->client_listener) > 0)
+    if (wb_http_listener_active_count(node->client_listener) > 0)
         return;
     if (node->listener_stopped) {
         stop_finish(node, wb_clock_ms());
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -15,7 +15,7 @@
 
 static void json_respond(wb_http_connection_t *connection, unsigned status, json_t *body) {
     char *text = wb_json_dump(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status),
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status),
                               "Content-Type: application/json\r\n", text, strlen(text));
     free(text);
     json_decref(body);
@@ -59,7 +59,7 @@
     };
     g_autoptr(GString) text = g_string_new(NULL);
     wb_edge_metrics_write(&edge->metrics, &gauges, text);
-    wb_http_connection_answer(connection, 200, "OK", "Content-Type: text/plain; version=0.0.4\r\n",
+    wb_http_connection_reply(connection, 200, "OK", "Content-Type: text/plain; version=0.0.4\r\n",
                               text->str, text->len);
 }
 
@@ -244,7 +244,7 @@
         return;
     }
     wb_event("request-forgiven", ",\"id\":\"\",\"digest\":\"%s\",\"engine\":\"\"",
-             wb_event_text(query + strlen(member)));
+             wb_event_escape(query + strlen(member)));
     wb_edge_node_poison_changed(node);
     json_respond(connection, 200, json_pack("{s:b}", "forgiven", 1));
 }
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -79,11 +79,11 @@
     announcement->next_ms = now_ms + announcement->retry_ms;
     if (wb_link_connect(node->edge.loop, address, &events, &node->link_counters,
                         &announcement->link, &error) != APR_SUCCESS) {
-        wb_event("announce-failed", ",\"to\":\"%s\",\"reason\":\"%s\"", wb_event_text(id),
-                 wb_event_text(error.message));
+        wb_event("announce-failed", ",\"to\":\"%s\",\"reason\":\"%s\"", wb_event_escape(id),
+                 wb_event_escape(error.message));
         return;
     }
-    wb_event("announced", ",\"to\":\"%s\",\"address\":\"%s\"", wb_event_text(id), address);
+    wb_event("announced", ",\"to\":\"%s\",\"address\":\"%s\"", wb_event_escape(id), address);
 }
 
 /* Returns the ids of nodes that report to this one; borrowed. */
--- a/src/edge/node_broadcast.c
+++ b/src/edge/node_broadcast.c
@@ -27,7 +27,7 @@
         if (((const wb_gateway_t *)gateway)->subscription != NULL || encoded == NULL)
             continue; /* a subscription link: that gateway has another link for updates */
         if (wb_link_unsent(link) > UNSENT_MAX_BYTES)
-            wb_link_break(link, "too many unsent bytes");
+            wb_link_close_later(link, "too many unsent bytes");
         else
             wb_link_send_frame(link, encoded);
     }
@@ -38,7 +38,7 @@
     wb_error_t error;
     if (wb_message_encode(message, frame, &error) != APR_SUCCESS) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
-                 wb_message_kind_name(message->kind), wb_event_text(error.message));
+                 wb_message_kind_name(message->kind), wb_event_escape(error.message));
         return;
     }
     frame_send(node, NULL, frame);
@@ -56,7 +56,7 @@
         (extensions != NULL && wb_message_encode_with_extensions(
                                    message, extensions, with_extensions, &error) != APR_SUCCESS)) {
         wb_event("message-refused", ",\"kind\":\"%s\",\"reason\":\"%s\"",
-                 wb_message_kind_name(message->kind), wb_event_text(error.message));
+                 wb_message_kind_name(message->kind), wb_event_escape(error.message));
         return;
     }
     frame_send(node, frame, extensions != NULL ? with_extensions : frame);
@@ -81,9 +81,9 @@
     placement->entries.entries_len = node->placements->len;
     placement->entries.entries_val = (wb_wire_placement_entry *)(void *)node->placements->data;
     wb_wire_extensions extensions = {0};
-    wb_wire_starts starts = {
+    wb_wire_start_times starts = {
         {node->placement_starts->len, (uint64_t *)(void *)node->placement_starts->data}};
-    wb_extensions_add(&extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+    wb_extensions_add(&extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times,
                       &starts);
     message_send(node, &message, &extensions);
     wb_extensions_clear(&extensions);
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -197,7 +197,7 @@
     want->wants.wants_len = wanted->len;
     want->wants.wants_val = wants;
     want->known.known_len = known != NULL ? known->len : 0;
-    want->known.known_val = known != NULL ? (wb_wire_known_row *)(void *)known->data : NULL;
+    want->known.known_val = known != NULL ? (wb_wire_row_version *)(void *)known->data : NULL;
     directory->node->edge.metrics.subscriptions_sent++;
     wb_link_send(directory->link, &message);
 }
@@ -206,7 +206,7 @@
  * a new link, and once the relay's first full read is complete. */
 static void subscribe_all(wb_directory_t *directory) {
     g_autoptr(GPtrArray) wanted = g_ptr_array_new();
-    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
+    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_row_version));
     GHashTableIter iter;
     gpointer key;
     gpointer value;
@@ -216,7 +216,7 @@
     }
     g_hash_table_iter_init(&iter, directory->versions);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        wb_wire_known_row row = {key, (uint64_t) * (const int64_t *)value};
+        wb_wire_row_version row = {key, (uint64_t) * (const int64_t *)value};
         g_array_append_val(known, row);
     }
     subscribe_send(directory, wanted, known);
@@ -318,8 +318,8 @@
     int64_t now_ms = wb_clock_ms();
     GHashTableIter iter;
     gpointer value;
-    wb_event("relay-lost", ",\"of\":\"%s\",\"reason\":\"%s\"", wb_event_text(directory->relay),
-             wb_event_text(reason));
+    wb_event("relay-lost", ",\"of\":\"%s\",\"reason\":\"%s\"", wb_event_escape(directory->relay),
+             wb_event_escape(reason));
     g_hash_table_replace(directory->failed, g_strdup(directory->relay),
                          g_memdup2(&now_ms, sizeof(now_ms)));
     directory->link = NULL;
@@ -369,7 +369,7 @@
         relay_lost(directory, error.message);
         return;
     }
-    wb_event("relay-linked", ",\"of\":\"%s\",\"readers\":%u", wb_event_text(directory->relay),
+    wb_event("relay-linked", ",\"of\":\"%s\",\"readers\":%u", wb_event_escape(directory->relay),
              readers->len);
 }
 
@@ -473,8 +473,8 @@
                                                  g_strdup(entry->adapter), TRUE, 0};
     g_ptr_array_add(directory->early_placements, placement);
     g_autoptr(GPtrArray) none = g_ptr_array_new();
-    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_known_row));
-    wb_wire_known_row row = {entry->engine, 0};
+    g_autoptr(GArray) known = g_array_new(FALSE, FALSE, sizeof(wb_wire_row_version));
+    wb_wire_row_version row = {entry->engine, 0};
     g_array_append_val(known, row);
     subscribe_send(directory, none, known);
     return TRUE;
--- a/src/edge/node_engine_states.c
+++ b/src/edge/node_engine_states.c
@@ -20,7 +20,7 @@
                                    .born_ms = (uint64_t)engine->state->born_ms,
                                    .leaving = engine->drain_reported};
     if (limit->named) {
-        wire->limit = WB_WIRE_LIMIT_NAMED;
+        wire->limit = WB_WIRE_LIMIT_SET;
         wire->limit_milli = (u_int)(limit->per_s * LIMIT_MILLI);
         wire->limit_age_ms = (u_int)(now_ms - limit->limit_reported_ms);
     } else if (limit->ended_ms != 0) {
@@ -121,7 +121,7 @@
     wb_engine_limit_t *limit = &engine->limit;
     int64_t as_of_ms = now_ms - (int64_t)wire->limit_age_ms;
     gboolean changed = FALSE;
-    if (wire->limit == WB_WIRE_LIMIT_NAMED) {
+    if (wire->limit == WB_WIRE_LIMIT_SET) {
         gboolean newer = as_of_ms > limit->limit_reported_ms;
         changed = wb_engine_limit_set(limit, wire->limit_milli / LIMIT_MILLI, as_of_ms, as_of_ms) ||
                   (newer && now_ms - engine->state_sent_ms >= WB_STATE_RESEND_MS);
@@ -148,7 +148,7 @@
         }
         wb_event("engine-state-news",
                  ",\"engine\":\"%s\",\"limited\":%s,\"per_s\":%g,\"leaving\":%s",
-                 wb_event_text(engine->state->id), engine->limit.named ? "true" : "false",
+                 wb_event_escape(engine->state->id), engine->limit.named ? "true" : "false",
                  engine->limit.per_s, engine->drain_reported ? "true" : "false");
         wb_edge_track_reporting_engine(&node->edge, engine);
         if (aggregator) {
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -21,7 +21,7 @@
     wb_edge_node_broadcast(node, &message);
     wb_event("holding-differs",
              ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
-             wb_event_text(engine), wb_event_text(names[0]), wb_event_text(names[1]),
+             wb_event_escape(engine), wb_event_escape(names[0]), wb_event_escape(names[1]),
              held ? "true" : "false");
 }
 
@@ -85,7 +85,7 @@
     wb_event("engine-restarted",
              ",\"engine\":\"%s\",\"born_ms\":%lld,\"before_ms\":%lld,\"running\":%u,"
              "\"models\":%u",
-             wb_event_text(state->id), (long long)state->born_ms, (long long)engine->state->born_ms,
+             wb_event_escape(state->id), (long long)state->born_ms, (long long)engine->state->born_ms,
              engine->running, g_hash_table_size(engine->state->models));
     wb_engine_ref(engine);
     wb_upstreams_close_idle(engine);
@@ -105,7 +105,7 @@
     }
     wb_event("engine-row-refused",
              ",\"engine\":\"%s\",\"row_version\":%lld,\"reason\":\"%s\",\"rows\":%u",
-             wb_event_text(row->key), (long long)row->version, wb_event_text(reason),
+             wb_event_escape(row->key), (long long)row->version, wb_event_escape(reason),
              node->rejected_rows);
     node->rejected_rows_logged_ms = now_ms;
     node->rejected_rows = 0;
@@ -131,7 +131,7 @@
 
 static void row_removed(wb_edge_node_t *node, wb_engine_t *known, const wb_table_row_t *row) {
     if (known != NULL) {
-        wb_event("engine-gone", ",\"engine\":\"%s\",\"row_version\":%lld", wb_event_text(row->key),
+        wb_event("engine-gone", ",\"engine\":\"%s\",\"row_version\":%lld", wb_event_escape(row->key),
                  (long long)row->version);
         engine_remove(node, known,
                       wb_fleet_grace_until_ms(wb_table_watch_fresh_ms(node->engines_watch),
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -30,7 +30,7 @@
         wb_edge_node_set_poll_policies(node);
         wb_event(held ? "lease-held" : "lease-not-held",
                  ",\"token\":%llu,\"known_holder\":\"%s\",\"known_token\":%llu",
-                 (unsigned long long)token, known != NULL ? wb_event_text(known->holder) : "",
+                 (unsigned long long)token, known != NULL ? wb_event_escape(known->holder) : "",
                  known != NULL ? (unsigned long long)known->token : 0ULL);
         if (held) {
             node->edge.metrics.lease_takeovers++;
@@ -76,8 +76,8 @@
                            .beat = row->beat,
                            .released = row->released,
                            .recent_loads = row->recent_loads,
-                           .grants_known = row->grants_known,
-                           .any_granted = row->any_granted,
+                           .has_grants = row->has_grants,
+                           .grants_unlisted = row->grants_unlisted,
                            .granted = {row->granted_count, row->granted},
                            .inherited = {row->inherited_count, row->inherited}};
 }
@@ -89,8 +89,8 @@
                             .beat = wire->beat,
                             .released = wire->released,
                             .recent_loads = wire->recent_loads,
-                            .grants_known = wire->grants_known,
-                            .any_granted = wire->any_granted,
+                            .has_grants = wire->has_grants,
+                            .grants_unlisted = wire->grants_unlisted,
                             .granted = wire->granted.granted_val,
                             .granted_count = wire->granted.granted_len,
                             .inherited = wire->inherited.inherited_val,
@@ -99,7 +99,7 @@
 
 wb_lease_row_t wb_edge_node_lease_without_grants(const wb_lease_row_t *row) {
     wb_lease_row_t copy = *row;
-    copy.grants_known = FALSE;
+    copy.has_grants = FALSE;
     copy.granted_count = 0;
     copy.inherited_count = 0;
     return copy;
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -13,7 +13,7 @@
  * start becomes valid once that start's row is read, which is requested here; one for an earlier
  * start is outdated. */
 static gboolean engine_start_matches(wb_edge_node_t *node, const wb_engine_t *engine,
-                                     const wb_wire_starts *starts, guint i) {
+                                     const wb_wire_start_times *starts, guint i) {
     if (i >= starts->born_ms.born_ms_len || starts->born_ms.born_ms_val[i] == 0) {
         return TRUE; /* the sender didn't include it */
     }
@@ -42,8 +42,8 @@
                               row_after_ms,
                               row_after_ms + (int64_t)(edge->settings.store_look_s * 1000));
     wb_event("placement-news", ",\"engine\":\"%s\",\"model\":\"%s\",\"adapter\":\"%s\",\"held\":%s",
-             wb_event_text(entry->engine), wb_event_text(entry->model),
-             wb_event_text(entry->adapter), entry->held ? "true" : "false");
+             wb_event_escape(entry->engine), wb_event_escape(entry->model),
+             wb_event_escape(entry->adapter), entry->held ? "true" : "false");
 }
 
 /* Applies a placement update. @param extensions of its message; NULL: it comes from this
@@ -51,9 +51,9 @@
 static void placements_take(wb_edge_node_t *node, const wb_wire_placement *placement,
                             const wb_wire_extensions *extensions) {
     wb_edge_t *edge = &node->edge;
-    wb_wire_starts starts = {{0, NULL}};
+    wb_wire_start_times starts = {{0, NULL}};
     if (extensions != NULL) {
-        wb_extensions_read(extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+        wb_extensions_read(extensions, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times,
                            &starts);
     }
     for (guint i = 0; i < placement->entries.entries_len; i++) {
@@ -69,7 +69,7 @@
             wb_edge_node_placement_take(node, engine, entry);
         }
     }
-    xdr_free((xdrproc_t)xdr_wb_wire_starts, &starts);
+    xdr_free((xdrproc_t)xdr_wb_wire_start_times, &starts);
     wb_exchanges_retry_waiting(edge);
 }
 
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -17,11 +17,11 @@
 #define LOG_INTERVAL_MS 1000
 
 /* Takes an engine's unreported use and resets it. Returns FALSE when there is none. */
-static gboolean engine_use_take(wb_engine_t *engine, wb_wire_engine_use *use) {
+static gboolean engine_use_take(wb_engine_t *engine, wb_wire_engine_usage *use) {
     if (engine->tokens_sent <= 0 && engine->pace_min_percent == 0) {
         return FALSE;
     }
-    *use = (wb_wire_engine_use){strdup(engine->state->id), engine->pace_min_percent,
+    *use = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
                                 (u_int)engine->tokens_sent};
     engine->pace_min_percent = 0;
     engine->tokens_sent = 0;
@@ -46,7 +46,7 @@
     GHashTable *engines = wb_fleet_all(node->edge.fleet);
     demand->engines.engines_len = 0;
     demand->engines.engines_val =
-        calloc(MAX(g_hash_table_size(engines), 1), sizeof(wb_wire_engine_use));
+        calloc(MAX(g_hash_table_size(engines), 1), sizeof(wb_wire_engine_usage));
     if (!node->edge.settings.engine_pace) {
         return;
     }
@@ -65,7 +65,7 @@
     guint count = demand->engines.engines_len;
     g_autofree wb_pace_report_t *reports = g_new0(wb_pace_report_t, MAX(count, 1));
     for (guint i = 0; i < count; i++) {
-        const wb_wire_engine_use *use = &demand->engines.engines_val[i];
+        const wb_wire_engine_usage *use = &demand->engines.engines_val[i];
         reports[i] = (wb_pace_report_t){use->engine, use->pace_percent, use->tokens};
     }
     wb_pace_aggregate_report(node->pace_book, reports, count, wb_clock_ms());
@@ -144,7 +144,7 @@
     }
     node->pace_logged_ms = now_ms;
     wb_event("engine-behind", ",\"engine\":\"%s\",\"backlog_ms\":%.0f,\"pace_percent\":%u",
-             wb_event_text(engine), backlog_ms,
+             wb_event_escape(engine), backlog_ms,
              wb_pace_aggregate_pace(node->pace_book, engine, now_ms));
 }
 
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -36,11 +36,11 @@
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand) {
     GArray *uses = wb_quota_limiter_take_usage(node->edge.quota);
     demand->tenants.tenants_len = uses->len;
-    demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_use));
+    demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_usage));
     for (guint i = 0; i < uses->len; i++) {
         const wb_quota_usage_t *use = &g_array_index(uses, wb_quota_usage_t, i);
         demand->tenants.tenants_val[i] =
-            (wb_wire_tenant_use){strdup(use->tenant), use->kind, (u_int)use->requests,
+            (wb_wire_tenant_usage){strdup(use->tenant), use->kind, (u_int)use->requests,
                                  (uint64_t)use->asked, (int64_t)use->admitted};
     }
     g_array_unref(uses);
@@ -50,7 +50,7 @@
     int64_t now_ms = wb_clock_ms();
     wb_quota_ledger_node_connected(node->quota_book, demand->node);
     for (guint i = 0; i < demand->tenants.tenants_len; i++) {
-        const wb_wire_tenant_use *wire = &demand->tenants.tenants_val[i];
+        const wb_wire_tenant_usage *wire = &demand->tenants.tenants_val[i];
         wb_quota_usage_t use = {wire->tenant, wire->kind, (double)wire->asked,
                                 (double)wire->requests, (double)wire->admitted};
         wb_quota_ledger_report(node->quota_book, demand->node, &use, now_ms);
@@ -112,7 +112,7 @@
                  ",\"tenant\":\"%s\",\"kind\":\"%08x\",\"share\":%.3f,\"level\":%.0f,\"asked_per_"
                  "s\":%.0f,"
                  "\"admitted_per_s\":%.0f,\"assumed_per_s\":%.0f",
-                 wb_event_text(share->tenant), share->kind, share->share, state.level,
+                 wb_event_escape(share->tenant), share->kind, share->share, state.level,
                  state.asked_per_s, state.admitted_per_s, state.assumed_per_s);
     }
 }
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -94,7 +94,7 @@
 /* Queues a row if the version that the subscriber knows is older, and later its changes. A row that
  * is no longer in the table was removed while the gateway was subscribed to another relay. */
 static void known_row_add(wb_edge_node_t *node, wb_subscription_t *subscription,
-                          const wb_wire_known_row *known) {
+                          const wb_wire_row_version *known) {
     const wb_table_row_t *row = g_hash_table_lookup(node->engine_rows, known->key);
     wb_table_row_t removed_row = {known->key, NULL, 0,
                                   wb_table_watch_newest_row(node->engines_watch)};
--- a/src/edge/node_store.c
+++ b/src/edge/node_store.c
@@ -73,7 +73,7 @@
     wb_edge_node_t *node = context;
     if (catalog == NULL) {
         wb_event("catalog-refused", ",\"row_version\":%lld,\"reason\":\"%s\"",
-                 (long long)row_version, wb_event_text(error->message));
+                 (long long)row_version, wb_event_escape(error->message));
         return;
     }
     if (node->edge.catalog != NULL && catalog->version <= node->edge.catalog->version) {
@@ -268,7 +268,7 @@
  */
 static void node_row_remove(wb_edge_node_t *node, const char *id, const wb_node_row_t *row) {
     g_autofree char *key = g_strconcat(NODE_KEY_PREFIX, id, NULL);
-    wb_event("node-forgotten", ",\"of\":\"%s\",\"row_version\":%lld", wb_event_text(id),
+    wb_event("node-forgotten", ",\"of\":\"%s\",\"row_version\":%lld", wb_event_escape(id),
              (long long)row->version);
     wb_store_calls_note(&node->edge.metrics.store_calls, WB_TABLE_NODES, WB_STORE_CAUSE_WRITE);
     node->table->write(node->table, key, row->version, NULL, 0, node_row_remove_done, node);
--- a/src/edge/node_zones.c
+++ b/src/edge/node_zones.c
@@ -41,7 +41,7 @@
     unsigned engines = wb_fleet_evacuate_zone(node->edge.fleet, zone, closed_ms);
     node->edge.metrics.evacuations++;
     wb_event("zone-evacuated", ",\"of\":\"%s\",\"engines\":%u,\"closed_in_ms\":%lld",
-             wb_event_text(zone), engines, (long long)(closed_ms - now_ms));
+             wb_event_escape(zone), engines, (long long)(closed_ms - now_ms));
 }
 
 /* Treats the engines of a zone as cold when its evacuation ends: they may have turned cold just
@@ -69,14 +69,14 @@
     }
     unsigned engines = wb_fleet_end_evacuation(node->edge.fleet, zone);
     zone_engines_set_cold(node, zone);
-    wb_event("zone-taken-back", ",\"of\":\"%s\",\"engines\":%u", wb_event_text(zone), engines);
+    wb_event("zone-taken-back", ",\"of\":\"%s\",\"engines\":%u", wb_event_escape(zone), engines);
     wb_exchanges_retry_waiting(&node->edge);
 }
 
 static void zone_note(wb_edge_node_t *node, const char *zone, int64_t version, gboolean evacuated) {
     wb_zone_row_t *known = g_hash_table_lookup(node->zones, zone);
     if (known == NULL && g_hash_table_size(node->zones) >= ZONES_MAX) {
-        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_text(zone), ZONES_MAX);
+        wb_event("zone-ignored", ",\"of\":\"%s\",\"known\":%d", wb_event_escape(zone), ZONES_MAX);
         return;
     }
     if (known == NULL) {
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -90,21 +90,21 @@
 
 static wb_order_outcome_t order_outcome(const wb_http_result_t *result, uint64_t fence,
                                         const wb_inventory_t *inventory) {
-    if (result->outcome != WB_HTTP_ANSWERED || inventory == NULL)
-        return WB_ORDER_LOST;
+    if (result->outcome != WB_HTTP_COMPLETED || inventory == NULL)
+        return WB_ORDER_NO_RESPONSE;
     if (result->status == 200 || result->status == 202)
-        return WB_ORDER_TAKEN;
+        return WB_ORDER_ACCEPTED;
     return inventory->fence > fence || result->status == 409 ? WB_ORDER_STALE : WB_ORDER_REFUSED;
 }
 
 static void order_done(const wb_http_result_t *result, void *context) {
     order_call_t *call = context;
     wb_engine_client_t *client = call->client;
-    wb_inventory_t *inventory = result->outcome == WB_HTTP_ANSWERED ? inventory_read(result) : NULL;
+    wb_inventory_t *inventory = result->outcome == WB_HTTP_COMPLETED ? inventory_read(result) : NULL;
     wb_order_outcome_t outcome = order_outcome(result, call->fence, inventory);
     if (inventory != NULL && inventory->fence == call->fence && outcome == WB_ORDER_STALE)
         outcome = WB_ORDER_REFUSED; /* 409 for this order: the model is being unloaded */
-    if (outcome != WB_ORDER_TAKEN)
+    if (outcome != WB_ORDER_ACCEPTED)
         wb_log_info(WB_LOG_ENGINE,
                     "Engine %s did not accept order %" G_GUINT64_FORMAT ": status %u %s.",
                     call->engine, (guint64)call->fence, result->status, result->reason);
@@ -197,7 +197,7 @@
     follow_t *follow = context;
     wb_engine_client_t *client = follow->client;
     follow->calling = FALSE;
-    wb_inventory_t *inventory = result->outcome == WB_HTTP_ANSWERED && result->status == 200
+    wb_inventory_t *inventory = result->outcome == WB_HTTP_COMPLETED && result->status == 200
                                     ? inventory_read(result)
                                     : NULL;
     if (follow->stopped) {
--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -27,8 +27,8 @@
         cell != NULL ? gateway->parts.find_owner(cell, gateway->parts.context) : NULL;
     if (owner == NULL)
         return;
-    wb_wire_message message = {.kind = WB_WIRE_CLAIM_WANT};
-    wb_wire_claim_want *want = &message.wb_wire_message_u.claim_want;
+    wb_wire_message message = {.kind = WB_WIRE_CLAIM_REQUEST};
+    wb_wire_claim_request *want = &message.wb_wire_message_u.claim_request;
     want->request = request->claim_number;
     want->model = request->model;
     want->key = request->key;
@@ -70,7 +70,7 @@
 }
 
 /* The key ran, or runs, elsewhere: read that run's answer. */
-static void claim_follow(gw_request_t *request, const wb_wire_claim_show *show) {
+static void claim_follow(gw_request_t *request, const wb_wire_claim_response *show) {
     target_release(request, FALSE, FALSE, 0);
     g_free(request->engine);
     g_free(request->engine_address);
@@ -88,7 +88,7 @@
     run_attach(request);
 }
 
-static void claim_answer_kept(gw_request_t *request, const wb_wire_claim_show *show) {
+static void claim_answer_kept(gw_request_t *request, const wb_wire_claim_response *show) {
     if (*show->answer == '\0' || request->streaming) {
         claim_follow(request, show);
         return;
@@ -109,7 +109,7 @@
     request_unref(request);
 }
 
-void claim_show(wb_gateway_t *gateway, const wb_wire_claim_show *show) {
+void claim_response(wb_gateway_t *gateway, const wb_wire_claim_response *show) {
     if (show->state == WB_WIRE_CLAIM_REFUSED)
         return; /* claims_check asks again, or gives up */
     gw_request_t *request = claim_take(gateway, show->request);
@@ -151,7 +151,7 @@
     claim_tell_t *tell = context;
     wb_gateway_t *gateway = tell->gateway;
     const char *owner = gateway->parts.find_owner(tell->cell, gateway->parts.context);
-    wb_wire_message message = {.kind = WB_WIRE_CLAIM_DONE_NOTE};
+    wb_wire_message message = {.kind = WB_WIRE_CLAIM_DONE_NOTICE};
     wb_wire_claim_done *done = &message.wb_wire_message_u.claim_done;
     done->model = tell->model;
     done->key = tell->key;
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -227,13 +227,13 @@
     return TRUE;
 }
 
-gboolean wb_gateway_message(wb_gateway_t *gateway, const char *node,
+gboolean wb_gateway_on_message(wb_gateway_t *gateway, const char *node,
                             const wb_wire_message *message) {
     (void)node;
-    if (message->kind == WB_WIRE_ROUTE_SHOW)
-        target_show(gateway, &message->wb_wire_message_u.route_show);
-    else if (message->kind == WB_WIRE_CLAIM_SHOW)
-        claim_show(gateway, &message->wb_wire_message_u.claim_show);
+    if (message->kind == WB_WIRE_ROUTE_UPDATE)
+        target_show(gateway, &message->wb_wire_message_u.route_update);
+    else if (message->kind == WB_WIRE_CLAIM_RESPONSE)
+        claim_response(gateway, &message->wb_wire_message_u.claim_response);
     else
         return FALSE;
     return TRUE;
@@ -243,7 +243,7 @@
     return &gateway->counters;
 }
 
-gint wb_gateway_open(const wb_gateway_t *gateway) {
+gint wb_gateway_open_requests(const wb_gateway_t *gateway) {
     return g_atomic_int_get(&gateway->counters.open);
 }
 
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -147,7 +147,7 @@
 int64_t request_time_left_ms(const gw_request_t *request);
 void request_why(gw_request_t *request, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/* answer.c: each ends the request */
+/* response.c: each ends the request */
 void answer_error(gw_request_t *request, unsigned status, const char *type, const char *code,
                   wb_verdict_t verdict, int64_t retry_after_ms, const char *message);
 void answer_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
@@ -175,10 +175,10 @@
 void target_release(gw_request_t *request, gboolean success, gboolean refused, int64_t down_ms);
 /* Notes whether the owner could be told of what waits. Returns TRUE when those that wait have
  * waited long enough for one. */
-gboolean target_owner_is_missing(gw_target_t *target, gboolean lost, int64_t now_ms,
+gboolean target_update_owner_loss(gw_target_t *target, gboolean lost, int64_t now_ms,
                                  int64_t wait_ms);
 int64_t target_predict_ms(const gw_target_t *target);
-void target_show(wb_gateway_t *gateway, const wb_wire_route_show *show);
+void target_show(wb_gateway_t *gateway, const wb_wire_route_update *show);
 
 /* run.c */
 void run_start_all(GQueue *starting);
@@ -190,11 +190,11 @@
 
 /* claim.c */
 void claim_ask(gw_request_t *request, uint64_t retry_of);
-void claim_show(wb_gateway_t *gateway, const wb_wire_claim_show *show);
+void claim_response(wb_gateway_t *gateway, const wb_wire_claim_response *show);
 void claim_tell_done(gw_request_t *request, unsigned status, const char *answer, size_t length);
 void claims_check(wb_gateway_t *gateway, int64_t now_ms);
 
-/* want.c */
+/* target_demand.c */
 void wants_tick(void *context);
 void want_now(wb_gateway_t *gateway);
 
--- a/src/gateway/run.c
+++ b/src/gateway/run.c
@@ -327,7 +327,7 @@
     gw_request_t *request = context;
     json_t *body = json_loadb(result->body, result->body_length, 0, NULL);
     const char *was = wb_json_text(body, "was", "");
-    gboolean answered = result->outcome == WB_HTTP_ANSWERED && result->status == 200;
+    gboolean answered = result->outcome == WB_HTTP_COMPLETED && result->status == 200;
     if (answered && (strcmp(was, "never-seen") == 0 || strcmp(was, "waiting") == 0 ||
                      strcmp(was, "forbidden") == 0)) {
         /* The engine will refuse the stream if it still arrives: the run did not happen. */
@@ -449,7 +449,7 @@
     call_set(request, NULL);
     if (request->seed == NULL && result->seed != NULL)
         request->seed = g_strdup(result->seed);
-    gboolean answered = result->outcome == WB_HTTP_ANSWERED;
+    gboolean answered = result->outcome == WB_HTTP_COMPLETED;
     gboolean whole =
         answered && result->status == 200 && (!request->streaming || request->done_seen);
     if (whole || (request->streaming && request->done_seen))
--- a/src/gateway/target.c
+++ b/src/gateway/target.c
@@ -180,7 +180,7 @@
     run_start_all(&starting);
 }
 
-gboolean target_owner_is_missing(gw_target_t *target, gboolean lost, int64_t now_ms,
+gboolean target_update_owner_loss(gw_target_t *target, gboolean lost, int64_t now_ms,
                                  int64_t wait_ms) {
     if (wb_fair_queue_length(target->queue) == 0) {
         /* Time in which nobody waited is no wait: an earlier loss may long be over. */
@@ -208,7 +208,7 @@
     return ahead <= 0.0 ? 0 : (int64_t)(ahead / windows * target->service_ms);
 }
 
-static void replicas_update(gw_target_t *target, const wb_wire_route_show *show) {
+static void replicas_update(gw_target_t *target, const wb_wire_route_update *show) {
     for (guint i = 0; i < target->replicas->len; i++)
         ((gw_replica_t *)target->replicas->pdata[i])->shown = FALSE;
     for (u_int i = 0; i < show->replicas.replicas_len; i++) {
@@ -260,7 +260,7 @@
     }
 }
 
-void target_show(wb_gateway_t *gateway, const wb_wire_route_show *show) {
+void target_show(wb_gateway_t *gateway, const wb_wire_route_update *show) {
     static const gw_route_state_t states[] = {ROUTE_READY, ROUTE_WAKING, ROUTE_REFUSED,
                                               ROUTE_UNKNOWN, ROUTE_BUSY};
     gw_shard_t *shard = shard_of(gateway, show->model, show->adapter);
--- a/src/gateway/want.c
+++ b/src/gateway/target_demand.c
@@ -39,8 +39,8 @@
         return FALSE;
     int64_t deadline_ms = 0;
     wb_fair_queue_each(target->queue, smallest_deadline, &deadline_ms);
-    wb_wire_message message = {.kind = WB_WIRE_ROUTE_WANT};
-    wb_wire_route_want *want = &message.wb_wire_message_u.route_want;
+    wb_wire_message message = {.kind = WB_WIRE_ROUTE_SUBSCRIBE};
+    wb_wire_route_subscribe *want = &message.wb_wire_message_u.route_subscribe;
     want->model = target->model;
     want->adapter = target->adapter;
     want->waiting = wb_fair_queue_length(target->queue);
@@ -93,7 +93,7 @@
     int64_t now_ms = expiry->now_ms;
     gboolean lost = want_is_due(target, now_ms) && !want_send(gateway, target, now_ms);
     expiry->no_owner =
-        target_owner_is_missing(target, lost, now_ms, gateway->options.no_owner_wait_ms);
+        target_update_owner_loss(target, lost, now_ms, gateway->options.no_owner_wait_ms);
     wb_fair_queue_remove(target->queue, request_is_over, expiry);
     target_dispatch(gateway, target, starting, now_ms);
 }
--- a/src/http/http_client.c
+++ b/src/http/http_client.c
@@ -121,7 +121,7 @@
 }
 
 static void call_finish(wb_http_call_t *call, CURLcode code) {
-    wb_http_result_t result = {WB_HTTP_BROKEN,
+    wb_http_result_t result = {WB_HTTP_INCOMPLETE,
                                0,
                                call->answer->str,
                                call->answer->len,
@@ -132,7 +132,7 @@
     curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
     result.status = (unsigned)status;
     if (code == CURLE_OK)
-        result.outcome = WB_HTTP_ANSWERED;
+        result.outcome = WB_HTTP_COMPLETED;
     else if (!call->got_bytes && call_was_not_sent(call->easy, code))
         result.outcome = WB_HTTP_NOT_SENT;
     if (call->reason[0] == '\0' && code != CURLE_OK)
--- a/src/http/http_listener.c
+++ b/src/http/http_listener.c
@@ -40,7 +40,7 @@
 
 static void connection_advance(wb_http_connection_t *connection);
 
-const char *wb_http_reason(unsigned status) {
+const char *wb_http_status_reason(unsigned status) {
     switch (status) {
     case 200:
         return "OK";
@@ -120,7 +120,7 @@
         connection_advance(connection);
 }
 
-void wb_http_connection_answer(wb_http_connection_t *connection, unsigned status,
+void wb_http_connection_reply(wb_http_connection_t *connection, unsigned status,
                                const char *reason, const char *headers, const void *body,
                                size_t length) {
     if (connection->listener->draining)
@@ -191,7 +191,7 @@
 static void connection_refuse(wb_http_connection_t *connection, unsigned status) {
     connection->keep_alive = FALSE;
     connection->running = TRUE;
-    wb_http_connection_answer(connection, status, wb_http_reason(status), "", NULL, 0);
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status), "", NULL, 0);
 }
 
 static void reader_head(wb_http_reader_t *reader, const wb_http_head_t *head, void *context) {
@@ -233,10 +233,10 @@
 static const wb_http_reader_events_t reader_events = {reader_head, reader_body, reader_complete};
 
 static unsigned failure_status(const wb_http_connection_t *connection) {
-    switch (wb_http_reader_failure(connection->reader)) {
-    case WB_HTTP_FAILURE_HEAD_TOO_LARGE:
+    switch (wb_http_reader_error(connection->reader)) {
+    case WB_HTTP_PARSE_HEAD_TOO_LARGE:
         return 431;
-    case WB_HTTP_FAILURE_SYNTAX:
+    case WB_HTTP_PARSE_SYNTAX:
         return 400;
     default:
         return connection->refusal;
@@ -282,7 +282,7 @@
     connection_advance(connection);
 }
 
-static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)how;
     wb_http_connection_t *connection = context;
     wb_http_listener_t *listener = connection->listener;
@@ -384,7 +384,7 @@
     }
 }
 
-unsigned wb_http_listener_busy(const wb_http_listener_t *listener) {
+unsigned wb_http_listener_active_count(const wb_http_listener_t *listener) {
     unsigned busy = 0;
     GHashTableIter iter;
     gpointer key;
--- a/src/http/http_peer.c
+++ b/src/http/http_pool.c
@@ -1,5 +1,5 @@
 /* Short HTTP calls over a few kept connections. */
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 
 #include "wickbridge/tcp_stream.h"
 
@@ -10,7 +10,7 @@
 #define KEPT_CONNECTIONS 4
 #define KEPT_FOR_MS 4000
 
-struct wb_http_peer_t {
+struct wb_http_pool_t {
     wb_loop_t *loop;
     char *address;
     int64_t connect_timeout_ms;
@@ -21,7 +21,7 @@
 
 /* A connection, with the call that runs on it. */
 struct wb_http_call_t {
-    wb_http_peer_t *peer;
+    wb_http_pool_t *peer;
     wb_tcp_stream_t *stream;
     wb_http_reader_t *reader;
     wb_timer_t *timer;
@@ -104,7 +104,7 @@
 
 /* The answer is whole: keep or close the connection, then tell the owner, who may free the peer. */
 static void call_answered(wb_http_call_t *call, gboolean keep) {
-    wb_http_peer_t *peer = call->peer;
+    wb_http_pool_t *peer = call->peer;
     wb_http_request_t request = call->request;
     unsigned status = call->status;
     g_autoptr(GByteArray) body = call->body;
@@ -120,7 +120,7 @@
     } else {
         connection_free(call);
     }
-    wb_http_result_t result = {WB_HTTP_ANSWERED, status, (const char *)body->data, body->len,
+    wb_http_result_t result = {WB_HTTP_COMPLETED, status, (const char *)body->data, body->len,
                                FALSE};
     request.on_result(&result, request.context);
 }
@@ -152,14 +152,14 @@
             call_answered(call, length == 0);
             return;
         }
-        if (used == 0 || wb_http_reader_failure(call->reader) != WB_HTTP_FAILURE_NONE) {
+        if (used == 0 || wb_http_reader_error(call->reader) != WB_HTTP_PARSE_OK) {
             call_break(call);
             return;
         }
     }
 }
 
-static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)stream;
     wb_http_call_t *call = context;
     if (is_kept(call)) {
@@ -168,7 +168,7 @@
     }
     call->refused = how == WB_TCP_END_REFUSED;
     if (how == WB_TCP_END_CLOSED)
-        wb_http_reader_end(call->reader);
+        wb_http_reader_eof(call->reader);
     if (call->whole)
         call_answered(call, FALSE);
     else
@@ -193,9 +193,9 @@
 
 static const wb_tcp_events_t stream_events = {stream_open, stream_data, stream_end, NULL};
 
-wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
+wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
-    wb_http_peer_t *peer = g_new0(wb_http_peer_t, 1);
+    wb_http_pool_t *peer = g_new0(wb_http_pool_t, 1);
     peer->loop = loop;
     peer->address = g_strdup(address);
     peer->connect_timeout_ms = connect_timeout_ms;
@@ -205,7 +205,7 @@
     return peer;
 }
 
-void wb_http_peer_free(wb_http_peer_t *peer) {
+void wb_http_pool_free(wb_http_pool_t *peer) {
     for (guint i = 0; i < peer->calls->len; i++)
         connection_free(g_ptr_array_index(peer->calls, i));
     for (guint i = 0; i < peer->kept->len; i++)
@@ -216,7 +216,7 @@
     g_free(peer);
 }
 
-static GString *request_text(const wb_http_peer_t *peer, const wb_http_request_t *request) {
+static GString *request_text(const wb_http_pool_t *peer, const wb_http_request_t *request) {
     GString *text = g_string_sized_new(512);
     g_string_printf(text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s", request->method, request->target,
                     peer->address, request->headers != NULL ? request->headers : "");
@@ -228,7 +228,7 @@
 }
 
 /* Returns a kept connection that is surely young enough, or NULL. */
-static wb_http_call_t *kept_take(wb_http_peer_t *peer) {
+static wb_http_call_t *kept_take(wb_http_pool_t *peer) {
     while (peer->kept->len > 0) {
         wb_http_call_t *call = g_ptr_array_index(peer->kept, peer->kept->len - 1);
         if (wb_clock_ms() - call->kept_since_ms <= KEPT_FOR_MS &&
@@ -247,7 +247,7 @@
     call_break(call);
 }
 
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request) {
+void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request) {
     wb_http_call_t *call = request->fresh ? NULL : kept_take(peer);
     gboolean reused = call != NULL;
     if (!reused) {
--- a/src/http/http_reader.c
+++ b/src/http/http_reader.c
@@ -26,7 +26,7 @@
     gboolean inside;
     gboolean in_body;
     gboolean whole;
-    wb_http_failure_t failure;
+    wb_http_parse_error_t failure;
 };
 
 static const char *const hop_headers[] = {"Connection",
@@ -71,7 +71,7 @@
     return NULL;
 }
 
-int64_t wb_http_head_number(const wb_http_head_t *head, const char *name, int64_t fallback) {
+int64_t wb_http_head_get_integer(const wb_http_head_t *head, const char *name, int64_t fallback) {
     const char *text = wb_http_head_get(head, name);
     if (text == NULL || !g_ascii_isdigit(*text))
         return fallback;
@@ -187,7 +187,7 @@
     } else {
         head->status = parser->status_code;
         head->reason = g_strdup(reader->reason->str);
-        head->ends_with_connection = answer_has_no_end(reader);
+        head->ends_at_close = answer_has_no_end(reader);
     }
     head->minor_version = parser->http_minor;
     head->keep_alive = http_should_keep_alive(parser) != 0;
@@ -257,20 +257,20 @@
 }
 
 size_t wb_http_reader_feed(wb_http_reader_t *reader, const char *data, size_t length) {
-    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->whole || length == 0)
+    if (reader->failure != WB_HTTP_PARSE_OK || reader->whole || length == 0)
         return 0;
     size_t used = http_parser_execute(&reader->parser, &parser_settings, data, length);
     enum http_errno code = HTTP_PARSER_ERRNO(&reader->parser);
     if (code == HPE_HEADER_OVERFLOW || reader->head_bytes > reader->head_limit_bytes)
-        reader->failure = WB_HTTP_FAILURE_HEAD_TOO_LARGE;
+        reader->failure = WB_HTTP_PARSE_HEAD_TOO_LARGE;
     else if (code != HPE_OK && code != HPE_PAUSED)
-        reader->failure = WB_HTTP_FAILURE_SYNTAX;
+        reader->failure = WB_HTTP_PARSE_SYNTAX;
     whole_tell(reader);
     return used;
 }
 
-void wb_http_reader_end(wb_http_reader_t *reader) {
-    if (reader->failure != WB_HTTP_FAILURE_NONE || reader->whole || !reader->inside)
+void wb_http_reader_eof(wb_http_reader_t *reader) {
+    if (reader->failure != WB_HTTP_PARSE_OK || reader->whole || !reader->inside)
         return;
     http_parser_execute(&reader->parser, &parser_settings, NULL, 0);
     whole_tell(reader);
@@ -289,7 +289,7 @@
     reader->in_body = FALSE;
 }
 
-wb_http_failure_t wb_http_reader_failure(const wb_http_reader_t *reader) {
+wb_http_parse_error_t wb_http_reader_error(const wb_http_reader_t *reader) {
     return reader->failure;
 }
 
--- a/src/load/load.c
+++ b/src/load/load.c
@@ -71,7 +71,7 @@
 static void stream_ended(const wb_http_result_t *outcome, void *context) {
     load_stream_t *stream = context;
     load_run_t *run = stream->run;
-    gboolean answered = outcome->outcome == WB_HTTP_ANSWERED;
+    gboolean answered = outcome->outcome == WB_HTTP_COMPLETED;
     gboolean has_last_event = memcmp(stream->tail + 1, "data: [DONE]\n\n", 14) == 0;
     if (answered && outcome->status == 200 && has_last_event &&
         stream->events == run->plan->tokens + 2)
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -161,7 +161,7 @@
         wire->epoch = owner->epoch;
     }
     for (guint i = 0; i < targets->len; i++)
-        wb_peers_send_open(membership->peers, targets->pdata[i], &message);
+        wb_peers_send_if_connected(membership->peers, targets->pdata[i], &message);
 }
 
 static void gossip_send_since(wb_membership_t *membership, const char *node, int64_t since_ms) {
@@ -193,12 +193,12 @@
     if (g_hash_table_size(membership->changed_members) == 0 &&
         g_hash_table_size(membership->changed_cells) == 0)
         return;
-    g_autoptr(GPtrArray) targets = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) targets = wb_peers_overlay_nodes(membership->peers);
     if (targets->len < MIN_OVERLAY_LINKS) {
         /* A joining node needs neighbours at once; otherwise the next heartbeat connects them. */
         overlay_maintain(membership);
         g_ptr_array_unref(targets);
-        targets = wb_peers_overlay(membership->peers);
+        targets = wb_peers_overlay_nodes(membership->peers);
     }
     gossip_filter_t filter = {membership->changed_members, membership->changed_cells, INT64_MIN};
     gossip_send(membership, targets, &filter);
@@ -302,7 +302,7 @@
             continue;
         member_set_state(membership, node, WB_MEMBER_SUSPECT);
         if (unresponsive_ms > 2 * membership->suspect_after_ms)
-            wb_peers_drop(membership->peers, node, "unresponsive");
+            wb_peers_disconnect(membership->peers, node, "unresponsive");
     }
 }
 
@@ -320,7 +320,7 @@
 
 /* Connects to this node's overlay neighbours and releases former ones. */
 static void overlay_maintain(wb_membership_t *membership) {
-    g_autoptr(GPtrArray) overlay = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) overlay = wb_peers_overlay_nodes(membership->peers);
     g_autoptr(GPtrArray) neighbours =
         wb_member_table_neighbours(membership->table, membership->self.node);
     for (guint i = 0; i < neighbours->len; i++)
@@ -366,12 +366,12 @@
     heartbeat->member_digest = wb_member_table_digest(membership->table);
     heartbeat->owner_digest = membership->owner_digest;
     for (guint i = 0; i < overlay->len; i++)
-        wb_peers_send_open(membership->peers, overlay->pdata[i], &message);
+        wb_peers_send_if_connected(membership->peers, overlay->pdata[i], &message);
 }
 
 static void heartbeat_tick(void *context) {
     wb_membership_t *membership = context;
-    g_autoptr(GPtrArray) overlay = wb_peers_overlay(membership->peers);
+    g_autoptr(GPtrArray) overlay = wb_peers_overlay_nodes(membership->peers);
     neighbours_check(membership, overlay);
     suspects_check(membership);
     overlay_maintain(membership);
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -74,7 +74,7 @@
     link_fail(link, link->break_reason);
 }
 
-void wb_link_break(wb_link_t *link, const char *reason) {
+void wb_link_close_later(wb_link_t *link, const char *reason) {
     if (link->break_timer != NULL)
         return;
     link->break_reason = g_strdup(reason);
@@ -138,7 +138,7 @@
     int16_t events = APR_POLLIN;
     if (link->unsent->len > 0)
         events |= APR_POLLOUT;
-    wb_watch_change(link->watch, events);
+    wb_watch_set_events(link->watch, events);
     return TRUE;
 }
 
@@ -146,9 +146,9 @@
 static void message_queued(wb_link_t *link) {
     link->counters->messages_sent++;
     if (link->unsent->len > UNSENT_LIMIT_BYTES)
-        wb_link_break(link, "the peer doesn't read");
+        wb_link_close_later(link, "the peer doesn't read");
     else if (link->open && !link_flush(link))
-        wb_link_break(link, "sending failed");
+        wb_link_close_later(link, "sending failed");
 }
 
 void wb_link_send(wb_link_t *link, const wb_wire_message *message) {
@@ -210,7 +210,7 @@
         link->counters->messages_unknown++;
         return TRUE;
     }
-    if (wb_message_decode_parts(data, length, &message, &parts, &error) != APR_SUCCESS) {
+    if (wb_message_decode_with_extensions(data, length, &message, &parts, &error) != APR_SUCCESS) {
         wb_log_warning(WB_LOG_LINK, "A link sent something odd: %s.", error.message);
         *bad = TRUE;
         return FALSE;
@@ -282,7 +282,7 @@
     if (link->events.on_open != NULL)
         link->events.on_open(link, link->events.context);
     if (!link_flush(link))
-        wb_link_break(link, "sending failed");
+        wb_link_close_later(link, "sending failed");
 }
 
 static void handshake_ready(int16_t events, void *context) {
@@ -295,13 +295,13 @@
         link_opened(link);
         break;
     case WB_TLS_WANTS_READ:
-        wb_watch_change(link->watch, APR_POLLIN);
+        wb_watch_set_events(link->watch, APR_POLLIN);
         break;
     case WB_TLS_WANTS_WRITE:
-        wb_watch_change(link->watch, APR_POLLOUT);
+        wb_watch_set_events(link->watch, APR_POLLOUT);
         break;
     default:
-        wb_log_warning(WB_LOG_LINK, "A link was refused: %s.", wb_tls_session_failure(link->tls));
+        wb_log_warning(WB_LOG_LINK, "A link was refused: %s.", wb_tls_session_error(link->tls));
         link_fail(link, "the TLS handshake failed");
     }
 }
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -229,7 +229,7 @@
     return watch;
 }
 
-void wb_watch_change(wb_watch_t *watch, int16_t events) {
+void wb_watch_set_events(wb_watch_t *watch, int16_t events) {
     if (watch->descriptor.reqevents == events)
         return;
     apr_pollset_remove(watch->loop->pollset, &watch->descriptor);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -98,7 +98,7 @@
         if (g_hash_table_lookup(peers->by_node, expected) == peer)
             g_hash_table_remove(peers->by_node, expected);
         peer->node = NULL;
-        peers->events.on_replaced(expected, hello->node, peers->events.context);
+        peers->events.on_address_reused(expected, hello->node, peers->events.context);
     }
     if (peer->node == NULL)
         peer->node = g_strdup(hello->node);
@@ -115,14 +115,14 @@
     if (message->kind == WB_WIRE_HELLO) {
         gboolean first = !peer->greeted;
         if (!greeting_take(peer, &message->wb_wire_message_u.hello))
-            wb_link_break(link, "its greeting doesn't fit");
+            wb_link_close_later(link, "its greeting doesn't fit");
         else if (first)
             peers->events.on_up(peer->node, peer->overlay_wanted || peer->overlay_asked,
                                 peers->events.context);
         return;
     }
     if (!peer->greeted) {
-        wb_link_break(link, "it didn't greet");
+        wb_link_close_later(link, "it didn't greet");
         return;
     }
     if (message->kind != WB_WIRE_HEARTBEAT)
@@ -225,7 +225,7 @@
     return TRUE;
 }
 
-gboolean wb_peers_send_open(wb_peers_t *peers, const char *node, const wb_wire_message *message) {
+gboolean wb_peers_send_if_connected(wb_peers_t *peers, const char *node, const wb_wire_message *message) {
     wb_peer_t *peer = g_hash_table_lookup(peers->by_node, node);
     if (peer == NULL)
         return FALSE;
@@ -252,7 +252,7 @@
     peer_open(peers, NULL, address, FALSE);
 }
 
-GPtrArray *wb_peers_overlay(wb_peers_t *peers) {
+GPtrArray *wb_peers_overlay_nodes(wb_peers_t *peers) {
     GPtrArray *nodes = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < peers->all->len; i++) {
         const wb_peer_t *peer = peers->all->pdata[i];
@@ -281,11 +281,11 @@
     greeting_send(peer);
 }
 
-void wb_peers_drop(wb_peers_t *peers, const char *node, const char *reason) {
+void wb_peers_disconnect(wb_peers_t *peers, const char *node, const char *reason) {
     for (guint i = 0; i < peers->all->len; i++) {
         wb_peer_t *peer = peers->all->pdata[i];
         if (peer->node != NULL && strcmp(peer->node, node) == 0)
-            wb_link_break(peer->link, reason);
+            wb_link_close_later(peer->link, reason);
     }
 }
 
@@ -304,6 +304,6 @@
     return &peers->counters;
 }
 
-unsigned wb_peers_open_links(const wb_peers_t *peers) {
+unsigned wb_peers_link_count(const wb_peers_t *peers) {
     return peers->all->len;
 }
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -89,7 +89,7 @@
     return FALSE;
 }
 
-static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how) {
+static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how) {
     if (stream->ended)
         return;
     stream->ended = TRUE;
@@ -97,7 +97,7 @@
         wb_tcp_stream_close(stream);
         return;
     }
-    wb_watch_change(stream->watch, 0);
+    wb_watch_set_events(stream->watch, 0);
     callback_enter(stream);
     stream->events->on_end(stream, how, stream->context);
     callback_leave(stream);
@@ -111,7 +111,7 @@
         events |= APR_POLLIN;
     if (stream->unsent->len > 0)
         events |= APR_POLLOUT;
-    wb_watch_change(stream->watch, events);
+    wb_watch_set_events(stream->watch, events);
 }
 
 static void linger_over(void *context) {
--- a/src/net/tls.c
+++ b/src/net/tls.c
@@ -94,6 +94,6 @@
     return result == 0 ? WB_TLS_ENDED : step_from(session, result);
 }
 
-const char *wb_tls_session_failure(const wb_tls_session_t *session) {
+const char *wb_tls_session_error(const wb_tls_session_t *session) {
     return session->failure != 0 ? gnutls_strerror(session->failure) : "the connection broke";
 }
--- a/src/node/metrics.c
+++ b/src/node/metrics.c
@@ -38,7 +38,7 @@
                  counters->messages_sent);
     figure_write(text, "link_messages_received_total", "counter", "Messages received from nodes.",
                  counters->messages_received);
-    figure_write(text, "links_open", "gauge", "Links to nodes.", wb_peers_open_links(peers));
+    figure_write(text, "links_open", "gauge", "Links to nodes.", wb_peers_link_count(peers));
 }
 
 static int64_t members_up(wb_node_t *node) {
@@ -60,7 +60,7 @@
     figure_write(text, "config_version", "gauge", "Configuration in force here.",
                  (int64_t)wb_config_store_current(wb_node_config_store(node))->version);
     figure_write(text, "cells_owned", "gauge", "Cells owned here.",
-                 wb_cell_host_owned(wb_node_cell_host(node)));
+                 wb_cell_host_owned_count(wb_node_cell_host(node)));
     figure_write(text, "table_operations_total", "counter", "Operations sent to the table service.",
                  wb_platform_table_operations(wb_node_platform(node)));
     return text;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -30,9 +30,9 @@
 
 static void message_deliver(wb_node_t *node, const char *from, const wb_wire_message *message) {
     if (wb_membership_message(node->membership, from, message) ||
-        wb_config_store_message(node->config_store, from, message) ||
-        wb_cell_host_message(node->cell_host, from, message) ||
-        wb_gateway_message(node->gateway, from, message))
+        wb_config_store_handle_message(node->config_store, from, message) ||
+        wb_cell_host_on_message(node->cell_host, from, message) ||
+        wb_gateway_on_message(node->gateway, from, message))
         return;
     wb_log_info(WB_LOG_NODE, "A %s message from %s was not expected.",
                 wb_message_kind_name(message->kind), from);
@@ -104,7 +104,7 @@
 static void member_changed(const wb_member_t *member, void *context) {
     wb_node_t *node = context;
     if (node->cell_host != NULL)
-        wb_cell_host_member(node->cell_host, member);
+        wb_cell_host_on_member(node->cell_host, member);
 }
 
 static void owner_changed(const char *cell, const char *owner, uint64_t epoch, void *context) {
@@ -123,11 +123,11 @@
     wb_node_t *node = context;
     wb_membership_set_config_version(node->membership, config->version);
     wb_gateway_set_config(node->gateway, config);
-    wb_cell_host_config(node->cell_host, config);
+    wb_cell_host_set_config(node->cell_host, config);
 }
 
 static void ready_check(void *context) {
-    wb_node_is_ready(context);
+    wb_node_update_ready(context);
 }
 
 /* A name of its own for each start: who restarts has lost what it knew. */
@@ -262,7 +262,7 @@
 }
 
 gboolean wb_node_is_drained(wb_node_t *node) {
-    return wb_cell_host_hand_over(node->cell_host) && wb_gateway_open(node->gateway) == 0;
+    return wb_cell_host_hand_over(node->cell_host) && wb_gateway_open_requests(node->gateway) == 0;
 }
 
 void wb_node_leave(wb_node_t *node) {
@@ -297,7 +297,7 @@
     return node->platform;
 }
 
-gboolean wb_node_is_ready(wb_node_t *node) {
+gboolean wb_node_update_ready(wb_node_t *node) {
     gboolean ready = !node->draining && wb_config_store_is_ready(node->config_store);
     wb_gateway_set_ready(node->gateway, ready);
     return ready;
--- a/src/node/operators.c
+++ b/src/node/operators.c
@@ -56,9 +56,9 @@
     wb_config_store_t *store = wb_node_config_store(node);
     reply_json(call->exchange, 200,
                json_pack("{s:s, s:b, s:I, s:i, s:o, s:o}", "node", wb_node_name(node), "ready",
-                         wb_node_is_ready(node), "config_version",
+                         wb_node_update_ready(node), "config_version",
                          (json_int_t)wb_config_store_current(store)->version, "open_requests",
-                         wb_gateway_open(wb_node_gateway(node)), "members", members_describe(node),
+                         wb_gateway_open_requests(wb_node_gateway(node)), "members", members_describe(node),
                          "cells", wb_cell_host_status(wb_node_cell_host(node))));
 }
 
@@ -159,7 +159,7 @@
 }
 
 static void ready_show(operator_call_t *call) {
-    gboolean ready = wb_node_is_ready(call->operators->node);
+    gboolean ready = wb_node_update_ready(call->operators->node);
     reply_json(call->exchange, ready ? 200 : 503, json_pack("{s:b}", "ready", ready));
 }
 
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -35,7 +35,7 @@
 static wb_platform_status_t status_from(const wb_http_result_t *result) {
     if (result->outcome == WB_HTTP_NOT_SENT)
         return WB_PLATFORM_UNAVAILABLE;
-    if (result->outcome == WB_HTTP_BROKEN)
+    if (result->outcome == WB_HTTP_INCOMPLETE)
         return WB_PLATFORM_UNKNOWN;
     switch (result->status) {
     case 200:
@@ -90,11 +90,11 @@
     wb_http_client_fetch(platform->client, platform->loop, &request);
 }
 
-json_t *wb_platform_check(const char *key, int64_t version) {
+json_t *wb_platform_make_check(const char *key, int64_t version) {
     return json_pack("{s:s, s:I}", "key", key, "version", (json_int_t)version);
 }
 
-json_t *wb_platform_write(const char *key, json_t *value) {
+json_t *wb_platform_make_write(const char *key, json_t *value) {
     return json_pack("{s:s, s:o}", "key", key, "value", value != NULL ? value : json_null());
 }
 
@@ -115,13 +115,13 @@
     call_start(platform, "GET", full, NULL, done, context);
 }
 
-void wb_platform_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
+void wb_platform_read_row(wb_platform_t *platform, const char *key, wb_platform_done_fn done,
                      void *context) {
     platform->table_operations++;
     query_start(platform, "/table/v1/row?key=", key, done, context);
 }
 
-void wb_platform_scan(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
+void wb_platform_scan_rows(wb_platform_t *platform, const char *prefix, wb_platform_done_fn done,
                       void *context) {
     platform->table_operations++;
     query_start(platform, "/table/v1/scan?prefix=", prefix, done, context);
@@ -141,7 +141,7 @@
     call_start(platform, "GET", path, NULL, done, context);
 }
 
-void wb_platform_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
+void wb_platform_list_machines(wb_platform_t *platform, int64_t after, wb_platform_done_fn done,
                           void *context) {
     g_autofree char *path =
         g_strdup_printf("/machines/v1/list?after=%" G_GINT64_FORMAT, (gint64)after);
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -119,13 +119,13 @@
     if (!is_number)
         return luaL_error(lua, "%s returns %s, but must return a whole number", call->function,
                           luaL_typename(lua, -1));
-    if (call->answer < 0 || call->answer > WB_POLICY_MOST_MS)
+    if (call->answer < 0 || call->answer > WB_POLICY_MAX_MS)
         return luaL_error(lua, "%s returns %I, but must return 0 to %I", call->function,
-                          (LUAI_UACINT)call->answer, (LUAI_UACINT)WB_POLICY_MOST_MS);
+                          (LUAI_UACINT)call->answer, (LUAI_UACINT)WB_POLICY_MAX_MS);
     return 0;
 }
 
-static wb_policy_answer_t program_call(wb_policy_program_t *program, policy_call_t *call,
+static wb_policy_result_t program_call(wb_policy_program_t *program, policy_call_t *call,
                                        int64_t *answer, wb_error_t *error) {
     lua_State *lua = program->lua;
     lua_settop(lua, 0);
@@ -141,17 +141,17 @@
     if (!call->defined)
         return WB_POLICY_UNDEFINED;
     *answer = call->answer;
-    return WB_POLICY_ANSWERED;
+    return WB_POLICY_OK;
 }
 
-wb_policy_answer_t wb_policy_keep_alive(wb_policy_program_t *program,
+wb_policy_result_t wb_policy_keep_alive(wb_policy_program_t *program,
                                         const wb_policy_model_t *model, int64_t *keep_alive_ms,
                                         wb_error_t *error) {
     policy_call_t call = {"keep_alive_ms", model, NULL, FALSE, 0};
     return program_call(program, &call, keep_alive_ms, error);
 }
 
-wb_policy_answer_t wb_policy_placement_cost(wb_policy_program_t *program,
+wb_policy_result_t wb_policy_placement_cost(wb_policy_program_t *program,
                                             const wb_policy_model_t *model,
                                             const wb_policy_engine_t *engine, int64_t *cost_ms,
                                             wb_error_t *error) {
@@ -164,10 +164,10 @@
     static const wb_policy_model_t model = {"sample", 4096, 30000, 1, 0, 1, 2, 60000};
     static const wb_policy_engine_t engine = {"engine", "zone", 8192, 2, 0, 1, "disk", 480};
     int64_t answer;
-    wb_policy_answer_t keep = wb_policy_keep_alive(program, &model, &answer, error);
+    wb_policy_result_t keep = wb_policy_keep_alive(program, &model, &answer, error);
     if (keep == WB_POLICY_FAILED)
         return APR_EINVAL;
-    wb_policy_answer_t cost = wb_policy_placement_cost(program, &model, &engine, &answer, error);
+    wb_policy_result_t cost = wb_policy_placement_cost(program, &model, &engine, &answer, error);
     if (cost == WB_POLICY_FAILED)
         return APR_EINVAL;
     if (keep == WB_POLICY_UNDEFINED && cost == WB_POLICY_UNDEFINED)
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -44,7 +44,7 @@
     return wb_message_encode_with_extensions(message, NULL, out, error);
 }
 
-apr_status_t wb_message_decode_parts(const void *data, size_t length, wb_wire_message *message,
+apr_status_t wb_message_decode_with_extensions(const void *data, size_t length, wb_wire_message *message,
                                      wb_wire_extensions *parts, wb_error_t *error) {
     memset(message, 0, sizeof(*message));
     memset(parts, 0, sizeof(*parts));
@@ -65,7 +65,7 @@
 apr_status_t wb_message_decode(const void *data, size_t length, wb_wire_message *message,
                                wb_error_t *error) {
     wb_wire_extensions parts;
-    apr_status_t status = wb_message_decode_parts(data, length, message, &parts, error);
+    apr_status_t status = wb_message_decode_with_extensions(data, length, message, &parts, error);
     if (status == APR_SUCCESS)
         wb_extensions_clear(&parts);
     return status;
@@ -84,7 +84,7 @@
     memset(parts, 0, sizeof(*parts));
 }
 
-const wb_wire_extension *wb_parts_find(const wb_wire_extensions *parts,
+const wb_wire_extension *wb_extensions_find(const wb_wire_extensions *parts,
                                        wb_wire_extension_kind kind) {
     for (u_int i = 0; i < parts->parts.parts_len; i++) {
         if (parts->parts.parts_val[i].kind == (u_int)kind)
@@ -115,7 +115,7 @@
 
 gboolean wb_extensions_read(const wb_wire_extensions *parts, wb_wire_extension_kind kind,
                             xdrproc_t decode, void *value) {
-    const wb_wire_extension *part = wb_parts_find(parts, kind);
+    const wb_wire_extension *part = wb_extensions_find(parts, kind);
     if (part == NULL)
         return FALSE;
     XDR stream;
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -101,8 +101,8 @@
     wb_wire_slot slots<WB_WIRE_LIST_MAX>;
     wb_wire_engine engines<WB_WIRE_LIST_MAX>;
     wb_wire_claim claims<100000>;
-    bool slots_unsure; /* slots from before a lost majority may be missing */
-    unsigned int unsure_ms; /* claims from before may be missing for so long */
+    bool slots_unverified; /* slots from before a lost majority may be missing */
+    unsigned int claims_incomplete_ms; /* claims from before may be missing for so long */
 };
 
 enum wb_wire_command_kind {
@@ -112,7 +112,7 @@
     WB_WIRE_COMMAND_CLAIM = 4,
     WB_WIRE_COMMAND_CLAIM_DONE = 5,
     WB_WIRE_COMMAND_ENGINE = 6,
-    WB_WIRE_COMMAND_SLOTS_SURE = 7
+    WB_WIRE_COMMAND_SLOTS_VERIFIED = 7
 };
 
 union wb_wire_command switch (wb_wire_command_kind kind) {
@@ -128,7 +128,7 @@
     wb_wire_claim claim_done;
 case WB_WIRE_COMMAND_ENGINE:
     wb_wire_engine engine;
-case WB_WIRE_COMMAND_SLOTS_SURE:
+case WB_WIRE_COMMAND_SLOTS_VERIFIED:
     void;
 };
 
@@ -175,7 +175,7 @@
 };
 
 /* A gateway wants replicas of a model, or tells that it uses them. */
-struct wb_wire_route_want {
+struct wb_wire_route_subscribe {
     wb_wire_name model;
     wb_wire_name adapter;
     unsigned int waiting;
@@ -192,13 +192,13 @@
 
 enum wb_wire_route_state {
     WB_WIRE_ROUTE_READY = 0,
-    WB_WIRE_ROUTE_WAKING = 1,
-    WB_WIRE_ROUTE_REFUSED = 2,
+    WB_WIRE_ROUTE_LOADING = 1,
+    WB_WIRE_ROUTE_UNAVAILABLE = 2,
     WB_WIRE_ROUTE_NOT_OWNER = 3,
     WB_WIRE_ROUTE_BUSY = 4
 };
 
-struct wb_wire_route_show {
+struct wb_wire_route_update {
     wb_wire_name model;
     wb_wire_name adapter;
     wb_wire_route_state state;
@@ -208,7 +208,7 @@
 };
 
 /* A non-repeatable request asks to run. */
-struct wb_wire_claim_want {
+struct wb_wire_claim_request {
     unsigned hyper request;
     wb_wire_name model;
     wb_wire_name key;
@@ -229,7 +229,7 @@
     WB_WIRE_CLAIM_UNKNOWN = 5  /* looked for only: nobody used this key lately */
 };
 
-struct wb_wire_claim_show {
+struct wb_wire_claim_response {
     unsigned hyper request;
     wb_wire_claim_state state;
     unsigned hyper attempt;
@@ -265,7 +265,7 @@
 };
 
 /* What a gateway spent of a tenant's limit since its last message, in the limit's unit. */
-struct wb_wire_tenant_use {
+struct wb_wire_tenant_usage {
     wb_wire_name tenant;
     unsigned int kind;     /* of its requests: a service and a rank */
     unsigned int requests; /* that asked */
@@ -274,7 +274,7 @@
 };
 
 /* What a gateway knows of an engine: how long work takes there, and what it has sent there. */
-struct wb_wire_engine_use {
+struct wb_wire_engine_usage {
     wb_wire_name engine;
     unsigned int pace_percent; /* of what is usual, by its answers; 0: none since long */
     unsigned int tokens;       /* prompt tokens sent there since the last message */
@@ -285,8 +285,8 @@
 struct wb_wire_demand {
     wb_wire_name node;
     wb_wire_demand_entry entries<WB_WIRE_LIST_MAX>;
-    wb_wire_tenant_use tenants<WB_WIRE_LIST_MAX>;
-    wb_wire_engine_use engines<WB_WIRE_LIST_MAX>;
+    wb_wire_tenant_usage tenants<WB_WIRE_LIST_MAX>;
+    wb_wire_engine_usage engines<WB_WIRE_LIST_MAX>;
 };
 
 /* News from the placement controller: an engine holds a model or adapter, or is about to drop it. */
@@ -311,8 +311,8 @@
     unsigned hyper beat;  /* counts renewals */
     bool released;
     unsigned int recent_loads; /* from the weight store in the window before this renewal */
-    bool grants_known;         /* the lists below are told: in the store's row, not in news */
-    bool any_granted;          /* any engine may have been ordered lately; the lists are empty */
+    bool has_grants;         /* the lists below are told: in the store's row, not in news */
+    bool grants_unlisted;          /* any engine may have been ordered lately; the lists are empty */
     wb_wire_name granted<WB_WIRE_LIST_MAX>;   /* engines this holder may have ordered lately */
     wb_wire_name inherited<WB_WIRE_LIST_MAX>; /* engines a holder before it may have */
 };
@@ -405,7 +405,7 @@
     wb_wire_name model; /* empty: any engine of the service */
 };
 
-struct wb_wire_known_row {
+struct wb_wire_row_version {
     wb_wire_name key;
     unsigned hyper row_version; /* 0: it isn't known */
 };
@@ -415,7 +415,7 @@
 struct wb_wire_engine_subscribe {
     wb_wire_name zone; /* of the gateway */
     wb_wire_engine_selector wants<WB_WIRE_LIST_MAX>;
-    wb_wire_known_row known<WB_WIRE_LIST_MAX>; /* rows whose changes it needs, too */
+    wb_wire_row_version known<WB_WIRE_LIST_MAX>; /* rows whose changes it needs, too */
 };
 
 /* The answer, later changes of rows that were told, and each half second that there are none. */
@@ -430,7 +430,7 @@
 /* What an engine's answers told last of its limit. */
 enum wb_wire_limit {
     WB_WIRE_LIMIT_UNKNOWN = 0,
-    WB_WIRE_LIMIT_NAMED = 1,
+    WB_WIRE_LIMIT_SET = 1,
     WB_WIRE_LIMIT_ENDED = 2
 };
 
@@ -457,7 +457,7 @@
 
 /* What was added to a message or a row later: a reader passes over kinds that it doesn't know. */
 enum wb_wire_extension_kind {
-    WB_WIRE_EXTENSION_STARTS = 1, /* wb_wire_starts */
+    WB_WIRE_EXTENSION_STARTS = 1, /* wb_wire_start_times */
     WB_WIRE_EXTENSION_WRITER = 2  /* wb_wire_writer */
 };
 
@@ -471,7 +471,7 @@
 };
 
 /* When the engines that a message's entries name started, one by one; 0: not known. */
-struct wb_wire_starts {
+struct wb_wire_start_times {
     unsigned hyper born_ms<WB_WIRE_LIST_MAX>;
 };
 
@@ -492,11 +492,11 @@
     WB_WIRE_GROUP_ACK = 9,
     WB_WIRE_GROUP_VOTE = 10,
     WB_WIRE_GROUP_BALLOT = 11,
-    WB_WIRE_ROUTE_WANT = 12,
-    WB_WIRE_ROUTE_SHOW = 13,
-    WB_WIRE_CLAIM_WANT = 14,
-    WB_WIRE_CLAIM_SHOW = 15,
-    WB_WIRE_CLAIM_DONE_NOTE = 16,
+    WB_WIRE_ROUTE_SUBSCRIBE = 12,
+    WB_WIRE_ROUTE_UPDATE = 13,
+    WB_WIRE_CLAIM_REQUEST = 14,
+    WB_WIRE_CLAIM_RESPONSE = 15,
+    WB_WIRE_CLAIM_DONE_NOTICE = 16,
     WB_WIRE_GROUP_HAND_OVER = 17,
     WB_WIRE_DEMAND = 18,
     WB_WIRE_PLACEMENT = 19,
@@ -533,15 +533,15 @@
     wb_wire_group_vote group_vote;
 case WB_WIRE_GROUP_BALLOT:
     wb_wire_group_ballot group_ballot;
-case WB_WIRE_ROUTE_WANT:
-    wb_wire_route_want route_want;
-case WB_WIRE_ROUTE_SHOW:
-    wb_wire_route_show route_show;
-case WB_WIRE_CLAIM_WANT:
-    wb_wire_claim_want claim_want;
-case WB_WIRE_CLAIM_SHOW:
-    wb_wire_claim_show claim_show;
-case WB_WIRE_CLAIM_DONE_NOTE:
+case WB_WIRE_ROUTE_SUBSCRIBE:
+    wb_wire_route_subscribe route_subscribe;
+case WB_WIRE_ROUTE_UPDATE:
+    wb_wire_route_update route_update;
+case WB_WIRE_CLAIM_REQUEST:
+    wb_wire_claim_request claim_request;
+case WB_WIRE_CLAIM_RESPONSE:
+    wb_wire_claim_response claim_response;
+case WB_WIRE_CLAIM_DONE_NOTICE:
     wb_wire_claim_done claim_done;
 case WB_WIRE_GROUP_HAND_OVER:
     wb_wire_group_hand_over group_hand_over;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -154,10 +154,10 @@
         attempt->skipping = TRUE;
         attempt->tainted = TRUE;
         wb_event("answer-passed-over", ",\"id\":\"%s\",\"engine\":\"%s\",\"status\":%u",
-                 wb_event_text(attempt->exchange->id), upstream->engine->state->id, head->status);
+                 wb_event_escape(attempt->exchange->id), upstream->engine->state->id, head->status);
         return;
     }
-    attempt->keep_alive = head->keep_alive && !head->ends_with_connection;
+    attempt->keep_alive = head->keep_alive && !head->ends_at_close;
     attempt->idle_limit_ms = keep_alive_timeout_ms(head);
     engine_state_apply(upstream, head);
     wb_exchange_attempt_head(attempt->exchange, head);
@@ -203,7 +203,7 @@
         size_t used = wb_http_reader_feed(upstream->reader, data, length);
         data += used;
         length -= used;
-        if (used == 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
+        if (used == 0 || wb_http_reader_error(upstream->reader) != WB_HTTP_PARSE_OK)
             break;
     }
     wb_attempt_t *attempt = feeding_end(upstream);
@@ -213,7 +213,7 @@
         attempt->tainted = TRUE; /* bytes after the end of the response */
     if (attempt->complete)
         attempt_finish(attempt);
-    else if (length > 0 || wb_http_reader_failure(upstream->reader) != WB_HTTP_FAILURE_NONE)
+    else if (length > 0 || wb_http_reader_error(upstream->reader) != WB_HTTP_PARSE_OK)
         attempt_fail(attempt, FALSE, "not-an-answer");
 }
 
@@ -232,7 +232,7 @@
         upstream_feed(upstream, data, length);
 }
 
-static const char *end_name(wb_tcp_end_t how) {
+static const char *end_name(wb_tcp_end_reason_t how) {
     switch (how) {
     case WB_TCP_END_UNREACHABLE:
         return "unreached";
@@ -245,7 +245,7 @@
     }
 }
 
-static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void stream_end(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)stream;
     wb_upstream_t *upstream = context;
     if (upstream->attempt == NULL) {
@@ -255,7 +255,7 @@
     wb_attempt_t *attempt = upstream->attempt;
     if (how == WB_TCP_END_CLOSED) {
         upstream->feeding = TRUE;
-        wb_http_reader_end(upstream->reader);
+        wb_http_reader_eof(upstream->reader);
         attempt = feeding_end(upstream);
     }
     if (attempt == NULL)
--- a/src/request/crash_watch.c
+++ b/src/request/crash_watch.c
@@ -90,7 +90,7 @@
         return;
     }
     wb_event("engine-crashed", ",\"engine\":\"%s\",\"shown_by\":\"%s\",\"requests\":%u",
-             wb_event_text(engine->id), shown_by, engine->requests->len);
+             wb_event_escape(engine->id), shown_by, engine->requests->len);
     g_autoptr(GArray) requests = engine->requests;
     engine->requests = g_array_new(FALSE, FALSE, sizeof(wb_aborted_request_t));
     engine->watch->events.on_crashed(engine->id, requests, engine->watch->events.context);
@@ -111,7 +111,7 @@
     (void)context;
 }
 
-static void check_failed(wb_tcp_stream_t *stream, wb_tcp_end_t how, void *context) {
+static void check_failed(wb_tcp_stream_t *stream, wb_tcp_end_reason_t how, void *context) {
     (void)stream;
     wb_watched_engine_t *engine = context;
     check_stop(engine);
@@ -132,7 +132,7 @@
     if (wb_tcp_stream_connect(engine->watch->loop, engine->address, timeout_ms, timeout_ms, &events,
                               engine, &engine->stream, &error) != APR_SUCCESS) {
         wb_event("engine-check-failed", ",\"engine\":\"%s\",\"reason\":\"%s\"",
-                 wb_event_text(engine->id), wb_event_text(error.message));
+                 wb_event_escape(engine->id), wb_event_escape(error.message));
         engine->stream = NULL;
         engine->state = WB_LIVENESS_UNKNOWN;
     }
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -151,7 +151,7 @@
                    exchange->edge->dialect->api_key_scheme);
     }
     wb_http_connection_t *connection = wb_exchange_end(exchange, outcome, status);
-    wb_http_connection_answer(connection, status, wb_http_reason(status), headers, NULL, 0);
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status), headers, NULL, 0);
 }
 
 void wb_exchange_give_up(wb_exchange_t *exchange, wb_outcome_t outcome) {
@@ -170,7 +170,7 @@
     wb_upstreams_close_idle(engine);
     wb_event("engine-avoided",
              ",\"engine\":\"%s\",\"id\":\"%s\",\"reason\":\"%s\",\"failures\":%u,\"for_ms\":%lld",
-             engine->state->id, wb_event_text(request_id), reason, engine->failures,
+             engine->state->id, wb_event_escape(request_id), reason, engine->failures,
              (long long)avoid_ms);
 }
 
@@ -356,8 +356,8 @@
     edge->metrics.rejections++;
     wb_event("request-rejected",
              ",\"id\":\"%s\",\"engine\":\"%s\",\"status\":%u,\"sends\":%u,\"model\":\"%s\"",
-             wb_event_text(exchange->id), engine->state->id, exchange->reply.status,
-             exchange->sends, wb_event_text(exchange->model));
+             wb_event_escape(exchange->id), engine->state->id, exchange->reply.status,
+             exchange->sends, wb_event_escape(exchange->model));
     int64_t now_ms = wb_clock_ms();
     engine->rejected_until_ms = now_ms + REJECTED_AVOID_MS;
     if (exchange->reply.status != edge->dialect->wrong_engine_status) {
@@ -403,7 +403,7 @@
     wb_event("send-broken",
              ",\"id\":\"%s\",\"engine\":\"%s\",\"reason\":\"%s\",\"sent\":%s,\"answer_begun\":%s,"
              "\"digest\":\"%s\",\"ms\":%lld,\"running\":%u",
-             wb_event_text(exchange->id), exchange->engine->state->id, failure->reason,
+             wb_event_escape(exchange->id), exchange->engine->state->id, failure->reason,
              failure->sent ? "true" : "false", exchange->answer_begun ? "true" : "false", digest,
              (long long)(wb_clock_ms() - exchange->sent_ms), exchange->engine->running);
 }
@@ -411,7 +411,7 @@
 /* The engine became unavailable while the connection was being established. */
 static void attempt_withdraw(wb_exchange_t *exchange) {
     exchange->edge->metrics.attempts_withdrawn++;
-    wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_text(exchange->id),
+    wb_event("send-withdrawn", ",\"id\":\"%s\",\"engine\":\"%s\"", wb_event_escape(exchange->id),
              exchange->engine->state->id);
     exchange->sends--;
     exchange->runs--;
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -157,5 +157,5 @@
     g_autofree char *reason = g_strdup(reply->reason);
     unsigned status = reply->status;
     wb_http_connection_t *connection = wb_exchange_end(exchange, outcome, status);
-    wb_http_connection_answer(connection, status, reason, headers, body->data, body->len);
+    wb_http_connection_reply(connection, status, reason, headers, body->data, body->len);
 }
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -31,7 +31,7 @@
 
 static void trial_log(const wb_exchange_t *exchange) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES];
-    wb_event("request-tried", ",\"id\":\"%s\",\"digest\":\"%s\"", wb_event_text(exchange->id),
+    wb_event("request-tried", ",\"id\":\"%s\",\"digest\":\"%s\"", wb_event_escape(exchange->id),
              wb_request_digest_format(&exchange->digest, digest));
 }
 
@@ -94,7 +94,7 @@
     }
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES];
     wb_event("request-forgiven", ",\"id\":\"%s\",\"digest\":\"%s\",\"engine\":\"%s\"",
-             wb_event_text(exchange->id),
+             wb_event_escape(exchange->id),
              wb_request_digest_format(wb_exchange_digest(exchange), digest),
              exchange->engine->state->id);
     poison_changed(edge);
@@ -124,7 +124,7 @@
     gboolean refused = wb_poison_entry_state(entry) == WB_POISON_REFUSED;
     wb_event("request-suspected",
              ",\"digest\":\"%s\",\"engine\":\"%s\",\"engines\":%u,\"refused\":%s",
-             wb_request_digest_format(&entry->digest, digest), wb_event_text(engine_id),
+             wb_request_digest_format(&entry->digest, digest), wb_event_escape(engine_id),
              wb_poison_entry_engines(entry), refused ? "true" : "false");
 }
 
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -40,7 +40,7 @@
         parts_read(exchange, parts);
     if (exchange->parts->len == 0)
         exchange->prompt_tokens =
-            wb_http_head_number(exchange->head, dialect->token_usage, exchange->body->len / 4);
+            wb_http_head_get_integer(exchange->head, dialect->token_usage, exchange->body->len / 4);
 }
 
 /* Sets the expected tokens of the answer, from the client's hint and limit and the average of the
@@ -50,14 +50,14 @@
     const char *usage = wb_http_head_get(exchange->head, edge->dialect->token_usage);
     const char *comma = usage != NULL ? strchr(usage, ',') : NULL;
     double max_tokens = comma != NULL ? (double)g_ascii_strtoull(comma + 1, NULL, 10) : 0;
-    double hint = (double)wb_http_head_number(exchange->head, edge->dialect->length_hint, 0);
+    double hint = (double)wb_http_head_get_integer(exchange->head, edge->dialect->length_hint, 0);
     exchange->out_tokens =
         (int64_t)wb_length_estimate_tokens(edge->lengths, exchange->route->name, hint, max_tokens);
 }
 
 static void deadline_read(wb_exchange_t *exchange) {
     int64_t deadline_ms =
-        wb_http_head_number(exchange->head, exchange->edge->dialect->deadline_ms, DEADLINE_MAX_MS);
+        wb_http_head_get_integer(exchange->head, exchange->edge->dialect->deadline_ms, DEADLINE_MAX_MS);
     deadline_ms = CLAMP(deadline_ms, 1, DEADLINE_MAX_MS);
     exchange->deadline_ms = exchange->began_ms + deadline_ms;
     exchange->answer_due_ms = exchange->deadline_ms;
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -52,7 +52,7 @@
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
              "\"share\":%.3f,\"book_reached\":%s,\"share_age_ms\":%lld,\"retry_ms\":%lld",
-             wb_event_text(exchange->id), wb_event_text(exchange->tenant->name), cost,
+             wb_event_escape(exchange->id), wb_event_escape(exchange->tenant->name), cost,
              exchange->tenant->rate_per_s, verdict->share, verdict->reached ? "true" : "false",
              (long long)age_ms, (long long)verdict->retry_ms);
 }
--- a/standins/engine/loads.c
+++ b/standins/engine/loads.c
@@ -31,7 +31,7 @@
 
 static void fetch_done(const wb_http_result_t *result, void *context) {
     loads_fetch_t *fetch = context;
-    if (result->outcome == WB_HTTP_ANSWERED && result->status == 200) {
+    if (result->outcome == WB_HTTP_COMPLETED && result->status == 200) {
         fetch->finished(fetch->ticket);
         g_free(fetch->body);
         g_free(fetch->url);
--- a/standins/estate/engine.c
+++ b/standins/estate/engine.c
@@ -188,8 +188,8 @@
 
 static void run_answer(wb_estate_run_t *run, unsigned status, const char *more, const char *body) {
     g_autofree char *lines = head_lines(run, more);
-    wb_http_connection_answer(run_detach(run), status, wb_http_reason(status), lines, body,
-                              strlen(body));
+    wb_http_connection_reply(run_detach(run), status, wb_http_status_reason(status), lines, body,
+                             strlen(body));
 }
 
 static void run_advance(void *context) {
@@ -251,7 +251,7 @@
     run->cut_after = -1;
     run->events = (int)wb_estate_engine_option(engine, "events", 5);
     run->streams = wb_estate_engine_option(engine, "streams", 0) != 0;
-    run->next_event = (int)wb_http_head_number(head, "Last-Event-Id", 0) + 1;
+    run->next_event = (int)wb_http_head_get_integer(head, "Last-Event-Id", 0) + 1;
     g_hash_table_insert(engine->runs, connection, run);
     wb_http_connection_set_request(connection, run);
     json_array_append_new(engine->seen->arrivals,
@@ -290,8 +290,9 @@
                   wb_http_head_get(head, "Last-Event-Id") != NULL
                       ? wb_http_head_get(head, "Last-Event-Id")
                       : "",
-                  "deadline_ms", (json_int_t)wb_http_head_number(head, "Request-Deadline-Ms", -1),
-                  "at_ms", (json_int_t)wb_clock_ms(), "headers", headers_json(head)));
+                  "deadline_ms",
+                  (json_int_t)wb_http_head_get_integer(head, "Request-Deadline-Ms", -1), "at_ms",
+                  (json_int_t)wb_clock_ms(), "headers", headers_json(head)));
     if (wb_estate_engine_consume_fault(engine, "error")) {
         run_answer(run, 500, "Response-Seal: seal\r\n", "failed");
         return;
@@ -331,7 +332,7 @@
     char *text = wb_json_dump(report);
     g_autofree char *lines =
         g_strconcat("Content-Type: application/json\r\n", state_lines(engine), NULL);
-    wb_http_connection_answer(connection, 200, "OK", lines, text, strlen(text));
+    wb_http_connection_reply(connection, 200, "OK", lines, text, strlen(text));
     free(text);
     json_decref(report);
 }
--- a/standins/estate/engine_orders.c
+++ b/standins/estate/engine_orders.c
@@ -179,5 +179,5 @@
                                     "at_ms", (json_int_t)wb_clock_ms()));
     json_decref(order);
     if (responds)
-        wb_http_connection_answer(connection, status, wb_http_reason(status), "", NULL, 0);
+        wb_http_connection_reply(connection, status, wb_http_status_reason(status), "", NULL, 0);
 }
--- a/standins/estate/main.c
+++ b/standins/estate/main.c
@@ -19,8 +19,8 @@
 
 static void text_answer(wb_http_connection_t *connection, unsigned status, json_t *body) {
     char *text = wb_json_dump(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status),
-                              "Content-Type: application/json\r\n", text, strlen(text));
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status),
+                             "Content-Type: application/json\r\n", text, strlen(text));
     free(text);
     json_decref(body);
 }
--- a/standins/estate/store.c
+++ b/standins/estate/store.c
@@ -95,8 +95,8 @@
 
 static void json_answer(wb_http_connection_t *connection, unsigned status, json_t *body) {
     char *text = wb_json_dump(body);
-    wb_http_connection_answer(connection, status, wb_http_reason(status),
-                              "Content-Type: application/json\r\n", text, strlen(text));
+    wb_http_connection_reply(connection, status, wb_http_status_reason(status),
+                             "Content-Type: application/json\r\n", text, strlen(text));
     free(text);
     json_decref(body);
 }
@@ -257,9 +257,9 @@
             json_decref(body);
         json_decref(delayed->transaction);
     } else if (delayed->connection != NULL) {
-        wb_http_connection_answer(delayed->connection, delayed->status,
-                                  wb_http_reason(delayed->status), "", delayed->body,
-                                  strlen(delayed->body));
+        wb_http_connection_reply(delayed->connection, delayed->status,
+                                 wb_http_status_reason(delayed->status), "", delayed->body,
+                                 strlen(delayed->body));
     }
     g_free(delayed->body);
     g_free(delayed);
--- a/standins/proxy/relay.c
+++ b/standins/proxy/relay.c
@@ -132,7 +132,7 @@
     flow_t *flow = context;
     pair_t *pair = flow->pair;
     if (flow_is_frozen(flow)) {
-        wb_watch_change(flow->watch, 0);
+        wb_watch_set_events(flow->watch, 0);
         return;
     }
     char data[CHUNK_BYTES];
@@ -145,7 +145,7 @@
             chunk_queue(flow, data, allowed);
     } else if (APR_STATUS_IS_EOF(status)) {
         flow->ended = TRUE;
-        wb_watch_change(flow->watch, 0);
+        wb_watch_set_events(flow->watch, 0);
     } else if (!APR_STATUS_IS_EAGAIN(status))
         close = TRUE;
     if (!flow_send(flow) || close ||
@@ -159,7 +159,7 @@
         return TRUE;
     }
     if (!flow->ended) {
-        wb_watch_change(flow->watch, APR_POLLIN);
+        wb_watch_set_events(flow->watch, APR_POLLIN);
     }
     return flow_send(flow);
 }
--- a/tests/bench/scale.c
+++ b/tests/bench/scale.c
@@ -292,7 +292,7 @@
     uint64_t version = wb_config_store_current(wb_node_config_store(hollow->node))->version;
     guint up = members_up(hollow->node);
     int64_t bytes = link_bytes(hollow->node);
-    guint owned = wb_cell_host_owned(wb_node_cell_host(hollow->node));
+    guint owned = wb_cell_host_owned_count(wb_node_cell_host(hollow->node));
     g_mutex_lock(&survey->lock);
     survey->alive++;
     survey->at_version += version >= survey->version;
@@ -389,13 +389,13 @@
         model != NULL ? wb_membership_owner(wb_node_membership(node), model->cell, NULL) : NULL;
     if (owner == NULL)
         return;
-    wb_wire_message message = {.kind = WB_WIRE_ROUTE_WANT};
-    wb_wire_route_want *want = &message.wb_wire_message_u.route_want;
+    wb_wire_message message = {.kind = WB_WIRE_ROUTE_SUBSCRIBE};
+    wb_wire_route_subscribe *want = &message.wb_wire_message_u.route_subscribe;
     want->model = (char *)wake->model;
     want->adapter = (char *)wake->adapter;
     want->waiting = (u_int)wake->waiting;
     if (strcmp(owner, wb_node_name(node)) == 0)
-        wb_cell_host_message(wb_node_cell_host(node), owner, &message);
+        wb_cell_host_on_message(wb_node_cell_host(node), owner, &message);
     else
         wb_peers_send(wb_node_peers(node), owner, &message);
 }
@@ -481,7 +481,7 @@
 
 static void owned_work(hollow_node_t *hollow, void *context) {
     owned_t *owned = context;
-    guint count = wb_cell_host_owned(wb_node_cell_host(hollow->node));
+    guint count = wb_cell_host_owned_count(wb_node_cell_host(hollow->node));
     g_mutex_lock(&owned->lock);
     wb_samples_add(&owned->cells, count);
     g_mutex_unlock(&owned->lock);
--- a/tests/bench/ways.c
+++ b/tests/bench/ways.c
@@ -59,10 +59,10 @@
 static void renew(ways_t *ways, int cell) {
     g_autofree char *key = g_strdup_printf("lease/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(key, ways->versions[cell]));
+    json_array_append_new(checks, wb_platform_make_check(key, ways->versions[cell]));
     json_t *writes = json_array();
     json_array_append_new(writes,
-                          wb_platform_write(key, json_pack("{s:s, s:I}", "owner", "node", "at",
+                          wb_platform_make_write(key, json_pack("{s:s, s:I}", "owner", "node", "at",
                                                            (json_int_t)wb_clock_ms())));
     ways->renewing[cell] = TRUE;
     wb_platform_transact(ways->platform, checks, writes, renewal_done, call_create(ways, cell));
@@ -95,9 +95,9 @@
     g_autofree char *lease = g_strdup_printf("lease/%d", cell);
     g_autofree char *slots = g_strdup_printf("slots/%d", cell);
     json_t *checks = json_array();
-    json_array_append_new(checks, wb_platform_check(lease, ways->versions[cell]));
+    json_array_append_new(checks, wb_platform_make_check(lease, ways->versions[cell]));
     json_t *writes = json_array();
-    json_array_append_new(writes, wb_platform_write(slots, json_pack("{s:s}", "m1", "e1")));
+    json_array_append_new(writes, wb_platform_make_write(slots, json_pack("{s:s}", "m1", "e1")));
     wb_platform_transact(ways->platform, checks, writes, commit_done, call_create(ways, cell));
 }
 
--- a/tests/fuzz/fuzz_lease_check.c
+++ b/tests/fuzz/fuzz_lease_check.c
@@ -133,7 +133,7 @@
     }
     wb_lease_row_t row = world->row;
     if (in_short) {
-        row.grants_known = FALSE;
+        row.has_grants = FALSE;
         row.granted_count = 0;
         row.inherited_count = 0;
     }
--- a/tests/fuzz/sim_claims.c
+++ b/tests/fuzz/sim_claims.c
@@ -38,9 +38,9 @@
     }
 }
 
-static void claim_propose(sim_node_t *node, const wb_wire_claim_want *want, uint64_t attempt) {
+static void claim_propose(sim_node_t *node, const wb_wire_claim_request *want, uint64_t attempt) {
     wb_wire_command command;
-    wb_claim_command(want, attempt, &command);
+    wb_claim_fill_command(want, attempt, &command);
     sim_claim_wait_t *wait = g_new0(sim_claim_wait_t, 1);
     wait->sequence = wb_group_sequence(node->group) + 1;
     g_strlcpy(wait->key, want->key, sizeof(wait->key));
@@ -54,7 +54,7 @@
 
 /* The key is taken: its stream is looked for, and forbidden when the engine never saw it. Then the
  * run did not happen and may be tried again. */
-static void taken_follow(world_t *world, sim_node_t *node, wb_wire_claim_want *want) {
+static void taken_follow(world_t *world, sim_node_t *node, wb_wire_claim_request *want) {
     const wb_claim_t *claim = wb_record_claim(wb_group_record(node->group), want->model, want->key);
     sim_engine_t *engine = engine_find(world, claim->engine);
     if (engine == NULL || engine->dead || world_chance(world, world->loss_percent))
@@ -74,7 +74,7 @@
     g_snprintf(key, sizeof(key), "k%u", world_choose(world, KEYS));
     g_snprintf(stream, sizeof(stream), "s%d", ++world->streams);
     g_snprintf(engine, sizeof(engine), "e%u", world_choose(world, (guint)world->engine_count));
-    wb_wire_claim_want want = {0};
+    wb_wire_claim_request want = {0};
     want.model = "m0";
     want.key = key;
     want.stream = stream;
--- a/tests/fuzz/sim_engine.c
+++ b/tests/fuzz/sim_engine.c
@@ -134,7 +134,7 @@
         return WB_ORDER_REFUSED;
     if (event->action == WB_ORDER_UNLOAD)
         unload_take(engine, event);
-    return WB_ORDER_TAKEN;
+    return WB_ORDER_ACCEPTED;
 }
 
 /* The sender has given up, and the order is still on its way. */
@@ -159,10 +159,10 @@
     g_strlcpy(answer->from, event->to, sizeof(answer->from));
     g_strlcpy(answer->to, event->from, sizeof(answer->to));
     answer->fence = event->fence;
-    answer->outcome = arrives ? order_take(world, engine, event) : WB_ORDER_LOST;
+    answer->outcome = arrives ? order_take(world, engine, event) : WB_ORDER_NO_RESPONSE;
     if (arrives && world_chance(world, world->loss_percent))
-        answer->outcome = WB_ORDER_LOST; /* it took effect, and the answer is lost */
-    if (answer->outcome != WB_ORDER_LOST)
+        answer->outcome = WB_ORDER_NO_RESPONSE; /* it took effect, and the answer is lost */
+    if (answer->outcome != WB_ORDER_NO_RESPONSE)
         answer->inventory = inventory_copy(engine);
     if (alive && event->lost_on_the_way && world_chance(world, 50))
         order_delay(world, event);
@@ -186,7 +186,7 @@
     for (int i = 0; i < NODES; i++) {
         sim_node_t *node = &world->nodes[i];
         if (node->cell != NULL && !node->frozen && world_chance(world, 20))
-            wb_cell_inventory(node->cell, inventory_copy(engine), world->now_ms);
+            wb_cell_update_inventory(node->cell, inventory_copy(engine), world->now_ms);
     }
 }
 
--- a/tests/fuzz/sim_founding.c
+++ b/tests/fuzz/sim_founding.c
@@ -1,5 +1,5 @@
 /* The table's row and the rules by which nodes found groups and change members, in short form.
- * src/cell/cell_founding.c is the real one; it reads and writes the row over HTTP. */
+ * src/cell/cell_bootstrap.c is the real one; it reads and writes the row over HTTP. */
 #include "world_types.h"
 
 #include <string.h>
@@ -65,7 +65,7 @@
     wb_group_t *group = node_group(node);
     uint64_t era = world->row_era + 1;
     if (row_has(world, node->name))
-        wb_group_yield(group, era << WB_GROUP_ERA_SHIFT);
+        wb_group_promise_epoch(group, era << WB_GROUP_ERA_SHIFT);
     g_autoptr(GPtrArray) members = g_ptr_array_new_with_free_func(g_free);
     members_choose(world, node->name, members);
     row_write(world, members);
@@ -74,11 +74,11 @@
         return; /* killed or cut off behind the transaction: the row stands, nobody acts on it */
     wb_record_t *record = record_copy(group, world->now_ms);
     if (again) {
-        record->slots_unsure = TRUE;
-        record->unsure_until_ms = world->now_ms + UNSURE_MS;
+        record->slots_unverified = TRUE;
+        record->claims_incomplete_until_ms = world->now_ms + UNSURE_MS;
     }
     world->figures->foundings++;
-    wb_group_found(group, record, members, world->row_generation, (era << WB_GROUP_ERA_SHIFT) | 1,
+    wb_group_bootstrap(group, record, members, world->row_generation, (era << WB_GROUP_ERA_SHIFT) | 1,
                    world->now_ms);
 }
 
--- a/tests/fuzz/sim_worker.c
+++ b/tests/fuzz/sim_worker.c
@@ -1,7 +1,7 @@
 /* Engines on a virtual clock: what they hold, what they are ordered, what goes wrong. */
 #include "sim_worker.h"
 
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 #include "wickbridge/loop.h"
 
 #include <stdlib.h>
@@ -63,7 +63,7 @@
     sim_order_t *late; /* an order that is carried out now, or NULL */
 } sim_change_t;
 
-struct wb_http_peer_t {
+struct wb_http_pool_t {
     int worker;
     gboolean freed;
     unsigned calls;
@@ -71,7 +71,7 @@
 
 /* An answer on its way. */
 typedef struct sim_answer_t {
-    wb_http_peer_t *peer;
+    wb_http_pool_t *peer;
     wb_http_request_t request;
     wb_http_outcome_t outcome;
     unsigned status;
@@ -364,7 +364,7 @@
     *status = order->adapter >= 0 ? adapter_order(order, worker) : model_order(order, worker);
 }
 
-static void order_read(sim_order_t *order, const wb_http_peer_t *peer,
+static void order_read(sim_order_t *order, const wb_http_pool_t *peer,
                        const wb_http_request_t *request) {
     memset(order, 0, sizeof(*order));
     order->worker = peer->worker;
@@ -396,7 +396,7 @@
         return;
     }
     order_carry_out(order, &answer->status);
-    answer->outcome = happens(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    answer->outcome = happens(sim.faults.order_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_COMPLETED;
 }
 
 static void report_give(sim_answer_t *answer, int number) {
@@ -405,40 +405,40 @@
     gboolean lags = wb_clock_ms() - worker->changed_ms < REPORT_LAG_MS && happens(0.5);
     sim.reports[place] = lags ? worker->before : worker->now;
     answer->status = 200;
-    answer->outcome = happens(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_ANSWERED;
+    answer->outcome = happens(sim.faults.report_lost) ? WB_HTTP_UNKNOWN : WB_HTTP_COMPLETED;
     g_snprintf(answer->body, sizeof(answer->body), "%u", place);
 }
 
 /* Calls. */
 
-wb_http_peer_t *wb_http_peer_create(wb_loop_t *loop, const char *address,
+wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
     (void)loop;
     (void)connect_timeout_ms;
     (void)silence_limit_ms;
-    wb_http_peer_t *peer = g_new0(wb_http_peer_t, 1);
+    wb_http_pool_t *peer = g_new0(wb_http_pool_t, 1);
     peer->worker = atoi(address);
     return peer;
 }
 
-static void peer_release(wb_http_peer_t *peer) {
+static void peer_release(wb_http_pool_t *peer) {
     if (peer->freed && peer->calls == 0) {
         g_free(peer);
     }
 }
 
-void wb_http_peer_free(wb_http_peer_t *peer) {
+void wb_http_pool_free(wb_http_pool_t *peer) {
     peer->freed = TRUE;
     peer_release(peer);
 }
 
 static void answer_give(void *context) {
     sim_answer_t *answer = context;
-    wb_http_peer_t *peer = answer->peer;
+    wb_http_pool_t *peer = answer->peer;
     peer->calls--;
     if (!peer->freed) {
         wb_http_result_t result = {answer->outcome, 0, NULL, 0};
-        if (answer->outcome == WB_HTTP_ANSWERED) {
+        if (answer->outcome == WB_HTTP_COMPLETED) {
             result.status = answer->status;
             result.body = answer->body;
             result.length = strlen(answer->body);
@@ -449,7 +449,7 @@
     g_free(answer);
 }
 
-void wb_http_peer_call(wb_http_peer_t *peer, const wb_http_request_t *request) {
+void wb_http_pool_call(wb_http_pool_t *peer, const wb_http_request_t *request) {
     sim_answer_t *answer = g_new0(sim_answer_t, 1);
     int64_t delay_ms = g_rand_int_range(sim.random, 1, ANSWER_MS);
     answer->peer = peer;
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -44,7 +44,7 @@
     wb_error_t error;
     if (json_is_object(objects) &&
         wb_config_parse(objects, 1, &config, &fault, &error) == APR_SUCCESS) {
-        json_t *changed = wb_config_objects_change(objects, objects);
+        json_t *changed = wb_config_objects_apply(objects, objects);
         json_decref(changed);
         wb_config_unref(config);
     }
--- a/tests/fuzz/world.c
+++ b/tests/fuzz/world.c
@@ -83,12 +83,12 @@
 static void machines_tell(world_t *world, sim_node_t *node) {
     for (int i = 0; i < world->engine_count; i++) {
         const sim_engine_t *engine = &world->engines[i];
-        wb_machine_state_t state = engine->leaving ? WB_MACHINE_LEAVING : WB_MACHINE_LIVE;
+        wb_machine_state_t state = engine->leaving ? WB_MACHINE_DRAINING : WB_MACHINE_LIVE;
         if (engine->dead && world->now_ms - engine->died_ms > LIST_LAG_MS)
-            state = WB_MACHINE_GONE;
-        wb_cell_machine(node->cell, engine->id, "address", i % 2 ? "a" : "b", state, world->now_ms);
+            state = WB_MACHINE_REMOVED;
+        wb_cell_set_machine(node->cell, engine->id, "address", i % 2 ? "a" : "b", state, world->now_ms);
     }
-    wb_cell_machines_known(node->cell);
+    wb_cell_set_machines_known(node->cell);
 }
 
 static void group_owner(uint64_t epoch, void *context) {
@@ -99,7 +99,7 @@
     world->figures->owners++;
     node->cell =
         wb_cell_create(&options, wb_group_record(node->group), epoch, &events, world->now_ms);
-    wb_cell_committed(node->cell, wb_group_committed(node->group));
+    wb_cell_set_committed(node->cell, wb_group_committed(node->group));
     wb_cell_set_config(node->cell, world->config);
 }
 
@@ -114,7 +114,7 @@
     sim_node_t *node = context;
     if (node->cell == NULL)
         return;
-    wb_cell_committed(node->cell, sequence);
+    wb_cell_set_committed(node->cell, sequence);
     claims_committed(node, sequence);
 }
 
@@ -170,7 +170,7 @@
     if (message.kind == WB_WIRE_GROUP_STATE)
         node_group(node);
     if (node->group != NULL)
-        wb_group_message(node->group, event->from, &message, world->now_ms);
+        wb_group_on_message(node->group, event->from, &message, world->now_ms);
     wb_message_clear(&message);
 }
 
@@ -260,7 +260,7 @@
                           (int)world_choose(world, 40),
                           (int)world_choose(world, 4),
                           0};
-    wb_cell_demand(node->cell, &demand, world->now_ms);
+    wb_cell_update_demand(node->cell, &demand, world->now_ms);
 }
 
 static void failure_make(world_t *world) {
--- a/tests/fuzz/world_types.h
+++ b/tests/fuzz/world_types.h
@@ -119,7 +119,7 @@
 void claims_lost(sim_node_t *node);
 void claims_clear(sim_node_t *node);
 
-/* sim_founding.c: follows the rules of src/cell/cell_founding.c */
+/* sim_founding.c: follows the rules of src/cell/cell_bootstrap.c */
 void founding_try(world_t *world, sim_node_t *node);
 void members_maintain(sim_node_t *node);
 
--- a/tests/unit/test_cell.c
+++ b/tests/unit/test_cell.c
@@ -73,9 +73,9 @@
 }
 
 static void engine_join(bench_t *bench, const char *engine, int64_t now_ms) {
-    wb_cell_machine(bench->cell, engine, "127.0.0.1:1", "zone", WB_MACHINE_LIVE, now_ms);
+    wb_cell_set_machine(bench->cell, engine, "127.0.0.1:1", "zone", WB_MACHINE_LIVE, now_ms);
     wb_cell_step(bench->cell, now_ms);
-    wb_cell_order_done(bench->cell, engine, bench->fences[engine[1] - '0'], WB_ORDER_TAKEN,
+    wb_cell_order_done(bench->cell, engine, bench->fences[engine[1] - '0'], WB_ORDER_ACCEPTED,
                        inventory(engine, 1, 1000), now_ms);
 }
 
@@ -84,7 +84,7 @@
 
 static void ask(bench_t *bench, int waiting, int64_t now_ms) {
     wb_demand_t demand = {"gateway", "m", "", waiting, 0, 0};
-    wb_cell_demand(bench->cell, &demand, now_ms);
+    wb_cell_update_demand(bench->cell, &demand, now_ms);
 }
 
 static void test_load_waits_for_the_commit(void) {
@@ -93,7 +93,7 @@
     ask(bench, 1, 10);
     g_assert_cmpuint(wb_record_slot_count(bench->record, "m"), ==, 1);
     g_assert_cmpuint(bench->orders->len, ==, 1); /* the fence only */
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 20);
     g_assert_cmpstr(bench->orders->pdata[1], ==, "load m e1");
     bench_free(bench);
@@ -104,9 +104,9 @@
     bench_t *bench = bench_create(config_two, 0);
     engine_join(bench, "e1", 0);
     ask(bench, 1, 10);
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 20);
-    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_LOST, NULL, 30);
+    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_NO_RESPONSE, NULL, 30);
     wb_cell_step(bench->cell, 40);
     g_assert_cmpuint(bench->orders->len, ==, 2);
     wb_cell_step(bench->cell, 1000);
@@ -119,18 +119,18 @@
     bench_t *bench = bench_create(config_two, 0);
     engine_join(bench, "e1", 0);
     ask(bench, 1, 10);
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 20);
-    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_LOST, NULL, 30);
-    wb_cell_engine_reachable(bench->cell, "e1", FALSE);
+    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_NO_RESPONSE, NULL, 30);
+    wb_cell_set_engine_reachable(bench->cell, "e1", FALSE);
     engine_join(bench, "e2", 40);
     ask(bench, 5, 3000);
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 3100);
     g_assert_true(wb_record_has_slot(bench->record, "m", "e1"));
     g_assert_false(wb_record_has_slot(bench->record, "m", "e2"));
     /* once its machine is gone, the slot goes, and another one comes */
-    wb_cell_machine(bench->cell, "e1", "", "", WB_MACHINE_GONE, 3200);
+    wb_cell_set_machine(bench->cell, "e1", "", "", WB_MACHINE_REMOVED, 3200);
     wb_cell_step(bench->cell, 3200);
     g_assert_false(wb_record_has_slot(bench->record, "m", "e1"));
     g_assert_true(wb_record_has_slot(bench->record, "m", "e2"));
@@ -142,11 +142,11 @@
     bench_t *bench = bench_create(config_two, 0);
     engine_join(bench, "e1", 0);
     ask(bench, 1, 10);
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 20);
     wb_inventory_t *loaded = inventory("e1", 2, 1000);
     wb_inventory_add_model(loaded, "m", 600 * WB_MIB, WB_LOAD_LOADED);
-    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_TAKEN, loaded, 30);
+    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_ACCEPTED, loaded, 30);
     ask(bench, 0, 40);
     g_assert_cmpint(bench->shown, ==, WB_ROUTE_READY);
     wb_cell_step(bench->cell, 900);
@@ -155,7 +155,7 @@
     wb_cell_step(bench->cell, 1210);
     g_assert_cmpstr(bench->orders->pdata[2], ==, "unload m e1");
     g_assert_true(wb_record_has_slot(bench->record, "m", "e1"));
-    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_TAKEN,
+    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_ACCEPTED,
                        inventory("e1", 3, 1000), 1220);
     wb_cell_step(bench->cell, 1230);
     g_assert_false(wb_record_has_slot(bench->record, "m", "e1"));
@@ -167,16 +167,16 @@
     bench_t *bench = bench_create(config_two, 0);
     engine_join(bench, "e1", 0);
     ask(bench, 1, 10);
-    wb_cell_committed(bench->cell, bench->sequence);
+    wb_cell_set_committed(bench->cell, bench->sequence);
     wb_cell_step(bench->cell, 20);
     wb_inventory_t *loading = inventory("e1", 2, 1000);
     wb_inventory_add_model(loading, "m", 600 * WB_MIB, WB_LOAD_LOADING);
-    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_TAKEN, loading, 30);
+    wb_cell_order_done(bench->cell, "e1", bench->fences[1], WB_ORDER_ACCEPTED, loading, 30);
     ask(bench, 1, 40);
-    g_assert_cmpint(bench->shown, ==, WB_ROUTE_WAKING);
+    g_assert_cmpint(bench->shown, ==, WB_ROUTE_LOADING);
     g_assert_cmpint(bench->estimate_ms, <, 300);
     ask(bench, 1, 10020);
-    g_assert_cmpint(bench->shown, ==, WB_ROUTE_WAKING);
+    g_assert_cmpint(bench->shown, ==, WB_ROUTE_LOADING);
     g_assert_cmpint(bench->estimate_ms, >=, 10000);
     bench_free(bench);
 }
@@ -184,7 +184,7 @@
 static void test_no_engine_is_refused(void) {
     bench_t *bench = bench_create(config_two, 0);
     ask(bench, 1, 10000);
-    g_assert_cmpint(bench->shown, ==, WB_ROUTE_REFUSED);
+    g_assert_cmpint(bench->shown, ==, WB_ROUTE_UNAVAILABLE);
     bench_free(bench);
 }
 
--- a/tests/unit/test_declaration.c
+++ b/tests/unit/test_declaration.c
@@ -38,7 +38,7 @@
     json_t *objects = json_loads("{\"owner/a\":{\"share\":1},\"owner/b\":{\"share\":1}}", 0, NULL);
     json_t *change =
         json_loads("{\"set\":{\"owner/c\":{\"share\":2}},\"remove\":[\"owner/a\"]}", 0, NULL);
-    json_t *result = wb_config_objects_change(objects, change);
+    json_t *result = wb_config_objects_apply(objects, change);
     g_assert_cmpuint(json_object_size(result), ==, 2);
     g_assert_nonnull(json_object_get(result, "owner/c"));
     g_assert_cmpuint(json_object_size(objects), ==, 2);
--- a/tests/unit/test_group.c
+++ b/tests/unit/test_group.c
@@ -55,7 +55,7 @@
             wb_message_decode(carried->bytes->data + 4, carried->bytes->len - 4, &message, NULL),
             ==, APR_SUCCESS);
         if (!net->down[carried->to] && !net->down[carried->from])
-            wb_group_message(net->groups[carried->to], from, &message, now_ms);
+            wb_group_on_message(net->groups[carried->to], from, &message, now_ms);
         wb_message_clear(&message);
         g_byte_array_unref(carried->bytes);
         g_free(carried);
@@ -93,7 +93,7 @@
         net.groups[i] = wb_group_create(&options, &events, now_ms);
         g_ptr_array_add(names, (gpointer)node_names[i]);
     }
-    wb_group_found(net.groups[0], wb_record_create(), names, 1, 65537, now_ms);
+    wb_group_bootstrap(net.groups[0], wb_record_create(), names, 1, 65537, now_ms);
     net_run(&net, &now_ms, 500);
     g_assert_cmpint(net_owner(&net), ==, 0);
     wb_wire_command command = {.kind = WB_WIRE_COMMAND_SLOT_ADD};
@@ -123,7 +123,7 @@
     g_autofree char *answer = g_strnfill(4000, 'x');
     for (int i = 0; i < 30000; i++) {
         g_autofree char *key = g_strdup_printf("north/%d", i);
-        wb_wire_claim_want want = {0};
+        wb_wire_claim_request want = {0};
         want.model = "m";
         want.key = key;
         want.stream = "s-0123456789abcdef01234567";
@@ -131,14 +131,14 @@
         want.engine_address = "127.0.0.1:7000";
         want.node = "node-1~1a235b3029e1a32";
         wb_wire_command command;
-        wb_claim_command(&want, 1, &command);
+        wb_claim_fill_command(&want, 1, &command);
         wb_record_apply(record, &command, i * 10);
         command.kind = WB_WIRE_COMMAND_CLAIM_DONE;
         command.wb_wire_command_u.claim_done.status = 200;
         command.wb_wire_command_u.claim_done.answer = answer;
         wb_record_apply(record, &command, i * 10);
     }
-    wb_record_expire(record, 300000, 600000);
+    wb_record_expire_claims(record, 300000, 600000);
     g_assert_cmpuint(g_hash_table_size(record->claims), ==, 30000);
     g_assert_cmpstr(wb_record_claim(record, "m", "north/0")->answer, ==, "");
     g_assert_true(wb_record_claim(record, "m", "north/0")->done);
--- a/tests/unit/test_http_peer.c
+++ b/tests/unit/test_http_pool.c
@@ -2,7 +2,7 @@
 #include "unit.h"
 
 #include "wickbridge/http_listener.h"
-#include "wickbridge/http_peer.h"
+#include "wickbridge/http_pool.h"
 #include "wickbridge/loop.h"
 
 #include <string.h>
@@ -76,7 +76,7 @@
                     ==, APR_SUCCESS);
     g_autofree char *address =
         g_strdup_printf("127.0.0.1:%u", wb_http_listener_port(scene->listener));
-    wb_http_peer_t *peer = wb_http_peer_create(scene->loop, address, 1000, 1000);
+    wb_http_pool_t *peer = wb_http_pool_create(scene->loop, address, 1000, 1000);
     wb_http_request_t request = {.method = "GET",
                                  .target = "/",
                                  .timeout_ms = TIMEOUT_MS,
@@ -84,7 +84,7 @@
                                  .on_result = call_ended,
                                  .context = scene};
     scene->began_ms = wb_clock_ms();
-    wb_http_peer_call(peer, &request);
+    wb_http_pool_call(peer, &request);
     wb_loop_run(scene->loop);
 }
 
@@ -98,7 +98,7 @@
 static void test_progress_goes_on(void) {
     scene_t scene;
     scene_play(&scene, PIECES, TIMEOUT_MS);
-    g_assert_cmpint(scene.outcome, ==, WB_HTTP_ANSWERED);
+    g_assert_cmpint(scene.outcome, ==, WB_HTTP_COMPLETED);
     g_assert_cmpuint(scene.length, ==, PIECES * 5);
     g_assert_cmpint(scene.took_ms, >, TIMEOUT_MS);
 }
--- a/tests/unit/test_http_reader.c
+++ b/tests/unit/test_http_reader.c
@@ -32,16 +32,16 @@
 static const wb_http_reader_events_t reading_events = {reading_head, reading_body,
                                                        reading_complete};
 
-static wb_http_failure_t message_read(const char *text, size_t step, reading_t *reading) {
+static wb_http_parse_error_t message_read(const char *text, size_t step, reading_t *reading) {
     wb_http_reader_t *reader = wb_http_reader_create(TRUE, 4096, &reading_events, reading);
     size_t length = strlen(text);
     size_t at = 0;
-    while (at < length && wb_http_reader_failure(reader) == WB_HTTP_FAILURE_NONE) {
+    while (at < length && wb_http_reader_error(reader) == WB_HTTP_PARSE_OK) {
         size_t end = MIN(at + step, length);
-        while (at < end && wb_http_reader_failure(reader) == WB_HTTP_FAILURE_NONE)
+        while (at < end && wb_http_reader_error(reader) == WB_HTTP_PARSE_OK)
             at += wb_http_reader_feed(reader, text + at, end - at);
     }
-    wb_http_failure_t failure = wb_http_reader_failure(reader);
+    wb_http_parse_error_t failure = wb_http_reader_error(reader);
     wb_http_reader_free(reader);
     return failure;
 }
@@ -54,7 +54,7 @@
         "GET /third HTTP/1.1\r\nHost: x\r\n\r\n";
     for (size_t step = 1; step <= strlen(text); step++) {
         reading_t reading = {g_string_new(NULL), NULL, 0};
-        g_assert_cmpint(message_read(text, step, &reading), ==, WB_HTTP_FAILURE_NONE);
+        g_assert_cmpint(message_read(text, step, &reading), ==, WB_HTTP_PARSE_OK);
         g_assert_cmpint(reading.whole, ==, 3);
         g_assert_cmpstr(reading.body->str, ==, "hello worldend");
         g_assert_cmpstr(reading.target, ==, "/third");
@@ -76,7 +76,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
         for (size_t step = 1; step < 60; step += 7) {
             reading_t reading = {g_string_new(NULL), NULL, 0};
-            g_assert_cmpint(message_read(bad[i], step, &reading), ==, WB_HTTP_FAILURE_SYNTAX);
+            g_assert_cmpint(message_read(bad[i], step, &reading), ==, WB_HTTP_PARSE_SYNTAX);
             g_assert_cmpint(reading.whole, ==, 0);
             g_string_free(reading.body, TRUE);
             g_free(reading.target);
--- a/tests/unit/test_lease_grants.c
+++ b/tests/unit/test_lease_grants.c
@@ -93,7 +93,7 @@
 static void test_same_machine(void) {
     char *granted[] = {"e1"};
     char *inherited[] = {"e2"};
-    wb_lease_row_t last = {.grants_known = TRUE,
+    wb_lease_row_t last = {.has_grants = TRUE,
                            .granted = granted,
                            .granted_count = 1,
                            .inherited = inherited,
@@ -112,16 +112,16 @@
 
 /* A row that was only heard of in short, or that names too many, blocks all engines. */
 static void test_unknown_row(void) {
-    wb_lease_row_t in_short = {.grants_known = FALSE};
+    wb_lease_row_t in_short = {.has_grants = FALSE};
     wb_lease_row_t row = {0};
     wb_lease_grants_t *grants = wb_lease_grants_create(QUIET_MS);
     wb_lease_grants_begin(grants, &in_short, FALSE, 5000, 1000);
     row_write(grants, &row, 1, TRUE, 1000);
-    g_assert_true(row.any_granted);
+    g_assert_true(row.grants_unlisted);
     g_assert_cmpint(wb_lease_grants_request(grants, "e1", 1000), ==, 4000);
     g_assert_cmpint(wb_lease_grants_request(grants, "e1", 4900), ==, 100);
     row_write(grants, &row, 2, TRUE, 5000);
-    g_assert_false(row.any_granted);
+    g_assert_false(row.grants_unlisted);
     g_assert_cmpint(wb_lease_grants_request(grants, "e1", 5000), ==, 0);
     wb_lease_row_clear(&row);
     wb_lease_grants_free(grants);
--- a/tests/unit/test_message.c
+++ b/tests/unit/test_message.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 static void test_there_and_back(void) {
-    wb_wire_message message = {.kind = WB_WIRE_CLAIM_WANT};
-    wb_wire_claim_want *want = &message.wb_wire_message_u.claim_want;
+    wb_wire_message message = {.kind = WB_WIRE_CLAIM_REQUEST};
+    wb_wire_claim_request *want = &message.wb_wire_message_u.claim_request;
     want->request = 7;
     want->model = "m";
     want->key = "north/k";
@@ -22,8 +22,8 @@
     wb_wire_message back;
     g_assert_cmpint(wb_message_decode(bytes->data + 4, bytes->len - 4, &back, NULL), ==,
                     APR_SUCCESS);
-    g_assert_cmpstr(back.wb_wire_message_u.claim_want.key, ==, "north/k");
-    g_assert_cmpuint(back.wb_wire_message_u.claim_want.digest, ==, UINT64_MAX);
+    g_assert_cmpstr(back.wb_wire_message_u.claim_request.key, ==, "north/k");
+    g_assert_cmpuint(back.wb_wire_message_u.claim_request.digest, ==, UINT64_MAX);
     wb_message_clear(&back);
     for (guint length = 0; length < bytes->len - 4; length++)
         g_assert_cmpint(wb_message_decode(bytes->data + 4, length, &back, NULL), ==, APR_EINVAL);
@@ -42,9 +42,9 @@
 static wb_wire_extensions parts_create(void) {
     static uint64_t born_ms[] = {1700000000001, 0, 1700000000003};
     wb_wire_extensions parts = {0};
-    wb_wire_starts starts = {{3, born_ms}};
+    wb_wire_start_times starts = {{3, born_ms}};
     wb_wire_writer writer = {WB_WIRE_FORMAT_VERSION};
-    g_assert_true(wb_extensions_add(&parts, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+    g_assert_true(wb_extensions_add(&parts, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times,
                                     &starts));
     g_assert_true(wb_extensions_add(&parts, WB_WIRE_EXTENSION_WRITER, (xdrproc_t)xdr_wb_wire_writer,
                                     &writer));
@@ -63,20 +63,20 @@
     wb_wire_extensions read;
     const guchar *data = bytes->data + 4;
     guint length = bytes->len - 4;
-    g_assert_cmpint(wb_message_decode_parts(data, length, &back, &read, NULL), ==, APR_SUCCESS);
-    wb_wire_starts starts = {{0, NULL}};
-    g_assert_true(wb_extensions_read(&read, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_starts,
+    g_assert_cmpint(wb_message_decode_with_extensions(data, length, &back, &read, NULL), ==, APR_SUCCESS);
+    wb_wire_start_times starts = {{0, NULL}};
+    g_assert_true(wb_extensions_read(&read, WB_WIRE_EXTENSION_STARTS, (xdrproc_t)xdr_wb_wire_start_times,
                                      &starts));
     g_assert_cmpuint(starts.born_ms.born_ms_len, ==, 3);
     g_assert_cmpuint(starts.born_ms.born_ms_val[2], ==, 1700000000003);
-    xdr_free((xdrproc_t)xdr_wb_wire_starts, &starts);
+    xdr_free((xdrproc_t)xdr_wb_wire_start_times, &starts);
     wb_extensions_clear(&read);
     wb_message_clear(&back);
     for (guint cut = 5; cut < length; cut++) {
-        g_assert_cmpint(wb_message_decode_parts(data, cut, &back, &read, NULL), ==, APR_EINVAL);
+        g_assert_cmpint(wb_message_decode_with_extensions(data, cut, &back, &read, NULL), ==, APR_EINVAL);
     }
     g_byte_array_append(bytes, (const guint8 *)"more", 4);
-    g_assert_cmpint(wb_message_decode_parts(bytes->data + 4, length + 4, &back, &read, NULL), ==,
+    g_assert_cmpint(wb_message_decode_with_extensions(bytes->data + 4, length + 4, &back, &read, NULL), ==,
                     APR_EINVAL);
 }
 
@@ -90,9 +90,9 @@
     memset(longer->value.value_val + 4, 7, 8);
     longer->value.value_len = 12;
     wb_wire_writer writer = {0};
-    wb_wire_starts starts = {{0, NULL}};
+    wb_wire_start_times starts = {{0, NULL}};
     g_assert_false(wb_extensions_read(&parts, WB_WIRE_EXTENSION_STARTS,
-                                      (xdrproc_t)xdr_wb_wire_starts, &starts));
+                                      (xdrproc_t)xdr_wb_wire_start_times, &starts));
     g_assert_true(wb_extensions_read(&parts, WB_WIRE_EXTENSION_WRITER,
                                      (xdrproc_t)xdr_wb_wire_writer, &writer));
     g_assert_cmpuint(writer.form, ==, WB_WIRE_FORMAT_VERSION);
