--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -25,7 +25,7 @@
                                       "  return model.idle_ms * 2\nend",
                                       &error),
                     ==, APR_SUCCESS);
-    g_assert_cmpint(wb_policy_keep_alive(program, &model, &answer, &error), ==, WB_POLICY_ANSWERED);
+    g_assert_cmpint(wb_policy_keep_alive(program, &model, &answer, &error), ==, WB_POLICY_OK);
     g_assert_cmpint(answer, ==, 10000);
     wb_policy_engine_t engine = {"e", "z", 1, 1, 0, 0, "disk", 1};
     g_assert_cmpint(wb_policy_placement_cost(program, &model, &engine, &answer, &error), ==,
@@ -66,7 +66,7 @@
     for (int i = 0; i < 1000; i++) {
         g_assert_cmpint(wb_policy_keep_alive(program, &bad, &answer, &error), ==, WB_POLICY_FAILED);
         g_assert_cmpint(wb_policy_keep_alive(program, &model, &answer, &error), ==,
-                        WB_POLICY_ANSWERED);
+                        WB_POLICY_OK);
         g_assert_cmpint(answer, ==, 7);
     }
     wb_policy_free(program);
--- a/tests/unit/test_target.c
+++ b/tests/unit/test_target.c
@@ -13,15 +13,15 @@
     shard->targets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, target_free);
     gw_target_t *target = target_get(shard, "m1", "", "cell", 0);
     target_enqueue(target, &request, FALSE);
-    g_assert_false(target_owner_is_missing(target, TRUE, 1000, WAIT_MS));
-    g_assert_false(target_owner_is_missing(target, TRUE, 6999, WAIT_MS));
-    g_assert_true(target_owner_is_missing(target, TRUE, 7000, WAIT_MS));
+    g_assert_false(target_update_owner_loss(target, TRUE, 1000, WAIT_MS));
+    g_assert_false(target_update_owner_loss(target, TRUE, 6999, WAIT_MS));
+    g_assert_true(target_update_owner_loss(target, TRUE, 7000, WAIT_MS));
     wb_fair_queue_pop(target->queue);
-    g_assert_false(target_owner_is_missing(target, FALSE, 7100, WAIT_MS));
+    g_assert_false(target_update_owner_loss(target, FALSE, 7100, WAIT_MS));
     /* Much later, the first request after the partition: it waits its own time. */
     target_enqueue(target, &request, FALSE);
-    g_assert_false(target_owner_is_missing(target, TRUE, 60000, WAIT_MS));
-    g_assert_true(target_owner_is_missing(target, TRUE, 66000, WAIT_MS));
+    g_assert_false(target_update_owner_loss(target, TRUE, 60000, WAIT_MS));
+    g_assert_true(target_update_owner_loss(target, TRUE, 66000, WAIT_MS));
     wb_fair_queue_pop(target->queue);
     g_hash_table_unref(shard->targets);
 }
