--- a/standins/estate/engine.c
+++ b/standins/estate/engine.c
@@ -1,5 +1,5 @@
 /* The stand-in's engines: lifecycle, requests and event streams. */
-#include "engine_inner.h"
+#include "engine_internal.h"
 
 #include "wickbridge/json.h"
 
--- a/standins/estate/engine_inner.h
+++ b/standins/estate/engine_internal.h
@@ -1,5 +1,5 @@
 /**
- * @file engine_inner.h
+ * @file engine_internal.h
  * @brief Private to the stand-in's engines: shared by engine.c (lifecycle, requests) and
  * engine_orders.c (models, orders).
  *
--- a/standins/estate/engine_orders.c
+++ b/standins/estate/engine_orders.c
@@ -1,5 +1,5 @@
 /* The stand-in's engines: models and orders. */
-#include "engine_inner.h"
+#include "engine_internal.h"
 
 #include "wickbridge/json.h"
 
--- a/standins/estate/estate.h
+++ b/standins/estate/estate.h
@@ -51,7 +51,8 @@
 /* engine.c. A request whose body begins with "crash" crashes the engine that runs it. The engine
  * restarts `back_ms` later at the same address, without models, under a new id (NAME.2, NAME.3,
  * ...) or, with the option `same_id`, under its old one. */
-/** Start an engine. @param options see wb_estate_engine_t in engine_inner.h; a reference is kept */
+/** Start an engine. @param options see wb_estate_engine_t in engine_internal.h; a reference is kept
+ */
 wb_estate_engine_t *wb_estate_engine_start(wb_loop_t *loop, wb_estate_store_t *store,
                                            wb_estate_seen_t *seen, const char *id, json_t *options);
 void wb_estate_engine_stop(wb_estate_engine_t *engine, gboolean announce);
--- a/tests/bench/bench.c
+++ b/tests/bench/bench.c
@@ -36,9 +36,9 @@
                                      "--token-interval-ms=5 --batch=400 --queue-limit=2000",
                                  .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
-    g_autofree char *node = address(cluster->nodes[0].callers_port);
+    declare_defaults(cluster, 1, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
+    g_autofree char *node = address(cluster->nodes[0].clients_port);
     g_autofree char *engine = address(cluster->engines[0].port);
     const char *const node_list[] = {node, NULL}, *const engine_list[] = {engine, NULL};
     double added_p50[PAIRS], added_p99[PAIRS];
@@ -112,9 +112,9 @@
                                      "--token-interval-ms=50 --batch=600 --queue-limit=2000",
                                  .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 2);
+    declare_defaults(cluster, 1, 2);
     pid_t pid = cluster->nodes[0].process.pid;
-    g_autofree char *node = address(cluster->nodes[0].callers_port);
+    g_autofree char *node = address(cluster->nodes[0].clients_port);
     const char *const list[] = {node, NULL};
     long idle_kib = process_memory_kib(pid);
     double rates[3], cpus[3], per_stream[3];
@@ -180,15 +180,15 @@
                                  .engine_flags = "--token-interval-ms=1 --memory-mib=1000000",
                                  .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, WAKES, 1);
+    declare_defaults(cluster, WAKES, 1);
     wb_samples_t added;
     wb_samples_init(&added);
     for (int i = 1; i <= WAKES; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
         gint64 began_us, ended_us;
         answer_t *answer =
-            chat(cluster->nodes[i % 3].callers_port, model, 4, ",\"stream\":true", NULL);
-        if (!answer_is_whole(answer, 4) || !load_times(cluster, model, &began_us, &ended_us))
+            chat(cluster->nodes[i % 3].clients_port, model, 4, ",\"stream\":true", NULL);
+        if (!answer_is_complete(answer, 4) || !load_times(cluster, model, &began_us, &ended_us))
             printf("  wake of %s: no whole answer\n", model);
         else
             wb_samples_add(&added,
@@ -207,12 +207,12 @@
 static void bench_herd(void) {
     cluster_options_t options = {.nodes = 3, .engines = 4, .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 5, 1);
+    declare_defaults(cluster, 5, 1);
     for (int i = 1; i <= 5; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        g_autofree char *nodes[3] = {address(cluster->nodes[0].callers_port),
-                                     address(cluster->nodes[1].callers_port),
-                                     address(cluster->nodes[2].callers_port)};
+        g_autofree char *nodes[3] = {address(cluster->nodes[0].clients_port),
+                                     address(cluster->nodes[1].clients_port),
+                                     address(cluster->nodes[2].clients_port)};
         const char *const list[] = {nodes[0], nodes[1], nodes[2], NULL};
         wb_load_plan_t plan = {list, FALSE, model, 100, 20, 0, NULL};
         wb_load_result_t result;
@@ -220,7 +220,7 @@
         printf(
             "herd: %lld of 100 callers answered whole, %d load(s), first token p50 %.0f max %.0f "
             "ms\n",
-            (long long)result.whole, loads_begun(cluster, model),
+            (long long)result.whole, loads_started(cluster, model),
             wb_samples_quantile(&result.first_token, 0.5),
             wb_samples_quantile(&result.first_token, 1.0));
         wb_load_result_clear(&result);
@@ -249,7 +249,7 @@
     enum { CHANGES = 100, NODES = 12 };
     cluster_options_t options = {.nodes = NODES};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 10, 1);
+    declare_defaults(cluster, 10, 1);
     g_usleep(2000000);
     double requested_ms[CHANGES];
     for (int i = 0; i < CHANGES; i++) {
@@ -299,7 +299,7 @@
                                  .engine_flags = "--memory-mib=1000000 --token-interval-ms=2",
                                  .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, KILLS, 1);
+    declare_defaults(cluster, KILLS, 1);
     wb_samples_t owned, answered;
     wb_samples_init(&owned);
     wb_samples_init(&answered);
@@ -311,12 +311,12 @@
         int64_t killed_ms = harness_now_ms();
         process_kill(&cluster->nodes[owner].process);
         if (i % 2 == 0) {
-            eventually(another_owner, cluster, GINT_TO_POINTER(owner), 60000);
+            wait_until(another_owner, cluster, GINT_TO_POINTER(owner), 60000);
             wb_samples_add(&owned, (double)(harness_now_ms() - killed_ms));
         } else {
             answer_t *answer =
-                chat(cluster->nodes[(owner + 1) % NODES].callers_port, model, 2, NULL, NULL);
-            failed += !answer_is_whole(answer, 2);
+                chat(cluster->nodes[(owner + 1) % NODES].clients_port, model, 2, NULL, NULL);
+            failed += !answer_is_complete(answer, 2);
             wb_samples_add(&answered, answer->seconds * 1000.0);
             answer_free(answer);
         }
@@ -340,17 +340,17 @@
     enum { KILLS = 10 };
     cluster_options_t options = {.nodes = 3, .engines = 2, .node_flags = "--log-level=warning"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     wb_samples_t replaced;
     wb_samples_init(&replaced);
     for (int i = 0; i < KILLS; i++) {
-        answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+        answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
         for (int j = 0; j < cluster->engine_count && answer->engine != NULL; j++)
             if (g_str_equal(cluster->engines[j].process.name, answer->engine))
                 engine_kill(cluster, j);
         answer_free(answer);
-        answer = chat(cluster->nodes[1].callers_port, "m1", 4, NULL, NULL);
-        if (answer_is_whole(answer, 4))
+        answer = chat(cluster->nodes[1].clients_port, "m1", 4, NULL, NULL);
+        if (answer_is_complete(answer, 4))
             wb_samples_add(&replaced, answer->seconds * 1000.0);
         answer_free(answer);
         cluster_add_engine(cluster, "assistant");
@@ -361,7 +361,7 @@
         "kills; the machine list is 500 ms late and read each second, the load takes 250 ms), at "
         "most %d replica(s) at once\n",
         wb_samples_quantile(&replaced, 0.5), wb_samples_quantile(&replaced, 1.0),
-        replaced.values->len, KILLS, most_replicas(cluster, "m1"));
+        replaced.values->len, KILLS, peak_replicas(cluster, "m1"));
     wb_samples_clear(&replaced);
     cluster_stop(cluster);
 }
@@ -374,15 +374,15 @@
     for (int i = 0; i < ROUNDS; i++) {
         cluster_options_t options = {.nodes = 3, .engines = 2, .node_flags = "--log-level=warning"};
         cluster_t *cluster = cluster_start(&options);
-        declare_usual(cluster, 1, 2);
-        answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 2, NULL, NULL);
+        declare_defaults(cluster, 1, 2);
+        answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 2, NULL, NULL);
         g_autofree char *leaving = g_strdup(answer->engine);
         answer_free(answer);
-        machine_leave(cluster, leaving);
+        machine_deregister(cluster, leaving);
         int64_t marked_ms = harness_now_ms(), last_ms = marked_ms;
         while (harness_now_ms() - marked_ms < 4000) {
             int64_t requested_ms = harness_now_ms();
-            answer = chat(cluster->nodes[requested_ms % 3].callers_port, "m1", 2, NULL, NULL);
+            answer = chat(cluster->nodes[requested_ms % 3].clients_port, "m1", 2, NULL, NULL);
             if (g_strcmp0(answer->engine, leaving) == 0)
                 last_ms = requested_ms;
             answer_free(answer);
--- a/tests/demo/demo.c
+++ b/tests/demo/demo.c
@@ -23,7 +23,7 @@
     answer_t *answer = NULL;
     for (int i = 0; i < 10; i++) {
         answer =
-            call("GET", caller->cluster->nodes[other_node].callers_port, path, NULL, NULL, 60000);
+            call("GET", caller->cluster->nodes[other_node].clients_port, path, NULL, NULL, 60000);
         if (answer->status == 200)
             break;
         answer_free(answer);
@@ -39,14 +39,14 @@
     g_autofree char *header = g_strconcat("Idempotency-Key: ", key, NULL);
     const char *headers[] = {header, NULL};
     int64_t started_ms = harness_now_ms();
-    answer_t *answer = chat(caller->cluster->nodes[caller->node].callers_port, "m1", TOKENS,
+    answer_t *answer = chat(caller->cluster->nodes[caller->node].clients_port, "m1", TOKENS,
                             ",\"stream\":true", headers);
     if (answer->status == 0) {
         answer_free(answer);
         answer = answer_fetch(caller, key);
         caller->fetched = TRUE;
     }
-    caller->whole = answer != NULL && answer_is_whole(answer, TOKENS);
+    caller->whole = answer != NULL && answer_is_complete(answer, TOKENS);
     caller->seconds = (double)(harness_now_ms() - started_ms) / 1000.0;
     if (answer != NULL)
         answer_free(answer);
@@ -63,8 +63,8 @@
     }
     printf("%d of %d callers got their whole answer; the model was loaded %d time(s), at most %d "
            "replica(s) at once\n",
-           whole, CALLERS, loads_begun(cluster, "m1"), most_replicas(cluster, "m1"));
-    return whole == CALLERS && most_replicas(cluster, "m1") == 1 ? 0 : 1;
+           whole, CALLERS, loads_started(cluster, "m1"), peak_replicas(cluster, "m1"));
+    return whole == CALLERS && peak_replicas(cluster, "m1") == 1 ? 0 : 1;
 }
 
 int main(void) {
@@ -72,7 +72,7 @@
     cluster_options_t options = {
         .nodes = 3, .engines = 2, .engine_flags = "--token-interval-ms=20 --load-slowdown=4"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     printf("three nodes and two engines run; model m1 is idle\n");
     caller_t callers[CALLERS];
     GThread *threads[CALLERS];
--- a/tests/edge/test_budget.c
+++ b/tests/edge/test_budget.c
@@ -28,7 +28,7 @@
     const estate_t *estate = clients->estate;
     int index = clients->sent++;
     budget_oracle_request(clients->oracle, harness_now_ms());
-    wire_t *wire = wire_try_open(estate->nodes[index % estate->node_count].callers_port);
+    wire_t *wire = wire_try_open(estate->nodes[index % estate->node_count].clients_port);
     if (wire == NULL) {
         return; /* the node is down */
     }
@@ -47,7 +47,7 @@
 
 /* Checks the bound against arrivals at the engines, and that there were retries at all. */
 static void clients_finish(clients_t *clients) {
-    json_t *seen = estate_seen(clients->estate);
+    json_t *seen = estate_records(clients->estate);
     size_t i;
     json_t *arrival;
     json_array_foreach(json_object_get(seen, "arrivals"), i, arrival) {
@@ -55,7 +55,7 @@
                               json_integer_value(json_object_get(arrival, "at_ms")));
     }
     json_decref(seen);
-    budget_worst_t worst = budget_oracle_worst(clients->oracle);
+    budget_window_t worst = budget_oracle_worst_window(clients->oracle);
     g_test_message("%u arrivals beyond the first for %u requests, %.1f allowed", worst.repeats,
                    worst.requests, worst.allowed);
     g_assert_cmpuint(worst.repeats, >, 0);
@@ -66,17 +66,17 @@
 
 static void shares_wait(const estate_t *estate) {
     for (int i = 0; i < estate->node_count; i++) {
-        estate_wait_share(estate, i, estate->node_count);
+        estate_wait_retry_share(estate, i, estate->node_count);
     }
 }
 
 /* Makes all engines of the service reject every request from now on. */
 static void engines_reject(const estate_t *estate) {
     for (int i = 1; i <= ESTATE_PROXIED_ENGINES; i++) {
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"reject\","
-                  "\"count\":1000000}",
-                  i);
+        estate_command(estate,
+                       "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"reject\","
+                       "\"count\":1000000}",
+                       i);
     }
 }
 
--- a/tests/edge/test_callers.c
+++ b/tests/edge/test_callers.c
@@ -6,19 +6,19 @@
 
 /* Sends raw bytes and expects a status. Nothing may run, and the node must serve other requests. */
 static void assert_refused(estate_t *estate, const char *bytes, int status) {
-    int port = estate->nodes[0].callers_port;
+    int port = estate->nodes[0].clients_port;
     wire_t *wire = wire_open(port);
     wire_send(wire, "%s", bytes);
-    wire_answer_t *answer = wire_read(wire, 4000);
+    wire_response_t *answer = wire_read(wire, 4000);
     g_test_message("%.60s -> %d", bytes, answer->status);
     g_assert_cmpint(answer->status, ==, status);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_true(status == 404 || wire_is_closed(wire, 3000));
     wire_close(wire);
     g_assert_cmpint(estate_runs(estate, "bad"), ==, 0);
-    answer = wire_ask(port, "/lock/x", "good", EDGE_DEADLINE);
+    answer = wire_request(port, "/lock/x", "good", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
 }
 
 #define BAD_POST "POST /lock/x HTTP/1.1\r\nHost: a.example\r\nRequest-Attempt-Id: bad\r\n"
@@ -48,9 +48,10 @@
     static const char *const models[] = {"m99", "m0/a99", "m0/zz"};
     for (size_t i = 0; i < G_N_ELEMENTS(models); i++) {
         g_autofree char *headers = g_strdup_printf("Model: %s\r\n" EDGE_DEADLINE, models[i]);
-        wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, "/chat/x", "u1", headers);
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/chat/x", "u1", headers);
         g_assert_cmpint(answer->status, ==, 404);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     g_assert_cmpint(estate_runs(estate, "u1"), ==, 0);
     estate_stop(estate);
@@ -59,19 +60,19 @@
 /* Chunked and pipelined requests reach the engine complete, and responses come in order. */
 static void test_chunks_and_pipelines(void) {
     estate_t *estate = estate_start(1, NULL);
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     wire_send(wire, "POST /lock/x HTTP/1.1\r\nHost: a.example\r\nRequest-Attempt-Id: p1\r\n"
                     "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
                     "GET /look/y HTTP/1.1\r\nHost: a.example\r\nRequest-Attempt-Id: p2\r\n\r\n");
     for (int i = 1; i <= 2; i++) {
-        wire_answer_t *answer = wire_read(wire, 4000);
+        wire_response_t *answer = wire_read(wire, 4000);
         g_autofree char *id = g_strdup_printf("Request-Attempt-Id: p%d", i);
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_nonnull(strstr(answer->head->str, id));
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     wire_close(wire);
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     json_t *run = json_array_get(json_object_get(seen, "runs"), 0);
     g_assert_cmpstr(json_string_value(json_object_get(run, "body")), ==, "abcde");
     json_decref(seen);
@@ -81,11 +82,11 @@
 /* A request ends when its client disconnects. */
 static void test_caller_leaves(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
-              "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
+                   "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
     g_usleep(600000);
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     wire_post(wire, "/chat/x", "g1", EDGE_MODEL("m7"), "hello");
     g_usleep(300000);
     wire_close(wire);
@@ -98,13 +99,13 @@
 /* An HTTP/1.0 client gets a stream without chunked encoding that ends with the connection. */
 static void test_old_caller(void) {
     estate_t *estate = estate_start(1, NULL);
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     wire_send(wire, "POST /chat/x HTTP/1.0\r\nHost: a.example\r\nRequest-Attempt-Id: old\r\n"
                     "Model: m0\r\nContent-Length: 2\r\n\r\nhi");
-    wire_answer_t *answer = wire_read(wire, 3000);
+    wire_response_t *answer = wire_read(wire, 3000);
     g_assert_cmpint(answer->status, ==, 200);
     g_assert_null(strstr(answer->head->str, "chunked"));
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_usleep(300000);
     wire_is_closed(wire, 1000);
     g_assert_true(g_str_has_prefix(wire->unread->str, "id: 1\ndata: old-1\n\n"));
--- a/tests/edge/test_control.c
+++ b/tests/edge/test_control.c
@@ -22,7 +22,7 @@
 
 /* Asserts that no engine got orders from two controllers within the handover interval. */
 static void assert_one_controller(const estate_t *estate, int64_t handover_ms) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     const json_t *orders = json_object_get(seen, "orders");
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < json_array_size(orders); i++) {
@@ -41,9 +41,10 @@
 static void model_request(const estate_t *estate, int node, const char *model, const char *id) {
     g_autofree char *headers = g_strdup_printf(
         "Model: %s\r\nPrompt-Prefix: ab:50\r\nRequest-Deadline-Ms: 20000\r\n", model);
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, "/chat/x", id, headers);
+    wire_response_t *answer =
+        wire_request(estate->nodes[node].clients_port, "/chat/x", id, headers);
     g_test_message("%s at node %d: %d", model, node, answer->status);
-    wire_answer_free(answer);
+    wire_response_free(answer);
 }
 
 /* Of the remaining nodes the one with the largest processor share takes over. */
@@ -111,25 +112,25 @@
     int64_t killed_ms = harness_now_ms();
     g_usleep(700000);
     int64_t sent_ms = harness_now_ms();
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[other].callers_port, "/chat/x", "b1", EDGE_MODEL("m5"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[other].clients_port, "/chat/x", "b1", EDGE_MODEL("m5"));
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 250);
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_test_message("come back in %.2f s", retry_after_s);
     g_assert_cmpfloat(retry_after_s, >, 2.5);
     g_assert_cmpfloat(retry_after_s, <, 6.0);
     g_usleep((gulong)(retry_after_s * 1e6));
     sent_ms = harness_now_ms();
-    answer = wire_ask(estate->nodes[other].callers_port, "/chat/x", "b2", EDGE_MODEL("m5"));
+    answer = wire_request(estate->nodes[other].clients_port, "/chat/x", "b2", EDGE_MODEL("m5"));
     g_test_message("%d after %d ms, %d ms after the kill", answer->status,
                    (int)(harness_now_ms() - sent_ms), (int)(harness_now_ms() - killed_ms));
     g_assert_cmpint(answer->status, ==, 200);
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_cmpint(estate_orders(estate, "model_load", "m5"), ==, 1);
     estate_assert_no_violation(estate);
     estate_stop(estate);
@@ -178,9 +179,9 @@
     estate_t *estate = estate_start(1, NULL);
     estate_wait_controller(estate, 3000);
     for (int i = 1; i <= 2; i++)
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"llm-%d\",\"fault\":\"%s\",\"count\":1}", i,
-                  fault);
+        estate_command(
+            estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-%d\",\"fault\":\"%s\",\"count\":1}",
+            i, fault);
     model_request(estate, 0, "m5", "f1");
     g_assert_cmpint(estate_runs(estate, "f1"), ==, 1);
     model_request(estate, 0, "m6", "f2");
@@ -211,7 +212,7 @@
 static void test_engine_dies(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_wait_controller(estate, 3000);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\",\"announce\":true}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\",\"announce\":true}");
     g_usleep(500000);
     model_request(estate, 0, "m2", "d1");
     g_assert_cmpint(estate_runs(estate, "d1"), ==, 1);
@@ -226,17 +227,18 @@
     estate_t *estate = estate_start(2, NULL);
     estate_wait_controller(estate, 8000);
     for (int engine = 1; engine <= 2; engine++) {
-        estate_do(estate, "{\"do\":\"engine-crash-model\",\"engine\":\"llm-%d\",\"model\":\"m5\"}",
-                  engine);
+        estate_command(estate,
+                       "{\"do\":\"engine-crash-model\",\"engine\":\"llm-%d\",\"model\":\"m5\"}",
+                       engine);
     }
     int64_t until_ms = harness_now_ms() + DURATION_MS;
     for (int i = 0; harness_now_ms() < until_ms; i++) {
         g_autofree char *id = g_strdup_printf("x%d", i);
-        wire_answer_free(
-            wire_ask(estate->nodes[i % 2].callers_port, "/note/x", id, EDGE_MODEL("m5")));
+        wire_response_free(
+            wire_request(estate->nodes[i % 2].clients_port, "/note/x", id, EDGE_MODEL("m5")));
         g_usleep(100000);
     }
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t crashes = json_array_size(json_object_get(seen, "crashes"));
     json_decref(seen);
     g_test_message("%zu engines crashed", crashes);
@@ -244,10 +246,10 @@
     g_assert_cmpint(crashes, <=, MAX_CRASHES);
     for (int node = 0; node < 2; node++) {
         g_autofree char *id = g_strdup_printf("y%d", node);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[node].callers_port, "/note/x", id, EDGE_MODEL("m0"));
+        wire_response_t *answer =
+            wire_request(estate->nodes[node].clients_port, "/note/x", id, EDGE_MODEL("m0"));
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     estate_stop(estate);
 }
--- a/tests/edge/test_cut_off.c
+++ b/tests/edge/test_cut_off.c
@@ -17,8 +17,8 @@
 /* Asserts that a request for a model that isn't loaded is refused at once with a Retry-After. */
 static void assert_refused_at_once(const estate_t *estate, int node, const char *id) {
     int64_t sent_ms = harness_now_ms();
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[node].callers_port, "/chat/x", id, EDGE_MODEL("m5"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[node].clients_port, "/chat/x", id, EDGE_MODEL("m5"));
     int64_t elapsed_ms = harness_now_ms() - sent_ms;
     g_test_message("%s: %d after %d ms", id, answer->status, (int)elapsed_ms);
     g_assert_cmpint(answer->status, ==, 503);
@@ -26,7 +26,7 @@
     const char *header = strstr(answer->head->str, "Retry-After: ");
     g_assert_nonnull(header);
     g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), <, COME_BACK_MOST_S);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_cmpint(estate_runs(estate, id), ==, 0);
 }
 
@@ -46,9 +46,10 @@
 }
 
 static void assert_served(const estate_t *estate, int node, const char *id, const char *headers) {
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, "/chat/x", id, headers);
+    wire_response_t *answer =
+        wire_request(estate->nodes[node].clients_port, "/chat/x", id, headers);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_cmpint(estate_runs(estate, id), ==, 1);
 }
 
@@ -102,12 +103,12 @@
     estate_link_fault(estate, controller, "cut", 0);
     estate_store_fault(estate, cut, "freeze", 0);
     int64_t sent_ms = harness_now_ms();
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[cut].callers_port, "/chat/x", "w1", EDGE_MODEL("m5"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[cut].clients_port, "/chat/x", "w1", EDGE_MODEL("m5"));
     g_test_message("%d after %d ms", answer->status, (int)(harness_now_ms() - sent_ms));
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 2500);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
--- a/tests/edge/test_directory.c
+++ b/tests/edge/test_directory.c
@@ -14,9 +14,9 @@
 
 static int asked(const estate_t *estate, int node, const char *path, const char *id,
                  const char *headers) {
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, path, id, headers);
+    wire_response_t *answer = wire_request(estate->nodes[node].clients_port, path, id, headers);
     int status = answer->status;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     return status;
 }
 
@@ -62,18 +62,18 @@
         g_autofree char *chat_id = g_strdup_printf("cc%d", node);
         g_assert_cmpint(asked(estate, node, "/chat/x", chat_id, EDGE_MODEL("m2")), ==, 200);
     }
-    estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"same_id\","
-                      "\"value\":1}");
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"back_ms\","
-                      "\"value\":100}");
-    estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
+    estate_command(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"same_id\","
+                           "\"value\":1}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"back_ms\","
+                           "\"value\":100}");
+    estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
     g_usleep(1500000);
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("left-%d", i);
         g_assert_cmpint(asked(estate, 2 + i % 2, "/lock/x", id, EDGE_DEADLINE), ==, 200);
     }
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
@@ -124,7 +124,7 @@
     g_assert_cmpfloat(estate_metric(estate, 2, "engines"), ==, 2);
     process_kill(&estate->nodes[0].process);
     process_kill(&estate->nodes[1].process);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-1\"}");
     estate_node_launch(estate, 0);
     estate_node_launch(estate, 1);
     estate_wait_ready(estate, 0);
--- a/tests/edge/test_engines.c
+++ b/tests/edge/test_engines.c
@@ -8,9 +8,9 @@
 
 static int asked(const estate_t *estate, int node, const char *path, const char *id,
                  const char *headers) {
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, path, id, headers);
+    wire_response_t *answer = wire_request(estate->nodes[node].clients_port, path, id, headers);
     int status = answer->status;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     return status;
 }
 
@@ -18,18 +18,18 @@
     json_t *call = json_pack("{s:s, s:s, s:s, s:s}", "do", "put", "table", "servers", "key", key,
                              "value", value);
     char *text = json_dumps(call, JSON_COMPACT);
-    estate_do(estate, "%s", text);
+    estate_command(estate, "%s", text);
     free(text);
     json_decref(call);
 }
 
 static void engine_restart_configure(const estate_t *estate, const char *engine, int restart_ms) {
-    estate_do(estate,
-              "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"same_id\",\"value\":1}",
-              engine);
-    estate_do(estate,
-              "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
-              engine, restart_ms);
+    estate_command(estate,
+                   "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"same_id\",\"value\":1}",
+                   engine);
+    estate_command(estate,
+                   "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
+                   engine, restart_ms);
 }
 
 /* Only llm-2 has m2. It crashes and restarts with the same id before its row expires, without
@@ -38,7 +38,7 @@
     estate_t *estate = estate_start(2, NULL);
     g_assert_cmpint(asked(estate, 0, "/chat/x", "r1", EDGE_MODEL("m2")), ==, 200);
     engine_restart_configure(estate, "llm-2", 100);
-    estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
+    estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
     g_usleep(RESTART_DETECTION_MS * 1000);
     for (int node = 0; node < 2; node++) {
         g_assert_true(estate_log_has(estate, node, "\"event\":\"engine-restarted\""));
@@ -56,7 +56,7 @@
     estate_t *estate = estate_start(1, NULL);
     engine_restart_configure(estate, "llm-2", 50);
     for (int i = 0; i < 2; i++) {
-        estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
+        estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
         g_usleep(900000);
     }
     g_usleep(600000);
@@ -74,19 +74,19 @@
  * timeout. */
 static void test_what_ran_there_ends(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
     g_usleep(600000);
     engine_restart_configure(estate, "llm-2", 100);
-    estate_do(estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-2\",\"fault\":\"mute\"}");
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    estate_command(estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-2\",\"fault\":\"mute\"}");
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     int64_t started_ms = harness_now_ms();
     wire_post(wire, "/note/x", "mute", EDGE_MODEL("m2"), "hello");
     g_usleep(300000);
-    estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
-    wire_answer_t *answer = wire_read(wire, 10000);
+    estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
+    wire_response_t *answer = wire_read(wire, 10000);
     g_assert_cmpint(answer->status, ==, 502);
     g_assert_cmpint(harness_now_ms() - started_ms, <, 3000);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     estate_stop(estate);
 }
@@ -107,15 +107,15 @@
         g_autofree char *key = g_strdup_printf("foreign-%zu", i);
         engine_row_write(estate, key, invalid_rows[i]);
     }
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":1}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":1}");
     engine_row_write(estate, "lock-1", "{\"service\":\"lock\"}");
     g_usleep(1500000);
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("o%d", i);
         g_assert_cmpint(asked(estate, i % 2, "/lock/x", id, EDGE_DEADLINE), ==, 200);
     }
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run)
@@ -123,9 +123,9 @@
     json_decref(seen);
     g_assert_true(estate_log_has(estate, 0, "\"event\":\"engine-row-refused\""));
     g_assert_cmpfloat(estate_metric(estate, 0, "broken_sends_total"), ==, 0);
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":0}");
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":0}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(1500000);
     g_assert_cmpint(asked(estate, 0, "/lock/x", "back", EDGE_DEADLINE), ==, 200);
     estate_stop(estate);
@@ -133,7 +133,7 @@
 
 /* Returns the maximum number of runs at an engine within any second. */
 static unsigned most_in_a_second(const estate_t *estate, const char *engine) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     g_autoptr(GArray) times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     size_t i;
     json_t *run;
@@ -160,33 +160,33 @@
     estate_t *estate = estate_start(3, "--cold-overage=1.5 --cold-slack=1");
     static const char *const engines[] = {"lock-1", "lock-2"};
     for (gsize i = 0; i < G_N_ELEMENTS(engines); i++) {
-        estate_do(estate,
-                  "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"cold_ms\","
-                  "\"value\":6000}",
-                  engines[i]);
+        estate_command(estate,
+                       "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"cold_ms\","
+                       "\"value\":6000}",
+                       engines[i]);
     }
     g_usleep(1200000);
     wire_t *wires[40];
     for (int i = 0; i < 40; i++) {
         g_autofree char *id = g_strdup_printf("cold-%d", i);
-        wires[i] = wire_open(estate->nodes[i % 3].callers_port);
+        wires[i] = wire_open(estate->nodes[i % 3].clients_port);
         wire_post(wires[i], "/lock/x", id, EDGE_DEADLINE, "hello");
     }
     int served = 0;
     for (int i = 0; i < 40; i++) {
-        wire_answer_t *answer = wire_read(wires[i], 5000);
+        wire_response_t *answer = wire_read(wires[i], 5000);
         g_assert_true(answer->status == 200 || answer->status == 503);
         served += answer->status == 200;
-        wire_answer_free(answer);
+        wire_response_free(answer);
         wire_close(wires[i]);
     }
     g_assert_cmpint(served, >=, 4);
     for (gsize i = 0; i < G_N_ELEMENTS(engines); i++) {
         g_assert_cmpuint(most_in_a_second(estate, engines[i]), <=, 4);
-        estate_do(estate,
-                  "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"cold_ms\","
-                  "\"value\":0}",
-                  engines[i]);
+        estate_command(estate,
+                       "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"cold_ms\","
+                       "\"value\":0}",
+                       engines[i]);
     }
     g_usleep(1200000);
     for (int i = 0; i < 20; i++) {
--- a/tests/edge/test_once.c
+++ b/tests/edge/test_once.c
@@ -7,19 +7,20 @@
 /* Sends a request with a fault at both engines of the service, and checks its status and runs. */
 static void fault_test(const char *path, const char *fault, int count, int status, int runs) {
     estate_t *estate = estate_start(1, NULL);
-    estate_wait_share(estate, 0, 1);
-    estate_do(estate,
-              "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"%s\",\"count\":%d}",
-              fault, count);
-    estate_do(estate,
-              "{\"do\":\"engine-fault\",\"engine\":\"lock-2\",\"fault\":\"%s\",\"count\":%d}",
-              fault, count);
-    wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, path, "o1", EDGE_DEADLINE);
+    estate_wait_retry_share(estate, 0, 1);
+    estate_command(estate,
+                   "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"%s\",\"count\":%d}",
+                   fault, count);
+    estate_command(estate,
+                   "{\"do\":\"engine-fault\",\"engine\":\"lock-2\",\"fault\":\"%s\",\"count\":%d}",
+                   fault, count);
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, path, "o1", EDGE_DEADLINE);
     g_test_message("%s with %s: %d, %d runs", path, fault, answer->status,
                    estate_runs(estate, "o1"));
     g_assert_cmpint(answer->status, ==, status);
     g_assert_cmpint(estate_runs(estate, "o1"), ==, runs);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -39,21 +40,21 @@
  * the model isn't loaded on another engine. */
 static void test_only_holder_rejects(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_wait_share(estate, 0, 1);
+    estate_wait_retry_share(estate, 0, 1);
     for (int i = 0; i < 3; i++) {
         g_autofree char *id = g_strdup_printf("h%d", i);
-        estate_do(
+        estate_command(
             estate,
             "{\"do\":\"engine-fault\",\"engine\":\"llm-1\",\"fault\":\"reject\",\"count\":1}");
         int64_t started_ms = harness_now_ms();
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[0].callers_port, "/chat/x", id, EDGE_MODEL("m1"));
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/chat/x", id, EDGE_MODEL("m1"));
         int64_t elapsed_ms = harness_now_ms() - started_ms;
         g_test_message("%d after %d ms", answer->status, (int)elapsed_ms);
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_cmpint(elapsed_ms, <, 550);
         g_assert_cmpint(estate_runs(estate, id), ==, 1);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     g_assert_cmpint(estate_orders(estate, "model_load", "m1"), ==, 0);
     estate_stop(estate);
@@ -67,15 +68,15 @@
 /* A resumable stream that is aborted continues on another engine after its last complete event. */
 static void test_stream_is_resumed(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_wait_share(estate, 0, 1);
+    estate_wait_retry_share(estate, 0, 1);
     int resumed = 0;
     for (int i = 0; i < 8; i++) {
         /* One engine aborts its next response; the other one resumes it. */
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"llm-1\",\"fault\":\"cut\",\"count\":1}");
+        estate_command(
+            estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-1\",\"fault\":\"cut\",\"count\":1}");
         g_autofree char *id = g_strdup_printf("t%d", i);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[0].callers_port, "/chat/x", id, EDGE_MODEL("m0"));
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/chat/x", id, EDGE_MODEL("m0"));
         g_assert_true(answer->whole);
         for (int event = 1; event <= 5; event++) {
             g_autofree char *text = g_strdup_printf("id: %d\ndata: %s-%d\n\n", event, id, event);
@@ -84,7 +85,7 @@
             g_assert_null(strstr(position + 1, text));
         }
         resumed += estate_runs(estate, id) == 2;
-        wire_answer_free(answer);
+        wire_response_free(answer);
         g_usleep(500000); /* until the engine is no longer avoided */
     }
     g_assert_cmpint(resumed, >, 0);
@@ -95,16 +96,16 @@
 static void test_cut_stream_is_not_whole(void) {
     estate_t *estate = estate_start(1, NULL);
     for (int i = 1; i <= 2; i++)
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"llm-%d\",\"fault\":\"cut\",\"count\":9}",
-                  i);
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/note/x", "n1", EDGE_MODEL("m0"));
+        estate_command(
+            estate, "{\"do\":\"engine-fault\",\"engine\":\"llm-%d\",\"fault\":\"cut\",\"count\":9}",
+            i);
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/note/x", "n1", EDGE_MODEL("m0"));
     g_assert_false(answer->whole);
     g_assert_true(answer->closed);
     g_assert_cmpint(estate_runs(estate, "n1"), ==, 1);
     g_assert_null(strstr(answer->body->str, "id: 99"));
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -112,20 +113,20 @@
 static void test_quiet_engine_is_left_alone(void) {
     enum { REQUESTS = 24 };
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate,
-              "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"mute\",\"count\":99}");
+    estate_command(
+        estate, "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"mute\",\"count\":99}");
     wire_t *wires[REQUESTS];
     int served = 0;
     for (int i = 0; i < REQUESTS; i++) {
         g_autofree char *id = g_strdup_printf("q%d", i);
-        wires[i] = wire_open(estate->nodes[0].callers_port);
+        wires[i] = wire_open(estate->nodes[0].clients_port);
         wire_post(wires[i], "/lock/x", id, EDGE_DEADLINE, "hello");
         g_usleep(70000);
     }
     for (int i = 0; i < REQUESTS; i++) {
-        wire_answer_t *answer = wire_read(wires[i], 4000);
+        wire_response_t *answer = wire_read(wires[i], 4000);
         served += answer->status == 200;
-        wire_answer_free(answer);
+        wire_response_free(answer);
         wire_close(wires[i]);
     }
     g_test_message("%d of %d served", served, REQUESTS);
@@ -143,8 +144,8 @@
         estate_engine_fault(estate, 0, fault, offset, 1);
         estate_engine_fault(estate, 1, fault, offset, 1);
         g_usleep(PROXY_SETTLE_US);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[0].callers_port, "/lock/x", id, EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/lock/x", id, EDGE_DEADLINE);
         int runs = estate_runs(estate, id);
         g_test_message("%s behind %d: %d, %d runs", fault, offset, answer->status, runs);
         g_assert_cmpint(runs, <=, 1);
@@ -157,7 +158,7 @@
             g_assert_true(answer->whole);
         }
         unknown_outcomes += answer->status == 502;
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     g_assert_cmpint(unknown_outcomes, >, 20);
 }
@@ -169,11 +170,11 @@
         g_autofree char *id = g_strdup_printf("again-%d", offset);
         estate_engine_fault(estate, 0, fault, offset, 1);
         g_usleep(PROXY_SETTLE_US);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[0].callers_port, "/look/x", id, EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/look/x", id, EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_cmpint(estate_runs(estate, id), <=, 2);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
 }
 
@@ -183,7 +184,7 @@
     estate_stop(estate);
     /* A new cluster, because kept connections would still be cut at their offset. */
     estate = estate_start(1, NULL);
-    estate_wait_share(estate, 0, 1);
+    estate_wait_retry_share(estate, 0, 1);
     repeatable_cut_test(estate, fault, bytes);
     estate_stop(estate);
 }
@@ -199,14 +200,14 @@
 /* No repeatable request fails because of an unreachable engine. */
 static void test_unreached_engine(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_wait_share(estate, 0, 1);
+    estate_wait_retry_share(estate, 0, 1);
     estate_engine_fault(estate, 0, "cut", 0, 0);
     for (int i = 0; i < 10; i++) {
         g_autofree char *id = g_strdup_printf("u%d", i);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[0].callers_port, "/look/x", id, EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[0].clients_port, "/look/x", id, EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     estate_stop(estate);
 }
--- a/tests/edge/test_pace.c
+++ b/tests/edge/test_pace.c
@@ -12,19 +12,21 @@
 
 static void pace_set(const estate_t *estate, const char *engine, const char *reported,
                      int percent) {
-    estate_do(estate, "{\"do\":\"engine-pace\",\"engine\":\"%s\",\"told\":\"%s\",\"percent\":%d}",
-              engine, reported, percent);
+    estate_command(estate,
+                   "{\"do\":\"engine-pace\",\"engine\":\"%s\",\"told\":\"%s\",\"percent\":%d}",
+                   engine, reported, percent);
 }
 
 /* Sends requests for m0, which both engines have. Returns how many of them ran on llm-1. */
 static int asked_at_first(const estate_t *estate, int node, const char *prefix, int count) {
     for (int i = 0; i < count; i++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, i);
-        wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, "/chat/x", id, HEADERS);
+        wire_response_t *answer =
+            wire_request(estate->nodes[node].clients_port, "/chat/x", id, HEADERS);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     const json_t *runs = json_object_get(seen, "runs");
     int first = 0;
     for (size_t i = 0; i < json_array_size(runs); i++) {
--- a/tests/edge/test_path.c
+++ b/tests/edge/test_path.c
@@ -6,21 +6,21 @@
 
 static void test_stream_is_whole(void) {
     estate_t *estate = estate_start(1, NULL);
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/chat/a%20b?c=%2F", "s1", EDGE_MODEL("m0"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/chat/a%20b?c=%2F", "s1", EDGE_MODEL("m0"));
     g_assert_cmpint(answer->status, ==, 200);
     g_assert_true(answer->whole);
     g_assert_nonnull(strstr(answer->head->str, "Response-Seal: seal"));
     g_assert_cmpstr(answer->body->str, ==,
                     "id: 1\ndata: s1-1\n\nid: 2\ndata: s1-2\n\nid: 3\ndata: s1-3\n\n"
                     "id: 4\ndata: s1-4\n\nid: 5\ndata: s1-5\n\n");
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     json_t *run = json_array_get(json_object_get(seen, "runs"), 0);
     g_assert_cmpstr(json_string_value(json_object_get(run, "path")), ==, "/chat/a%20b?c=%2F");
     g_assert_cmpstr(json_string_value(json_object_get(run, "body")), ==, "hello");
     g_assert_cmpint(json_integer_value(json_object_get(run, "deadline_ms")), <=, 7000);
     json_decref(seen);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -30,14 +30,14 @@
     wire_t *wires[6];
     for (int i = 0; i < 6; i++) {
         g_autofree char *id = g_strdup_printf("c%d", i);
-        wires[i] = wire_open(estate->nodes[i % 2].callers_port);
+        wires[i] = wire_open(estate->nodes[i % 2].clients_port);
         wire_post(wires[i], "/chat/x", id, EDGE_MODEL("m5"), "hello");
     }
     for (int i = 0; i < 6; i++) {
-        wire_answer_t *answer = wire_read(wires[i], 8000);
+        wire_response_t *answer = wire_read(wires[i], 8000);
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_true(answer->whole);
-        wire_answer_free(answer);
+        wire_response_free(answer);
         wire_close(wires[i]);
     }
     g_assert_cmpint(estate_orders(estate, "model_load", "m5"), ==, 1);
@@ -51,9 +51,10 @@
         g_autofree char *headers =
             g_strdup_printf("Model: m0/a%d\r\nPrompt-Prefix: ab:50\r\n" EDGE_DEADLINE, i);
         g_autofree char *id = g_strdup_printf("a%d", i);
-        wire_answer_t *answer = wire_ask(estate->nodes[i % 2].callers_port, "/chat/x", id, headers);
+        wire_response_t *answer =
+            wire_request(estate->nodes[i % 2].clients_port, "/chat/x", id, headers);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     estate_assert_no_violation(estate);
     estate_stop(estate);
@@ -62,15 +63,15 @@
 /* To load an adapter, an engine without free memory unloads a model with less demand. */
 static void test_adapter_makes_room(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-3\",\"options\":{\"service\":\"llm\","
-              "\"zone\":\"zone-1\",\"streams\":1,\"models\":[\"m6\",\"m7\"],\"load_ms\":200,"
-              "\"model_mb\":1050,\"weights_mb\":2100}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-3\",\"options\":{\"service\":\"llm\","
+                   "\"zone\":\"zone-1\",\"streams\":1,\"models\":[\"m6\",\"m7\"],\"load_ms\":200,"
+                   "\"model_mb\":1050,\"weights_mb\":2100}}");
     g_usleep(700000);
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/chat/x", "r1", EDGE_MODEL("m6/a1"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/chat/x", "r1", EDGE_MODEL("m6/a1"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -84,9 +85,9 @@
                      "{\"name\":\"long\",\"host\":\"a.example\",\"pathPrefix\":\"/long/\","
                      "\"routeType\":\"streaming\",\"timeoutMs\":700,\"service\":\"llm\"}");
     g_usleep(300000);
-    int port = estate->nodes[0].callers_port;
+    int port = estate->nodes[0].clients_port;
     int64_t sent_ms = harness_now_ms();
-    wire_answer_t *answer = wire_ask(port, "/short/x", "f1", EDGE_MODEL("m5"));
+    wire_response_t *answer = wire_request(port, "/short/x", "f1", EDGE_MODEL("m5"));
     g_test_message("refused after %d ms", (int)(harness_now_ms() - sent_ms));
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 80);
     g_assert_cmpint(answer->status, ==, 503);
@@ -95,11 +96,11 @@
     double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
     g_assert_cmpfloat(retry_after_s, >=, 0.15);
     g_assert_cmpfloat(retry_after_s, <=, 0.6);
-    wire_answer_free(answer);
-    answer = wire_ask(port, "/long/x", "f2", EDGE_MODEL("m6"));
+    wire_response_free(answer);
+    answer = wire_request(port, "/long/x", "f2", EDGE_MODEL("m6"));
     g_assert_cmpint(answer->status, ==, 200);
     g_assert_true(answer->whole);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -126,7 +127,8 @@
         {"explain request w1", "served"},
     };
     estate_t *estate = estate_start(1, NULL);
-    wire_answer_free(wire_ask(estate->nodes[0].callers_port, "/chat/x", "w1", EDGE_MODEL("m0")));
+    wire_response_free(
+        wire_request(estate->nodes[0].clients_port, "/chat/x", "w1", EDGE_MODEL("m0")));
     g_usleep(500000);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         g_autofree char *output = NULL;
--- a/tests/edge/test_poison.c
+++ b/tests/edge/test_poison.c
@@ -27,7 +27,7 @@
 
 static void repeats_send(repeats_t *repeats, int node) {
     g_autofree char *id = g_strdup_printf("again-%d", repeats->sent++);
-    wire_t *wire = wire_try_open(repeats->estate->nodes[node].callers_port);
+    wire_t *wire = wire_try_open(repeats->estate->nodes[node].clients_port);
     if (wire == NULL) {
         return; /* the node is down */
     }
@@ -49,7 +49,7 @@
 }
 
 static int crashes_count(const estate_t *estate) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     int count = (int)json_array_size(json_object_get(seen, "crashes"));
     json_decref(seen);
     return count;
@@ -68,7 +68,7 @@
 /* Asserts the number of crashes, and that the request reached no engine after all nodes must know
  * it. */
 static void assert_stopped(const estate_t *estate) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     const json_t *crashes = json_object_get(seen, "crashes");
     g_test_message("%zu engines crashed", json_array_size(crashes));
     g_assert_cmpint(json_array_size(crashes), >=, 3);
@@ -93,20 +93,20 @@
 static void assert_others_served(const estate_t *estate, const char *prefix) {
     for (int node = 0; node < estate->node_count; node++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, node);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[node].callers_port, PATH, id, EDGE_MODEL("m0"));
+        wire_response_t *answer =
+            wire_request(estate->nodes[node].clients_port, PATH, id, EDGE_MODEL("m0"));
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_true(answer->whole);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
 }
 
 /* Asserts that the node refuses the request at once, without a run and with a long Retry-After. */
 static void assert_refused(const estate_t *estate, int node) {
     int64_t sent_ms = harness_now_ms();
-    wire_t *wire = wire_open(estate->nodes[node].callers_port);
+    wire_t *wire = wire_open(estate->nodes[node].clients_port);
     wire_post(wire, PATH, "told", EDGE_MODEL("m0"), POISON);
-    wire_answer_t *answer = wire_read(wire, 9000);
+    wire_response_t *answer = wire_read(wire, 9000);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
     const char *header = strstr(answer->head->str, "Retry-After: ");
@@ -114,7 +114,7 @@
     g_assert_cmpfloat(g_ascii_strtod(header + strlen("Retry-After: "), NULL), >=,
                       COME_BACK_LEAST_S);
     g_assert_cmpint(estate_runs(estate, "told"), ==, 0);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
 }
 
@@ -179,31 +179,33 @@
     estate_t *estate = estate_start(1, NULL);
     for (int i = 0; i < 8; i++) {
         g_autofree char *id = g_strdup_printf("cut-%d", i);
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"reset\","
-                  "\"count\":1}",
-                  i % 2 + 1);
-        wire_answer_free(wire_ask(estate->nodes[0].callers_port, "/lock/x", id, EDGE_DEADLINE));
+        estate_command(estate,
+                       "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"reset\","
+                       "\"count\":1}",
+                       i % 2 + 1);
+        wire_response_free(
+            wire_request(estate->nodes[0].clients_port, "/lock/x", id, EDGE_DEADLINE));
         g_usleep(50000);
     }
     for (int i = 1; i <= 2; i++) {
-        estate_do(estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"\",\"count\":0}", i);
+        estate_command(
+            estate, "{\"do\":\"engine-fault\",\"engine\":\"lock-%d\",\"fault\":\"\",\"count\":0}",
+            i);
     }
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/lock/x", "well", EDGE_DEADLINE);
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/lock/x", "well", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
 /* Sends the poison request to a node. Returns its status, 0 if the response isn't complete. */
 static int status_at(const estate_t *estate, int node, const char *id) {
-    wire_t *wire = wire_open(estate->nodes[node].callers_port);
+    wire_t *wire = wire_open(estate->nodes[node].clients_port);
     wire_post(wire, PATH, id, EDGE_MODEL("m0"), POISON);
-    wire_answer_t *answer = wire_read(wire, 9000);
+    wire_response_t *answer = wire_read(wire, 9000);
     int status = answer->whole ? answer->status : 0;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     return status;
 }
@@ -218,7 +220,7 @@
         for (int i = 0; i < 10; i++) {
             g_autofree char *id = g_strdup_printf("beside-%d", repeats.sent);
             int node = repeats.sent % NODES;
-            wire_t *wire = wire_open(estate->nodes[node].callers_port);
+            wire_t *wire = wire_open(estate->nodes[node].clients_port);
             wire_post(wire, PATH, id, EDGE_MODEL("m0"), "hello");
             g_ptr_array_add(repeats.wires, wire);
             repeats_send(&repeats, node);
@@ -245,7 +247,7 @@
     g_test_message("%d crashes", crashes_count(estate));
     g_assert_cmpint(crashes_count(estate), ==, 4);
     for (int engine = 1; engine <= 2; engine++) {
-        estate_do(estate, "{\"do\":\"engine-harden\",\"engine\":\"llm-%d\"}", engine);
+        estate_command(estate, "{\"do\":\"engine-harden\",\"engine\":\"llm-%d\"}", engine);
     }
     int64_t until_ms = harness_now_ms() + 8000;
     int status = 0;
--- a/tests/edge/test_stops.c
+++ b/tests/edge/test_stops.c
@@ -9,16 +9,16 @@
 /* Idle client connections are closed early enough to answer requests that still arrive on them. */
 static void test_resting_connections_end_early(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=6");
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
-              "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
+                   "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
     g_usleep(600000);
-    int port = estate->nodes[0].callers_port;
+    int port = estate->nodes[0].clients_port;
     wire_t *idle = wire_open(port);
     wire_post(idle, "/lock/x", "k1", EDGE_DEADLINE, "hello");
-    wire_answer_t *answer = wire_read(idle, 3000);
+    wire_response_t *answer = wire_read(idle, 3000);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_t *streaming = wire_open(port);
     wire_post(streaming, "/chat/x", "k2", EDGE_MODEL("m7"), "hello");
     g_usleep(200000);
@@ -36,21 +36,21 @@
 /* A request that arrives late in a stop is refused at once, without a run. */
 static void test_late_request_is_refused(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=6");
-    int port = estate->nodes[0].callers_port;
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
-              "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
+    int port = estate->nodes[0].clients_port;
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
+                   "\"streams\":1,\"models\":[\"m7\"],\"events\":400,\"event_ms\":20}}");
     g_usleep(600000);
     wire_t *streaming = wire_open(port);
     wire_post(streaming, "/chat/x", "l1", EDGE_MODEL("m7"), "hello");
     g_usleep(200000);
     process_signal(&estate->nodes[0].process, SIGTERM);
     g_usleep(3500000);
-    wire_answer_t *answer = wire_ask(port, "/chat/x", "l2", EDGE_MODEL("m0"));
+    wire_response_t *answer = wire_request(port, "/chat/x", "l2", EDGE_MODEL("m0"));
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_nonnull(strstr(answer->head->str, "Retry-After: "));
     g_assert_cmpint(estate_runs(estate, "l2"), ==, 0);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(streaming);
     estate_stop(estate);
 }
@@ -58,19 +58,19 @@
 /* Requests that run at SIGTERM are finished, and then the process exits. */
 static void test_running_requests_finish(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
-              "\"streams\":1,\"models\":[\"m7\"],\"events\":50,\"event_ms\":20}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-9\",\"options\":{\"service\":\"llm\","
+                   "\"streams\":1,\"models\":[\"m7\"],\"events\":50,\"event_ms\":20}}");
     g_usleep(600000);
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     wire_post(wire, "/chat/x", "f1", EDGE_MODEL("m7"), "hello");
     g_usleep(200000);
     process_signal(&estate->nodes[0].process, SIGTERM);
     g_usleep(100000);
     g_assert_false(estate_node_is_ready(estate, 0));
-    wire_answer_t *answer = wire_read(wire, 5000);
+    wire_response_t *answer = wire_read(wire, 5000);
     g_assert_true(answer->whole);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     g_assert_cmpint(process_stop(&estate->nodes[0].process, 6000), ==, 0);
     estate_stop(estate);
@@ -88,14 +88,14 @@
     process_signal(process, SIGTERM);
     g_usleep(2450000);
     process_signal(process, SIGSTOP);
-    wire_t *wire = wire_open(estate->nodes[other].callers_port);
+    wire_t *wire = wire_open(estate->nodes[other].clients_port);
     wire_post(wire, "/lock/x", "e1", EDGE_DEADLINE, "hello");
     g_usleep(300000);
     process_signal(process, SIGCONT);
-    wire_answer_t *answer = wire_read(wire, 3000);
+    wire_response_t *answer = wire_read(wire, 3000);
     g_assert_nonnull(answer);
     g_assert_true(answer->whole);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     estate_stop(estate);
 }
@@ -103,20 +103,20 @@
 /* A request that waits for its model is refused in time before a stop ends. */
 static void test_waiting_requests_are_answered(void) {
     estate_t *estate = estate_start(1, "--stop-grace-s=4");
-    int port = estate->nodes[0].callers_port;
-    estate_do(estate, "{\"do\":\"store-fault\",\"fault\":\"busy\"}");
+    int port = estate->nodes[0].clients_port;
+    estate_command(estate, "{\"do\":\"store-fault\",\"fault\":\"busy\"}");
     g_usleep(2500000); /* the lease expires, so no models are loaded */
     process_signal(&estate->nodes[0].process, SIGTERM);
     int64_t stopped_ms = harness_now_ms();
     g_usleep(2500000);
     wire_t *wire = wire_open(port);
     wire_post(wire, "/chat/x", "w1", "Model: m5\r\nRequest-Deadline-Ms: 20000\r\n", "hello");
-    wire_answer_t *answer = wire_read(wire, 5000);
+    wire_response_t *answer = wire_read(wire, 5000);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_nonnull(strstr(answer->head->str, "Retry-After: "));
     g_test_message("answered after %d ms", (int)(harness_now_ms() - stopped_ms));
     g_assert_cmpint(harness_now_ms() - stopped_ms, <, 3300);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     estate_stop(estate);
 }
--- a/tests/edge/test_store.c
+++ b/tests/edge/test_store.c
@@ -5,13 +5,14 @@
 
 static void assert_status(const estate_t *estate, const char *path, const char *id,
                           const char *headers, int status) {
-    wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, path, id, headers);
+    wire_response_t *answer = wire_request(estate->nodes[0].clients_port, path, id, headers);
     g_assert_cmpint(answer->status, ==, status);
-    wire_answer_free(answer);
+    wire_response_free(answer);
 }
 
 static void store_fault(const estate_t *estate, const char *fault, int delay_ms) {
-    estate_do(estate, "{\"do\":\"store-fault\",\"fault\":\"%s\",\"delay_ms\":%d}", fault, delay_ms);
+    estate_command(estate, "{\"do\":\"store-fault\",\"fault\":\"%s\",\"delay_ms\":%d}", fault,
+                   delay_ms);
 }
 
 static void test_faults(void) {
@@ -35,11 +36,11 @@
 /* A configuration that changed while the change history expired is found by a full read. */
 static void test_forgotten_history(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate, "{\"do\":\"compact\"}");
+    estate_command(estate, "{\"do\":\"compact\"}");
     estate_configure(estate,
                      "{\"name\":\"new\",\"host\":\"a.example\",\"pathPrefix\":\"/new/\","
                      "\"routeType\":\"idempotent\",\"timeoutMs\":2000,\"service\":\"lock\"}");
-    estate_do(estate, "{\"do\":\"compact\"}");
+    estate_command(estate, "{\"do\":\"compact\"}");
     g_usleep(1000000);
     assert_status(estate, "/new/x", "h1", EDGE_DEADLINE, 200);
     assert_status(estate, "/lock/x", "h2", EDGE_DEADLINE, 404);
@@ -64,11 +65,11 @@
 /* A draining engine gets no requests after the drain time. */
 static void test_leaving_engines(void) {
     estate_t *estate = estate_start(1, "--drain-ms=1000");
-    estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
     g_usleep(1100000);
     for (int i = 0; i < 20; i++)
         assert_status(estate, "/lock/x", "v1", EDGE_DEADLINE, 200);
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run)
@@ -91,13 +92,13 @@
         g_usleep(20000);
     }
     g_assert_cmpfloat(estate_metric(estate, cut, "lease_held"), ==, 0);
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[cut].callers_port, "/chat/x", "c1", EDGE_MODEL("m0"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[cut].clients_port, "/chat/x", "c1", EDGE_MODEL("m0"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
-    answer = wire_ask(estate->nodes[1 - cut].callers_port, "/chat/x", "c2", EDGE_MODEL("m5"));
+    wire_response_free(answer);
+    answer = wire_request(estate->nodes[1 - cut].clients_port, "/chat/x", "c2", EDGE_MODEL("m5"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     /* The other node may take over before a store call of the cut-off node times out. */
     while (!estate_log_has(estate, cut, "\"event\":\"store-lost\"")) {
         g_assert_cmpint(harness_now_ms() - cut_ms, <, 5000);
@@ -105,9 +106,9 @@
     }
     estate_store_fault(estate, cut, "pass", 0);
     g_usleep(3000000);
-    answer = wire_ask(estate->nodes[cut].callers_port, "/chat/x", "c3", EDGE_MODEL("m6"));
+    answer = wire_request(estate->nodes[cut].clients_port, "/chat/x", "c3", EDGE_MODEL("m6"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_true(estate_log_has(estate, cut, "\"event\":\"store-lost\""));
     g_assert_true(estate_log_has(estate, cut, "\"event\":\"store-back\""));
     estate_assert_no_violation(estate);
@@ -154,8 +155,8 @@
  * removed. */
 static void test_gone_nodes_are_forgotten(void) {
     estate_t *estate = estate_start(2, "--node-life-s=2");
-    estate_do(estate,
-              "{\"do\":\"put\",\"table\":\"wickbridge\",\"key\":\"node/ghost\",\"value\":\"x\"}");
+    estate_command(
+        estate, "{\"do\":\"put\",\"table\":\"wickbridge\",\"key\":\"node/ghost\",\"value\":\"x\"}");
     g_usleep(1200000);
     g_assert_cmpfloat(estate_metric(estate, 0, "nodes"), ==, 3);
     g_usleep(2500000);
@@ -192,22 +193,22 @@
                      "\"routeType\":\"idempotent\",\"timeoutMs\":2000,\"service\":\"lock\"}");
     g_usleep(1000000);
     for (int i = 0; i < estate->node_count; i++) {
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[i].callers_port, "/new/x", "w1", EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[i].clients_port, "/new/x", "w1", EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     estate_stop(estate);
 }
 
 static void assert_only_second_engine_runs(const estate_t *estate, int node, const char *id) {
     for (int i = 0; i < 20; i++) {
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[node].callers_port, "/lock/x", id, EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[node].clients_port, "/lock/x", id, EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t i;
     json_t *run;
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
@@ -224,7 +225,7 @@
     g_usleep(1500000);
     estate_store_fault(estate, follower, "freeze", 0);
     g_usleep(500000);
-    estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
     g_usleep(1100000);
     assert_only_second_engine_runs(estate, follower, "n1");
     estate_stop(estate);
@@ -237,7 +238,7 @@
     g_usleep(1500000);
     estate_store_fault(estate, 1 - follower, "freeze", 0);
     g_usleep(200000);
-    estate_do(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-leave\",\"engine\":\"lock-1\"}");
     g_usleep(1100000);
     assert_only_second_engine_runs(estate, follower, "h1");
     estate_stop(estate);
--- a/tests/edge/test_tenants.c
+++ b/tests/edge/test_tenants.c
@@ -20,7 +20,7 @@
 
 /* Returns a header that the engine got with a request, or NULL. Free it with g_free. */
 static char *header_at_engine(const estate_t *estate, const char *id, const char *name) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     char *value = NULL;
     size_t i;
     json_t *run;
@@ -42,9 +42,9 @@
 
 static int status_of(const estate_t *estate, int node, const char *path, const char *id,
                      const char *headers) {
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, path, id, headers);
+    wire_response_t *answer = wire_request(estate->nodes[node].clients_port, path, id, headers);
     int status = answer->status;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     return status;
 }
 
@@ -77,21 +77,21 @@
                                            EDGE_DEADLINE "Authorization: Bearer k-south\r\n",
                                            EDGE_DEADLINE "Authorization:\r\n",
                                            EDGE_DEADLINE KEY("k-south") KEY("k-south")};
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
     for (size_t i = 0; i < G_N_ELEMENTS(invalid_headers); i++) {
         g_autofree char *id = g_strdup_printf("b%zu", i);
         wire_post(wire, "/lock/x", id, invalid_headers[i], "hello");
-        wire_answer_t *answer = wire_read(wire, 5000);
+        wire_response_t *answer = wire_read(wire, 5000);
         g_assert_cmpint(answer->status, ==, 401);
         g_assert_nonnull(strstr(answer->head->str, "WWW-Authenticate: Token"));
         g_assert_cmpint(estate_runs(estate, id), ==, 0);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     /* The connection can still be used. */
     wire_post(wire, "/lock/x", "b-good", EDGE_DEADLINE KEY("k-south"), "hello");
-    wire_answer_t *answer = wire_read(wire, 5000);
+    wire_response_t *answer = wire_read(wire, 5000);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     g_assert_false(estate_log_has(estate, 0, "k-nobody"));
     estate_stop(estate);
@@ -126,9 +126,9 @@
 static void test_key_is_taken_away(void) {
     estate_t *estate = tenants_start(1, two_tenants);
     /* The request waits, because no engine is left to load its model. */
-    wire_t *wire = wire_open(estate->nodes[0].callers_port);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\"}");
+    wire_t *wire = wire_open(estate->nodes[0].clients_port);
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-1\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"llm-2\"}");
     g_usleep(400000);
     int64_t sent_ms = harness_now_ms();
     wire_post(wire, "/chat/x", "k1", EDGE_MODEL("m5") KEY("k-south"), "hello");
@@ -136,10 +136,10 @@
     estate->tenants = "[{\"name\":\"north\",\"apiKeys\":[\"k-north-1\"]},"
                       "{\"name\":\"south\",\"apiKeys\":[\"k-south-2\"]}]";
     estate_configure(estate, NULL);
-    wire_answer_t *answer = wire_read(wire, 5000);
+    wire_response_t *answer = wire_read(wire, 5000);
     g_test_message("answered after %d ms", (int)(harness_now_ms() - sent_ms));
     g_assert_cmpint(answer->status, ==, 401);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "k2", EDGE_DEADLINE KEY("k-north-2")), ==, 401);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "k3", EDGE_DEADLINE KEY("k-south-2")), ==, 200);
@@ -165,11 +165,11 @@
     estate_t *estate = tenants_start(1, two_tenants);
     estate_store_fault(estate, 0, "cut", 0);
     g_usleep(3500000);
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/lock/x", "u1", EDGE_DEADLINE KEY("k-new"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/lock/x", "u1", EDGE_DEADLINE KEY("k-new"));
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_nonnull(strstr(answer->head->str, "Retry-After: "));
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "u2", EDGE_DEADLINE KEY("k-south")), ==, 200);
     g_assert_cmpint(status_of(estate, 0, "/lock/x", "u3", EDGE_DEADLINE), ==, 401);
     estate_stop(estate);
@@ -190,12 +190,12 @@
     int served = 0;
     int64_t until_ms = harness_now_ms() + seconds * 1000;
     for (int i = 0; i < node_count; i++) {
-        wires[i] = wire_open(estate->nodes[nodes[i]].callers_port);
+        wires[i] = wire_open(estate->nodes[nodes[i]].clients_port);
     }
     for (int i = 0; harness_now_ms() < until_ms; i++) {
         g_autofree char *id = g_strdup_printf("q%d-%d", (int)(until_ms % 100000), i);
         wire_post(wires[i % node_count], "/lock/x", id, EDGE_DEADLINE KEY("k-north-1"), "hello");
-        wire_answer_t *answer = wire_read(wires[i % node_count], 5000);
+        wire_response_t *answer = wire_read(wires[i % node_count], 5000);
         if (answer->status == 200) {
             served++;
         } else {
@@ -203,7 +203,7 @@
             g_assert_nonnull(strstr(answer->head->str, "Retry-After: "));
             g_usleep(4000);
         }
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     for (int i = 0; i < node_count; i++) {
         wire_close(wires[i]);
--- a/tests/edge/test_told.c
+++ b/tests/edge/test_told.c
@@ -44,7 +44,7 @@
 } client_t;
 
 /* Reads which engine ran a request: the stand-in's body ends with "at ENGINE". */
-static void engine_read(const wire_answer_t *answer, char *engine, gsize size) {
+static void engine_read(const wire_response_t *answer, char *engine, gsize size) {
     const char *at = answer->body != NULL ? strstr(answer->body->str, " at ") : NULL;
     g_strlcpy(engine, at != NULL ? at + strlen(" at ") : "", size);
 }
@@ -56,13 +56,13 @@
         response_t response = {.node = client->node, .sent_ms = harness_now_ms()};
         g_snprintf(response.id, sizeof(response.id), "n%d-%d", client->node,
                    g_atomic_int_add(&clients->next_number, 1));
-        wire_answer_t *answer = wire_ask(clients->estate->nodes[client->node].callers_port,
-                                         "/lock/x", response.id, EDGE_DEADLINE);
+        wire_response_t *answer = wire_request(clients->estate->nodes[client->node].clients_port,
+                                               "/lock/x", response.id, EDGE_DEADLINE);
         response.answered_ms = harness_now_ms();
         response.limited = strstr(answer->head->str, "Server-Limit") != NULL;
         response.draining = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
         engine_read(answer, response.engine, sizeof(response.engine));
-        wire_answer_free(answer);
+        wire_response_free(answer);
         g_mutex_lock(&clients->lock);
         g_array_append_val(clients->responses, response);
         g_mutex_unlock(&clients->lock);
@@ -101,13 +101,13 @@
 }
 
 static void state_headers_set(const estate_t *estate, const char *engine, const char *lines) {
-    estate_do(estate, "{\"do\":\"engine-state\",\"engine\":\"%s\",\"lines\":\"%s\"}", engine,
-              lines);
+    estate_command(estate, "{\"do\":\"engine-state\",\"engine\":\"%s\",\"lines\":\"%s\"}", engine,
+                   lines);
 }
 
 static void retry_after_set(const estate_t *estate, const char *engine, const char *retry_after) {
-    estate_do(estate, "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}", engine,
-              retry_after);
+    estate_command(estate, "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}",
+                   engine, retry_after);
 }
 
 /* Calls a function for each client request that arrived at an engine. The id names the node:
@@ -115,7 +115,7 @@
 static void arrivals_visit(const estate_t *estate, const char *engine,
                            void (*visit)(const char *id, int node, int64_t at_ms, void *context),
                            void *context) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     size_t i;
     json_t *arrival;
     json_array_foreach(json_object_get(seen, "arrivals"), i, arrival) {
@@ -150,15 +150,15 @@
 static unsigned limit_check(const clients_t *clients, const char *engine, double per_s,
                             int64_t reported_ms) {
     limit_oracle_t *oracle = limit_oracle_create(per_s, LIMIT_GRACE_MS);
-    limit_oracle_named(oracle, reported_ms);
+    limit_oracle_reported(oracle, reported_ms);
     for (guint i = 0; i < clients->responses->len; i++) {
         const response_t *response = &g_array_index(clients->responses, response_t, i);
         if (response->limited && strcmp(response->engine, engine) == 0) {
-            limit_oracle_passed_on(oracle, response->node, response->answered_ms);
+            limit_oracle_forwarded(oracle, response->node, response->answered_ms);
         }
     }
     arrivals_visit(clients->estate, engine, arrival_record, oracle);
-    limit_worst_t worst = limit_oracle_worst(oracle);
+    limit_window_t worst = limit_oracle_fullest_window(oracle);
     g_test_message("%s: %u in 4 s, %.1f allowed", engine, worst.arrivals, worst.allowed);
     g_assert_cmpfloat(worst.arrivals, <=, worst.allowed);
     limit_oracle_free(oracle);
@@ -205,7 +205,7 @@
  * and so received no response from it. */
 static void test_limit_ends(void) {
     estate_t *estate = estate_start(3, NULL);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(SHARES_SETTLE_MS * 1000);
     clients_t *clients = clients_start(estate);
     state_headers_set(estate, "lock-1", "Server-Limit: 0.4\\r\\n");
@@ -216,10 +216,10 @@
     clients_free(clients);
     for (int i = 0; i < 30; i++) {
         g_autofree char *id = g_strdup_printf("after-%d", i);
-        wire_answer_t *answer =
-            wire_ask(estate->nodes[i % 3].callers_port, "/lock/x", id, EDGE_DEADLINE);
+        wire_response_t *answer =
+            wire_request(estate->nodes[i % 3].clients_port, "/lock/x", id, EDGE_DEADLINE);
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     estate_stop(estate);
 }
@@ -227,20 +227,20 @@
 /* A response without the engine's seal or name must not end a limit: it may not be the engine's. */
 static void test_unsealed_answer_ends_no_limit(void) {
     estate_t *estate = estate_start(1, NULL);
-    int port = estate->nodes[0].callers_port;
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    int port = estate->nodes[0].clients_port;
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(5000000);
     state_headers_set(estate, "lock-1", "Server-Limit: 1\\r\\n");
-    wire_answer_free(wire_ask(port, "/lock/x", "u1", EDGE_DEADLINE));
+    wire_response_free(wire_request(port, "/lock/x", "u1", EDGE_DEADLINE));
     state_headers_set(estate, "lock-1", "");
     g_usleep(50000);
-    estate_do(estate, "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"unsealed\","
-                      "\"count\":1}");
-    wire_answer_free(wire_ask(port, "/lock/x", "u2", EDGE_DEADLINE));
+    estate_command(estate, "{\"do\":\"engine-fault\",\"engine\":\"lock-1\",\"fault\":\"unsealed\","
+                           "\"count\":1}");
+    wire_response_free(wire_request(port, "/lock/x", "u2", EDGE_DEADLINE));
     g_usleep(300000); /* logs are flushed ten times a second */
     g_assert_true(estate_log_has(estate, 0, "\"event\":\"engine-limited\""));
     g_assert_false(estate_log_has(estate, 0, "\"event\":\"engine-limit-ended\""));
-    wire_answer_free(wire_ask(port, "/lock/x", "u3", EDGE_DEADLINE));
+    wire_response_free(wire_request(port, "/lock/x", "u3", EDGE_DEADLINE));
     g_usleep(300000);
     g_assert_true(estate_log_has(estate, 0, "\"event\":\"engine-limit-ended\""));
     estate_stop(estate);
@@ -303,13 +303,13 @@
     g_usleep(500000);
     state_headers_set(estate, "lock-1", "Server-Leaving: 1\\r\\n");
     g_usleep(1000000);
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":1}");
-    estate_do(estate, "{\"do\":\"put\",\"table\":\"servers\",\"key\":\"lock-1\"}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":1}");
+    estate_command(estate, "{\"do\":\"put\",\"table\":\"servers\",\"key\":\"lock-1\"}");
     g_usleep(8000000);
     state_headers_set(estate, "lock-1", "");
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":0}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":0}");
     g_usleep(2000000);
     clients_join(clients);
     draining_assert(clients, "lock-1");
@@ -320,19 +320,20 @@
 /* A restart of the engine under its id ends its draining state. */
 static void test_leaving_ends_with_a_start(void) {
     estate_t *estate = estate_start(1, "--drain-ms=2000");
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"same_id\","
-                      "\"value\":1}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"same_id\","
+                           "\"value\":1}");
     g_usleep(1000000);
     state_headers_set(estate, "lock-1", "Server-Leaving: 1\\r\\n");
-    wire_answer_t *answer = wire_ask(estate->nodes[0].callers_port, "/lock/x", "l1", EDGE_DEADLINE);
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/lock/x", "l1", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
-    estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"lock-1\"}");
+    wire_response_free(answer);
+    estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"lock-1\"}");
     g_usleep(3000000);
-    answer = wire_ask(estate->nodes[0].callers_port, "/lock/x", "l2", EDGE_DEADLINE);
+    answer = wire_request(estate->nodes[0].clients_port, "/lock/x", "l2", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -341,16 +342,16 @@
 static void test_leaving_moves_models(void) {
     estate_t *estate = estate_start(2, "--drain-ms=2000");
     state_headers_set(estate, "llm-2", "Server-Leaving: 1\\r\\n");
-    wire_answer_t *answer =
-        wire_ask(estate->nodes[0].callers_port, "/chat/x", "m1", EDGE_MODEL("m2"));
+    wire_response_t *answer =
+        wire_request(estate->nodes[0].clients_port, "/chat/x", "m1", EDGE_MODEL("m2"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_usleep(2500000);
     for (int i = 0; i < 2; i++) {
         g_autofree char *id = g_strdup_printf("m2-%d", i);
-        answer = wire_ask(estate->nodes[i].callers_port, "/chat/x", id, EDGE_MODEL("m2"));
+        answer = wire_request(estate->nodes[i].clients_port, "/chat/x", id, EDGE_MODEL("m2"));
         g_assert_cmpint(answer->status, ==, 200);
-        wire_answer_free(answer);
+        wire_response_free(answer);
     }
     g_assert_cmpint(estate_orders(estate, "model_load", "m2"), >=, 1);
     estate_stop(estate);
@@ -359,13 +360,13 @@
 /* A limited engine still loads adapters of its models; these need no other replica. */
 static void test_adapter_at_a_limited_engine(void) {
     estate_t *estate = estate_start(1, NULL);
-    int port = estate->nodes[0].callers_port;
+    int port = estate->nodes[0].clients_port;
     state_headers_set(estate, "llm-2", "Server-Limit: 2\\r\\n");
-    wire_answer_free(wire_ask(port, "/chat/x", "l1", EDGE_MODEL("m2")));
+    wire_response_free(wire_request(port, "/chat/x", "l1", EDGE_MODEL("m2")));
     g_usleep(5000000);
-    wire_answer_t *answer = wire_ask(port, "/chat/x", "l2", EDGE_MODEL("m2/a1"));
+    wire_response_t *answer = wire_request(port, "/chat/x", "l2", EDGE_MODEL("m2/a1"));
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_assert_cmpint(estate_orders(estate, "model_load", "m2"), ==, 1);
     estate_stop(estate);
 }
@@ -373,21 +374,22 @@
 /* What an engine reports must not be attributed to another engine that had its address before. */
 static void test_answer_of_another_engine(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":1}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":1}");
     g_usleep(500000);
     /* The row of lock-1 now has the address of lock-2, which rejects requests for lock-1. */
-    estate_do(estate,
-              "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"announce_port\","
-              "\"value\":%d}",
-              estate->engine_ports[1]);
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
-                      "\"value\":0}");
+    estate_command(estate,
+                   "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"announce_port\","
+                   "\"value\":%d}",
+                   estate->engine_ports[1]);
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
+                           "\"value\":0}");
     state_headers_set(estate, "lock-2", "Server-Leaving: 1\\r\\n");
     g_usleep(1000000);
     for (int i = 0; i < 20; i++) {
         g_autofree char *id = g_strdup_printf("w%d", i);
-        wire_answer_free(wire_ask(estate->nodes[0].callers_port, "/lock/x", id, EDGE_DEADLINE));
+        wire_response_free(
+            wire_request(estate->nodes[0].clients_port, "/lock/x", id, EDGE_DEADLINE));
     }
     g_assert_true(estate_log_has(estate, 0, "\"event\":\"engine-leaving\",\"engine\":\"lock-2\""));
     g_assert_false(estate_log_has(estate, 0, "\"event\":\"engine-leaving\",\"engine\":\"lock-1\""));
@@ -418,8 +420,8 @@
     state_headers_set(estate, "lock-2", "Server-Leaving: 1\\r\\n");
     for (int i = 0; i < 10; i++) {
         g_autofree char *id = g_strdup_printf("o%d", i);
-        wire_answer_free(
-            wire_ask(estate->nodes[receiver].callers_port, "/lock/x", id, EDGE_DEADLINE));
+        wire_response_free(
+            wire_request(estate->nodes[receiver].clients_port, "/lock/x", id, EDGE_DEADLINE));
     }
     log_wait(estate, controller, limited);
     log_wait(estate, other, limited);
@@ -473,15 +475,15 @@
  * Retry-After at the end of the backoff; after it requests are served. */
 static void test_rest_of_the_only_engine(void) {
     estate_t *estate = estate_start(1, NULL);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(1000000);
     retry_after_set(estate, "lock-1", "3");
-    int port = estate->nodes[0].callers_port;
-    wire_answer_free(wire_ask(port, "/lock/x", "n0-1", EDGE_DEADLINE));
+    int port = estate->nodes[0].clients_port;
+    wire_response_free(wire_request(port, "/lock/x", "n0-1", EDGE_DEADLINE));
     retry_after_set(estate, "lock-1", "");
     g_usleep(600000);
     int64_t sent_ms = harness_now_ms();
-    wire_answer_t *answer = wire_ask(port, "/lock/x", "n0-2", EDGE_DEADLINE);
+    wire_response_t *answer = wire_request(port, "/lock/x", "n0-2", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpint(harness_now_ms() - sent_ms, <, 300);
     const char *header = strstr(answer->head->str, "Retry-After: ");
@@ -489,11 +491,11 @@
     double retry_after_s = g_ascii_strtod(header + strlen("Retry-After: "), NULL);
     g_assert_cmpfloat(retry_after_s, >, 2.0);
     g_assert_cmpfloat(retry_after_s, <, 2.7);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_usleep((gulong)(retry_after_s * 1000000));
-    answer = wire_ask(port, "/lock/x", "n0-3", EDGE_DEADLINE);
+    answer = wire_request(port, "/lock/x", "n0-3", EDGE_DEADLINE);
     g_assert_cmpint(answer->status, ==, 200);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     estate_stop(estate);
 }
 
@@ -512,10 +514,10 @@
         state_headers_set(estate, "lock-2", lines[i]);
         for (int j = 0; j < 6; j++) {
             g_autofree char *id = g_strdup_printf("a%zu-%d", i, j);
-            wire_answer_t *answer =
-                wire_ask(estate->nodes[0].callers_port, "/lock/x", id, EDGE_DEADLINE);
+            wire_response_t *answer =
+                wire_request(estate->nodes[0].clients_port, "/lock/x", id, EDGE_DEADLINE);
             g_assert_cmpint(answer->status, ==, 200);
-            wire_answer_free(answer);
+            wire_response_free(answer);
         }
     }
     g_assert_cmpfloat(estate_metric(estate, 0, "engine_figures_refused_total"), >=,
--- a/tests/edge/test_upgrade.c
+++ b/tests/edge/test_upgrade.c
@@ -20,18 +20,18 @@
 
 static void load_send(load_t *load, int node, const char *path, const char *headers) {
     g_autofree char *id = g_strdup_printf("load-%d", load->asked++);
-    wire_t *wire = wire_try_open(load->estate->nodes[node].callers_port);
+    wire_t *wire = wire_try_open(load->estate->nodes[node].clients_port);
     if (wire == NULL) {
         return; /* the node is being replaced; clients use another one */
     }
     wire_post(wire, path, id, headers, "hello");
-    wire_answer_t *answer = wire_read(wire, 10000);
+    wire_response_t *answer = wire_read(wire, 10000);
     int runs = estate_runs(load->estate, id);
     load->served += answer->status == 200;
     load->wrong += answer->status != 200 && answer->status != 503 && answer->status != 0;
     load->wrong += answer->status == 503 && runs > 0;
     load->wrong += runs > 1;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     wire_close(wire);
 }
 
@@ -57,7 +57,7 @@
 
 /* Asserts that no engine got orders from two lease holders within the handover interval. */
 static void assert_one_holder(const estate_t *estate) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     g_autoptr(GHashTable) last = g_hash_table_new(g_str_hash, g_str_equal);
     size_t i;
     json_t *order;
@@ -88,11 +88,11 @@
     load_run(&load, 1000);
     int holder = estate_wait_controller(estate, 5000);
     node_replace(&load, estate, (holder + 1) % NODES, FALSE);
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"same_id\","
-                      "\"value\":1}");
-    estate_do(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"back_ms\","
-                      "\"value\":100}");
-    estate_do(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"same_id\","
+                           "\"value\":1}");
+    estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"llm-2\",\"name\":\"back_ms\","
+                           "\"value\":100}");
+    estate_command(estate, "{\"do\":\"engine-crash\",\"engine\":\"llm-2\"}");
     load_run(&load, 2000);
     node_replace(&load, estate, holder, FALSE);
     estate_configure(estate, NULL);
--- a/tests/edge/test_zones.c
+++ b/tests/edge/test_zones.c
@@ -9,20 +9,20 @@
 
 static int asked(const estate_t *estate, int node, const char *path, const char *id,
                  const char *headers) {
-    wire_answer_t *answer = wire_ask(estate->nodes[node].callers_port, path, id, headers);
+    wire_response_t *answer = wire_request(estate->nodes[node].clients_port, path, id, headers);
     int status = answer->status;
-    wire_answer_free(answer);
+    wire_response_free(answer);
     return status;
 }
 
 static void zone_evacuate(const estate_t *estate, const char *zone, gboolean evacuate) {
-    estate_do(estate, "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\"%s}", zone,
-              evacuate ? ",\"value\":\"{}\"" : "");
+    estate_command(estate, "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\"%s}", zone,
+                   evacuate ? ",\"value\":\"{}\"" : "");
 }
 
 /* Returns how many runs at an engine started after a time (harness_now_ms). */
 static int runs_after(const estate_t *estate, const char *engine, int64_t after_ms) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     int count = 0;
     size_t i;
     json_t *run;
@@ -60,7 +60,7 @@
     g_assert_cmpint(estate_orders(estate, "model_load", "m1"), >=, 1);
     zone_evacuate(estate, "zone-1", FALSE);
     g_usleep(1500000);
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(800000);
     g_assert_cmpint(asked(estate, 0, "/lock/x", "back", EDGE_DEADLINE), ==, 200);
     estate_assert_no_violation(estate);
@@ -70,9 +70,9 @@
 /* Models with demand that are only in the zone are loaded elsewhere before the grace time ends. */
 static void test_models_move_ahead(void) {
     estate_t *estate = estate_start(1, "--catalog-ms=1000 --evacuate-ms=5000");
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-3\",\"options\":{\"service\":\"llm\","
-              "\"zone\":\"zone-2\",\"streams\":1,\"load_ms\":200,\"weights_mb\":2100}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-3\",\"options\":{\"service\":\"llm\","
+                   "\"zone\":\"zone-2\",\"streams\":1,\"load_ms\":200,\"weights_mb\":2100}}");
     estate_wait_controller(estate, 5000);
     assert_all_served(estate, "often", 3);
     g_usleep(500000);
@@ -145,7 +145,7 @@
     g_assert_cmpint(harness_now_ms() - started_ms, <, 300);
     g_assert_cmpint(estate_runs(estate, "west"), ==, 0);
     /* The last engine in an allowed region stops. */
-    estate_do(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
+    estate_command(estate, "{\"do\":\"engine-stop\",\"engine\":\"lock-2\"}");
     g_usleep(2500000);
     g_assert_cmpint(asked(estate, 0, "/south/x", "gone", EDGE_DEADLINE), ==, 503);
     g_assert_cmpint(runs_after(estate, "lock-1", started_ms), ==, 0);
--- a/tests/fuzz/fuzz_libfuzzer.c
+++ b/tests/fuzz/fuzz_libfuzzer.c
@@ -19,7 +19,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
     if (size == 0)
         return 0;
-    world_figures_t counters = {0};
+    world_counters_t counters = {0};
     switch (data[0] % 5) {
     case 0:
         target_message(data + 1, size - 1);
@@ -34,7 +34,7 @@
         target_engine_row(data + 1, size - 1);
         break;
     default:
-        if (world_run(data + 1, size - 1, 1, 0, &counters) != NULL)
+        if (simulation_run(data + 1, size - 1, 1, 0, &counters) != NULL)
             abort();
     }
     return 0;
--- a/tests/fuzz/fuzz_world_check.c
+++ b/tests/fuzz/fuzz_world_check.c
@@ -12,12 +12,12 @@
 int main(int argc, char **argv) {
     guint32 first = argc > 1 ? (guint32)atoi(argv[1]) : 1;
     guint32 count = argc > 2 ? (guint32)atoi(argv[2]) : 400;
-    world_figures_t counters = {0};
+    world_counters_t counters = {0};
     int faults = 0;
     wb_log_setup(FALSE, G_LOG_LEVEL_ERROR, "fuzz");
     gint64 started_us = g_get_monotonic_time();
     for (guint32 seed = first; seed < first + count; seed++) {
-        const char *fault = world_run(NULL, 0, seed, RUN_STEPS, &counters);
+        const char *fault = simulation_run(NULL, 0, seed, RUN_STEPS, &counters);
         if (fault == NULL)
             continue;
         printf("seed %u: %s\n", seed, fault);
--- a/tests/fuzz/quota_sim.c
+++ b/tests/fuzz/quota_sim.c
@@ -39,7 +39,7 @@
                                                   "two deciding",
                                                   "take-over"};
 
-const char *quota_trouble_name(quota_trouble_t trouble) {
+const char *quota_fault_name(quota_fault_t trouble) {
     return names[trouble];
 }
 
@@ -56,10 +56,10 @@
 typedef struct simulation_t {
     wb_tenants_t *tenants;
     tenant_state_t tenant_states[TENANTS];
-    quota_way_t *way;
+    quota_strategy_t *way;
     GRand *random;
     int nodes;
-    quota_trouble_t trouble;
+    quota_fault_t trouble;
     gboolean down;      /* all nodes are killed */
     GArray *retries;    /* of retry_t, ordered by step */
     guint retries_sent; /* number of them already sent */
@@ -264,8 +264,8 @@
         const tenant_state_t *state = &simulation->tenant_states[i];
         double limit = state->tenant->rate_per_s * WINDOW_S + state->tenant->burst;
         result.max_of_limit = MAX(result.max_of_limit, max_in_window(simulation, state, limit));
-        result.most_of_rule = MAX(result.most_of_rule,
-                                  max_in_window(simulation, state, limit * (1 + OVERAGE) + SLACK));
+        result.max_of_rule = MAX(result.max_of_rule,
+                                 max_in_window(simulation, state, limit * (1 + OVERAGE) + SLACK));
         oracle_sum += state->oracle_sum;
         refused_sum += MAX(state->oracle_sum - state->admitted_sum, 0);
     }
@@ -275,8 +275,8 @@
     return result;
 }
 
-quota_result_t quota_sim_play(quota_way_t *(*create)(int nodes, const wb_tenants_t *tenants),
-                              int nodes, quota_trouble_t trouble, unsigned seed) {
+quota_result_t quota_sim_run(quota_strategy_t *(*create)(int nodes, const wb_tenants_t *tenants),
+                             int nodes, quota_fault_t trouble, unsigned seed) {
     simulation_t simulation = {
         .nodes = nodes, .trouble = trouble, .random = g_rand_new_with_seed(seed)};
     g_random_set_seed(seed);
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -11,32 +11,32 @@
 
 #include "wickbridge/tenant.h"
 
-typedef struct quota_way_t quota_way_t;
+typedef struct quota_strategy_t quota_strategy_t;
 
 /** Interface of a way of sharing limits; first member of each implementation. */
-struct quota_way_t {
+struct quota_strategy_t {
     const char *name;
-    gboolean (*admit)(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
+    gboolean (*admit)(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
                       int64_t now_ms);
-    void (*tick)(quota_way_t *way, int64_t now_ms); /**< each 10 ms */
-    void (*set_limits)(quota_way_t *way, const wb_tenants_t *tenants, int64_t now_ms);
+    void (*tick)(quota_strategy_t *way, int64_t now_ms); /**< each 10 ms */
+    void (*set_limits)(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms);
     /** A node connects to the aggregator or loses its connection. */
-    void (*set_connected)(quota_way_t *way, int node, gboolean connected, int64_t now_ms);
+    void (*set_connected)(quota_strategy_t *way, int node, gboolean connected, int64_t now_ms);
     /** The aggregator is lost; another one with empty state replaces it. */
-    void (*replace_aggregator)(quota_way_t *way, int64_t now_ms);
+    void (*replace_aggregator)(quota_strategy_t *way, int64_t now_ms);
     /** Begin: the aggregator is partitioned off with a third of the nodes and continues to serve
      * them; a second one serves the others. End: the second one serves all nodes. */
-    void (*split)(quota_way_t *way, gboolean begins, int64_t now_ms);
-    void (*restart)(quota_way_t *way, int node, int64_t now_ms); /**< a node loses its state */
-    void (*destroy)(quota_way_t *way);
+    void (*split)(quota_strategy_t *way, gboolean begins, int64_t now_ms);
+    void (*restart)(quota_strategy_t *way, int node, int64_t now_ms); /**< a node loses its state */
+    void (*destroy)(quota_strategy_t *way);
 };
 
-quota_way_t *quota_way_equal(int nodes, const wb_tenants_t *tenants);
-quota_way_t *quota_way_lots(int nodes, const wb_tenants_t *tenants);
+quota_strategy_t *quota_strategy_equal(int nodes, const wb_tenants_t *tenants);
+quota_strategy_t *quota_strategy_lots(int nodes, const wb_tenants_t *tenants);
 /** The server's own: quota_ledger.h and quota_limiter.h. */
-quota_way_t *quota_way_shares(int nodes, const wb_tenants_t *tenants);
+quota_strategy_t *quota_strategy_shares(int nodes, const wb_tenants_t *tenants);
 
-typedef enum quota_trouble_t {
+typedef enum quota_fault_t {
     QUOTA_CALM,
     QUOTA_HOT,           /**< one tenant sends 7.5 times its baseline */
     QUOTA_HOT_SMALL,     /**< hot, the smallest tenant */
@@ -52,18 +52,18 @@
     QUOTA_SPLIT,         /**< a second aggregator for two thirds of the nodes; baseline demand */
     QUOTA_TAKE_OVER,     /**< no aggregator for 3 s; baseline demand */
     QUOTA_TROUBLES
-} quota_trouble_t;
+} quota_fault_t;
 
 typedef struct quota_result_t {
     double max_of_limit; /**< max over tenants of max cost admitted in a window / limit */
-    double most_of_rule; /**< the same / limit with the permitted overage */
+    double max_of_rule;  /**< the same / limit with the permitted overage */
     double refused;      /**< fraction of what one bucket admits that was refused, all tenants */
     double hot_served;   /**< admitted cost of the hot tenant / what one bucket admits */
 } quota_result_t;
 
-const char *quota_trouble_name(quota_trouble_t trouble);
+const char *quota_fault_name(quota_fault_t trouble);
 /** Simulate 40 s. @param create one of the constructors above */
-quota_result_t quota_sim_play(quota_way_t *(*create)(int nodes, const wb_tenants_t *tenants),
-                              int nodes, quota_trouble_t trouble, unsigned seed);
+quota_result_t quota_sim_run(quota_strategy_t *(*create)(int nodes, const wb_tenants_t *tenants),
+                             int nodes, quota_fault_t trouble, unsigned seed);
 
 #endif
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -10,7 +10,7 @@
 /* Equal shares: each node has 1/n of rate and burst, independent of demand. */
 
 typedef struct equal_t {
-    quota_way_t way;
+    quota_strategy_t way;
     int nodes;
     GHashTable **buckets; /* by node: tenant -> wb_token_bucket_t */
 } equal_t;
@@ -50,7 +50,7 @@
     return TRUE;
 }
 
-static gboolean equal_admit(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
+static gboolean equal_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
                             int64_t now_ms) {
     equal_t *equal = (equal_t *)way;
     double burst = tenant->burst / equal->nodes;
@@ -58,47 +58,47 @@
                        tenant->rate_per_s / equal->nodes, burst, cost, now_ms);
 }
 
-static void tick_ignore(quota_way_t *way, int64_t now_ms) {
+static void tick_ignore(quota_strategy_t *way, int64_t now_ms) {
     (void)way;
     (void)now_ms;
 }
 
-static void limits_ignore(quota_way_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
+static void limits_ignore(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
     (void)way;
     (void)tenants;
     (void)now_ms;
 }
 
-static void connected_ignore(quota_way_t *way, int node, gboolean connected, int64_t now_ms) {
+static void connected_ignore(quota_strategy_t *way, int node, gboolean connected, int64_t now_ms) {
     (void)way;
     (void)node;
     (void)connected;
     (void)now_ms;
 }
 
-static void split_ignore(quota_way_t *way, gboolean begins, int64_t now_ms) {
+static void split_ignore(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
     (void)way;
     (void)begins;
     (void)now_ms;
 }
 
-static void equal_restart(quota_way_t *way, int node, int64_t now_ms) {
+static void equal_restart(quota_strategy_t *way, int node, int64_t now_ms) {
     (void)now_ms;
     g_hash_table_remove_all(((equal_t *)way)->buckets[node]);
 }
 
-static void equal_destroy(quota_way_t *way) {
+static void equal_destroy(quota_strategy_t *way) {
     equal_t *equal = (equal_t *)way;
     tables_free(equal->buckets, equal->nodes);
     g_free(equal);
 }
 
-quota_way_t *quota_way_equal(int nodes, const wb_tenants_t *tenants) {
+quota_strategy_t *quota_strategy_equal(int nodes, const wb_tenants_t *tenants) {
     (void)tenants;
     equal_t *equal = g_new0(equal_t, 1);
-    equal->way =
-        (quota_way_t){"equal",     equal_admit,  tick_ignore,   limits_ignore, connected_ignore,
-                      tick_ignore, split_ignore, equal_restart, equal_destroy};
+    equal->way = (quota_strategy_t){"equal",       equal_admit,      tick_ignore,
+                                    limits_ignore, connected_ignore, tick_ignore,
+                                    split_ignore,  equal_restart,    equal_destroy};
     equal->nodes = nodes;
     equal->buckets = tables_create(nodes);
     return &equal->way;
@@ -111,7 +111,7 @@
 #define LOT_S 0.25
 
 typedef struct lots_t {
-    quota_way_t way;
+    quota_strategy_t way;
     int nodes;
     gboolean *connected;
     GHashTable *accounts;  /* tenant -> wb_token_bucket_t */
@@ -125,7 +125,7 @@
     return node % 3 == 0;
 }
 
-static gboolean lots_admit(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
+static gboolean lots_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
                            int64_t now_ms) {
     lots_t *lots = (lots_t *)way;
     wb_token_bucket_t *balance = bucket_of(lots->balances[node], tenant, 0, now_ms);
@@ -150,21 +150,22 @@
     return TRUE;
 }
 
-static void lots_set_connected(quota_way_t *way, int node, gboolean connected, int64_t now_ms) {
+static void lots_set_connected(quota_strategy_t *way, int node, gboolean connected,
+                               int64_t now_ms) {
     (void)now_ms;
     lots_t *lots = (lots_t *)way;
     lots->connected[node] = connected;
     g_hash_table_remove_all(lots->disconnected_buckets[node]);
 }
 
-static void lots_replace_aggregator(quota_way_t *way, int64_t now_ms) {
+static void lots_replace_aggregator(quota_strategy_t *way, int64_t now_ms) {
     (void)now_ms;
     lots_t *lots = (lots_t *)way;
     lots->starts_empty = TRUE;
     g_hash_table_remove_all(lots->accounts);
 }
 
-static void lots_split(quota_way_t *way, gboolean begins, int64_t now_ms) {
+static void lots_split(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
     (void)now_ms;
     lots_t *lots = (lots_t *)way;
     lots->starts_empty = TRUE;
@@ -177,12 +178,12 @@
     }
 }
 
-static void lots_restart(quota_way_t *way, int node, int64_t now_ms) {
+static void lots_restart(quota_strategy_t *way, int node, int64_t now_ms) {
     (void)now_ms;
     g_hash_table_remove_all(((lots_t *)way)->balances[node]);
 }
 
-static void lots_destroy(quota_way_t *way) {
+static void lots_destroy(quota_strategy_t *way) {
     lots_t *lots = (lots_t *)way;
     tables_free(lots->balances, lots->nodes);
     tables_free(lots->disconnected_buckets, lots->nodes);
@@ -191,12 +192,12 @@
     g_free(lots);
 }
 
-quota_way_t *quota_way_lots(int nodes, const wb_tenants_t *tenants) {
+quota_strategy_t *quota_strategy_lots(int nodes, const wb_tenants_t *tenants) {
     (void)tenants;
     lots_t *lots = g_new0(lots_t, 1);
-    lots->way = (quota_way_t){"lots",        lots_admit,         tick_ignore,
-                              limits_ignore, lots_set_connected, lots_replace_aggregator,
-                              lots_split,    lots_restart,       lots_destroy};
+    lots->way = (quota_strategy_t){"lots",        lots_admit,         tick_ignore,
+                                   limits_ignore, lots_set_connected, lots_replace_aggregator,
+                                   lots_split,    lots_restart,       lots_destroy};
     lots->nodes = nodes;
     lots->connected = g_new0(gboolean, nodes);
     for (int i = 0; i < nodes; i++) {
@@ -215,7 +216,7 @@
 #define LEDGER_TICK_MS 50
 
 typedef struct shares_t {
-    quota_way_t way;
+    quota_strategy_t way;
     int nodes;
     gboolean *connected;
     wb_quota_limiter_t **limiters;
@@ -239,8 +240,8 @@
     return wb_quota_class("models", cost < 4000 ? 0 : 1);
 }
 
-static gboolean shares_admit(quota_way_t *way, int node, const wb_tenant_t *tenant, double cost,
-                             int64_t now_ms) {
+static gboolean shares_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant,
+                             double cost, int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
     return wb_quota_limiter_admit(shares->limiters[node], tenant, class_of(cost), cost,
                                   (unsigned)shares->nodes, now_ms)
@@ -265,7 +266,7 @@
     g_array_append_vals(sent_shares, shares->data, shares->len);
 }
 
-static void shares_tick(quota_way_t *way, int64_t now_ms) {
+static void shares_tick(quota_strategy_t *way, int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
     for (int i = 0; i < shares->nodes; i++) {
         if (!shares->connected[i]) {
@@ -293,11 +294,12 @@
     }
 }
 
-static void shares_set_limits(quota_way_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
+static void shares_set_limits(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
     wb_quota_ledger_set_tenants(((shares_t *)way)->ledger, tenants, now_ms);
 }
 
-static void shares_set_connected(quota_way_t *way, int node, gboolean connected, int64_t now_ms) {
+static void shares_set_connected(quota_strategy_t *way, int node, gboolean connected,
+                                 int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
     g_autofree char *name = g_strdup_printf("node-%d", node);
     shares->connected[node] = connected;
@@ -309,7 +311,7 @@
     }
 }
 
-static void shares_replace_aggregator(quota_way_t *way, int64_t now_ms) {
+static void shares_replace_aggregator(quota_strategy_t *way, int64_t now_ms) {
     wb_quota_ledger_clear(((shares_t *)way)->ledger, now_ms);
 }
 
@@ -323,7 +325,7 @@
     }
 }
 
-static void shares_split(quota_way_t *way, gboolean begins, int64_t now_ms) {
+static void shares_split(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
     shares_t *shares = (shares_t *)way;
     if (!begins) {
         nodes_report_to_second(shares, TRUE, now_ms);
@@ -342,7 +344,7 @@
     nodes_report_to_second(shares, FALSE, now_ms);
 }
 
-static void shares_restart(quota_way_t *way, int node, int64_t now_ms) {
+static void shares_restart(quota_strategy_t *way, int node, int64_t now_ms) {
     (void)now_ms;
     shares_t *shares = (shares_t *)way;
     wb_quota_limiter_free(shares->limiters[node]);
@@ -350,7 +352,7 @@
     wb_quota_limiter_set_connected(shares->limiters[node], TRUE);
 }
 
-static void shares_destroy(quota_way_t *way) {
+static void shares_destroy(quota_strategy_t *way) {
     shares_t *shares = (shares_t *)way;
     for (int i = 0; i < shares->nodes; i++) {
         wb_quota_limiter_free(shares->limiters[i]);
@@ -363,11 +365,12 @@
     g_free(shares);
 }
 
-quota_way_t *quota_way_shares(int nodes, const wb_tenants_t *tenants) {
+quota_strategy_t *quota_strategy_shares(int nodes, const wb_tenants_t *tenants) {
     shares_t *shares = g_new0(shares_t, 1);
-    shares->way = (quota_way_t){"shares",          shares_admit,         shares_tick,
-                                shares_set_limits, shares_set_connected, shares_replace_aggregator,
-                                shares_split,      shares_restart,       shares_destroy};
+    shares->way =
+        (quota_strategy_t){"shares",          shares_admit,         shares_tick,
+                           shares_set_limits, shares_set_connected, shares_replace_aggregator,
+                           shares_split,      shares_restart,       shares_destroy};
     shares->nodes = nodes;
     shares->connected = g_new0(gboolean, nodes);
     shares->limiters = g_new0(wb_quota_limiter_t *, nodes);
--- a/tests/fuzz/world.c
+++ b/tests/fuzz/world.c
@@ -344,8 +344,8 @@
     g_free(world);
 }
 
-const char *world_run(const uint8_t *data, size_t size, guint32 seed, guint64 steps,
-                      world_figures_t *counters) {
+const char *simulation_run(const uint8_t *data, size_t size, guint32 seed, guint64 steps,
+                           world_counters_t *counters) {
     world_t *world = g_new0(world_t, 1);
     world->data = data;
     world->size = size;
--- a/tests/fuzz/world.h
+++ b/tests/fuzz/world.h
@@ -17,7 +17,7 @@
 typedef struct world_t world_t;
 
 /** Counters of a run. */
-typedef struct world_figures_t {
+typedef struct world_counters_t {
     guint64 steps;
     guint64 loads;
     guint64 runs;
@@ -25,7 +25,7 @@
     guint64 foundings;
     guint64 stale_orders;
     guint64 served; /**< ready routes sent to gateways */
-} world_figures_t;
+} world_counters_t;
 
 /**
  * Run with choices taken from `data`, then from a generator with `seed` once `data` is exhausted.
@@ -33,7 +33,7 @@
  * @param[in,out] counters counters that the run adds to
  * @return NULL, or the violation that the oracle found (a static string)
  */
-const char *world_run(const uint8_t *data, size_t size, guint32 seed, guint64 steps,
-                      world_figures_t *counters);
+const char *simulation_run(const uint8_t *data, size_t size, guint32 seed, guint64 steps,
+                           world_counters_t *counters);
 
 #endif
--- a/tests/fuzz/world_types.h
+++ b/tests/fuzz/world_types.h
@@ -77,7 +77,7 @@
     size_t size;
     size_t used;
     GRand *random;
-    world_figures_t *counters;
+    world_counters_t *counters;
     int64_t now_ms;
     wb_config_t *config;
     sim_node_t nodes[NODES];
--- a/tests/harness/budget_oracle.c
+++ b/tests/harness/budget_oracle.c
@@ -64,19 +64,19 @@
     return count_before(times, from_ms + oracle->window_ms) - count_before(times, from_ms);
 }
 
-static budget_worst_t window_measure(const budget_oracle_t *oracle, int64_t from_ms) {
+static budget_window_t window_measure(const budget_oracle_t *oracle, int64_t from_ms) {
     unsigned own = count_in_window(oracle, oracle->requests, from_ms);
     unsigned half = count_in_window(oracle, oracle->requests, from_ms - oracle->window_ms / 2);
     unsigned before = count_in_window(oracle, oracle->requests, from_ms - oracle->window_ms);
-    budget_worst_t window = {.from_ms = from_ms, .requests = MAX(MAX(own, half), before)};
+    budget_window_t window = {.from_ms = from_ms, .requests = MAX(MAX(own, half), before)};
     window.repeats = count_in_window(oracle, oracle->repeats, from_ms);
     window.allowed = oracle->ratio * window.requests + oracle->slack;
     window.excess = window.repeats - window.allowed;
     return window;
 }
 
-budget_worst_t budget_oracle_worst(budget_oracle_t *oracle) {
-    budget_worst_t worst = {.excess = -G_MAXDOUBLE};
+budget_window_t budget_oracle_worst_window(budget_oracle_t *oracle) {
+    budget_window_t worst = {.excess = -G_MAXDOUBLE};
     g_array_sort(oracle->requests, times_compare);
     g_array_sort(oracle->repeats, times_compare);
     if (oracle->repeats->len == 0) {
@@ -85,7 +85,7 @@
     int64_t first_ms = g_array_index(oracle->repeats, int64_t, 0);
     int64_t last_ms = g_array_index(oracle->repeats, int64_t, oracle->repeats->len - 1);
     for (int64_t from_ms = first_ms - oracle->window_ms; from_ms <= last_ms; from_ms++) {
-        budget_worst_t window = window_measure(oracle, from_ms);
+        budget_window_t window = window_measure(oracle, from_ms);
         if (window.excess > worst.excess) {
             worst = window;
         }
--- a/tests/harness/budget_oracle.h
+++ b/tests/harness/budget_oracle.h
@@ -16,13 +16,13 @@
 typedef struct budget_oracle_t budget_oracle_t;
 
 /** The window with the largest excess over the bound. */
-typedef struct budget_worst_t {
+typedef struct budget_window_t {
     int64_t from_ms;
     unsigned requests;
     unsigned repeats; /**< arrivals beyond the first of their request */
     double allowed;
     double excess; /**< repeats - allowed; above 0: the bound is exceeded */
-} budget_worst_t;
+} budget_window_t;
 
 budget_oracle_t *budget_oracle_create(double ratio, double slack, int64_t window_ms);
 void budget_oracle_free(budget_oracle_t *oracle);
@@ -31,6 +31,6 @@
 /** Record the arrival of a request at an engine, even if it is rejected. The arrivals of one id
  * must be recorded in order. */
 void budget_oracle_arrival(budget_oracle_t *oracle, const char *id, int64_t at_ms);
-budget_worst_t budget_oracle_worst(budget_oracle_t *oracle);
+budget_window_t budget_oracle_worst_window(budget_oracle_t *oracle);
 
 #endif
--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -130,7 +130,7 @@
     return g_string_free(content, FALSE);
 }
 
-gboolean answer_is_whole(const answer_t *answer, int tokens) {
+gboolean answer_is_complete(const answer_t *answer, int tokens) {
     if (answer->status != 200)
         return FALSE;
     gboolean streamed = strstr(answer->body, "data: ") != NULL;
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -60,14 +60,14 @@
     flags_add(arguments, cluster->options.platform_flags);
     process_prepare(cluster, &cluster->platform, "platform", "wb-standin-platform", arguments);
     process_start(&cluster->platform);
-    g_assert_true(eventually(port_answers, cluster, GINT_TO_POINTER(cluster->platform_port),
+    g_assert_true(wait_until(port_answers, cluster, GINT_TO_POINTER(cluster->platform_port),
                              READY_TIMEOUT_MS));
 }
 
 /* Allocates the ports of nodes and engines before the proxy starts, which needs them. */
 static void ports_choose(cluster_t *cluster) {
     for (int i = 0; i < HARNESS_NODES; i++) {
-        cluster->nodes[i].callers_port = port_find();
+        cluster->nodes[i].clients_port = port_find();
         cluster->nodes[i].nodes_port = port_find();
         cluster->nodes[i].link_proxy_port = port_find();
         cluster->nodes[i].operators_port = port_find();
@@ -100,7 +100,7 @@
     argument_add(arguments, "--relays=%s", relays->str);
     process_prepare(cluster, &cluster->proxy, "proxy", "wb-standin-proxy", arguments);
     process_start(&cluster->proxy);
-    g_assert_true(eventually(port_answers, cluster, GINT_TO_POINTER(cluster->proxy_control_port),
+    g_assert_true(wait_until(port_answers, cluster, GINT_TO_POINTER(cluster->proxy_control_port),
                              READY_TIMEOUT_MS));
 }
 
@@ -122,7 +122,7 @@
     GPtrArray *arguments = g_ptr_array_new();
     argument_add(arguments, "--id=%s", id);
     argument_add(arguments, "--zone=%s", node->zone);
-    argument_add(arguments, "--listen-callers=127.0.0.1:%d", node->callers_port);
+    argument_add(arguments, "--listen-callers=127.0.0.1:%d", node->clients_port);
     if (cluster->options.partitions) {
         argument_add(arguments, "--listen-nodes=127.0.0.%d:%d", NODE_HOST + index,
                      node->nodes_port);
@@ -145,7 +145,7 @@
     machine_register(cluster, node->process.name, "node", "", node->zone, node->nodes_port,
                      node->process.pid);
     g_assert_true(
-        eventually(port_answers, cluster, GINT_TO_POINTER(node->operators_port), READY_TIMEOUT_MS));
+        wait_until(port_answers, cluster, GINT_TO_POINTER(node->operators_port), READY_TIMEOUT_MS));
 }
 
 int cluster_add_node(cluster_t *cluster) {
@@ -171,7 +171,7 @@
     process_prepare(cluster, &engine->process, id, "wb-standin-engine", arguments);
     process_start(&engine->process);
     g_assert_true(
-        eventually(port_answers, cluster, GINT_TO_POINTER(engine->port), READY_TIMEOUT_MS));
+        wait_until(port_answers, cluster, GINT_TO_POINTER(engine->port), READY_TIMEOUT_MS));
     machine_register(cluster, id, "engine", service, engine->zone, engine->proxy_port,
                      engine->process.pid);
     return index;
@@ -266,12 +266,12 @@
     answer_free(answer);
 }
 
-void machine_leave(cluster_t *cluster, const char *id) {
+void machine_deregister(cluster_t *cluster, const char *id) {
     g_autofree char *body = g_strdup_printf("{\"id\":\"%s\"}", id);
     answer_free(call("POST", cluster->platform_port, "/standin/v1/leave", NULL, body, 5000));
 }
 
-gboolean eventually(gboolean (*condition)(cluster_t *cluster, void *context), cluster_t *cluster,
+gboolean wait_until(gboolean (*condition)(cluster_t *cluster, void *context), cluster_t *cluster,
                     void *context, int timeout_ms) {
     int64_t until_ms = harness_now_ms() + timeout_ms;
     while (!condition(cluster, context)) {
@@ -314,11 +314,11 @@
 
 void wait_ready(cluster_t *cluster) {
     int64_t version = 1;
-    g_assert_true(eventually(all_ready, cluster, &version, READY_TIMEOUT_MS));
-    g_assert_true(eventually(cells_owned, cluster, NULL, READY_TIMEOUT_MS));
+    g_assert_true(wait_until(all_ready, cluster, &version, READY_TIMEOUT_MS));
+    g_assert_true(wait_until(cells_owned, cluster, NULL, READY_TIMEOUT_MS));
 }
 
-void declare_usual(cluster_t *cluster, int models, int max_replicas) {
+void declare_defaults(cluster_t *cluster, int models, int max_replicas) {
     g_autoptr(GString) set = g_string_new("{\"service/assistant\":{\"keep_alive_ms\":600000}");
     if (cluster->options.lock_engines > 0)
         g_string_append(set, ",\"service/seat-lock\":{\"repeatable\":false,"
--- a/tests/harness/estate.c
+++ b/tests/harness/estate.c
@@ -64,12 +64,12 @@
                      models->str, estate->tenants != NULL ? ",\"tenants\":" : "",
                      estate->tenants != NULL ? estate->tenants : ""));
     char *text = json_dumps(call, JSON_COMPACT);
-    estate_do(estate, "%s", text);
+    estate_command(estate, "%s", text);
     free(text);
     json_decref(call);
 }
 
-void estate_do(const estate_t *estate, const char *format, ...) {
+void estate_command(const estate_t *estate, const char *format, ...) {
     va_list values;
     va_start(values, format);
     g_autofree char *body = g_strdup_vprintf(format, values);
@@ -79,7 +79,7 @@
     answer_free(answer);
 }
 
-json_t *estate_seen(const estate_t *estate) {
+json_t *estate_records(const estate_t *estate) {
     answer_t *answer = call("GET", estate->control_port, "/", NULL, NULL, 5000);
     json_t *seen = json_loads(answer->body, 0, NULL);
     g_assert_nonnull(seen);
@@ -88,7 +88,7 @@
 }
 
 int estate_runs(const estate_t *estate, const char *id) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     int count = 0;
     size_t i;
     json_t *run;
@@ -99,7 +99,7 @@
 }
 
 int estate_orders(const estate_t *estate, const char *operation, const char *model) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     int count = 0;
     size_t i;
     json_t *order;
@@ -111,7 +111,7 @@
 }
 
 void estate_assert_no_violation(const estate_t *estate) {
-    json_t *seen = estate_seen(estate);
+    json_t *seen = estate_records(estate);
     char *text = json_dumps(json_object_get(seen, "violations"), JSON_COMPACT);
     g_assert_cmpstr(text, ==, "[]");
     free(text);
@@ -142,7 +142,7 @@
     return value;
 }
 
-void estate_wait_share(const estate_t *estate, int index, int nodes) {
+void estate_wait_retry_share(const estate_t *estate, int index, int nodes) {
     int64_t until_ms = harness_now_ms() + SHARE_TIMEOUT_MS;
     while (estate_metric(estate, index, "share_nodes") != nodes) {
         g_assert_cmpint(harness_now_ms(), <, until_ms);
@@ -193,7 +193,7 @@
     GPtrArray *arguments = g_ptr_array_new();
     argument_add(arguments, "--id=node-%d", index);
     argument_add(arguments, "--zone=zone-%d", index % 2 + 1);
-    argument_add(arguments, "--listen-callers=127.0.0.1:%d", node->callers_port);
+    argument_add(arguments, "--listen-callers=127.0.0.1:%d", node->clients_port);
     argument_add(arguments, "--listen-ready=127.0.0.1:%d", node->ready_port);
     argument_add(arguments, "--listen-nodes=127.0.0.1:%d", node->nodes_port);
     argument_add(arguments, "--advertise-nodes=127.0.0.1:%d", estate->link_proxy_ports[index]);
@@ -303,7 +303,7 @@
     g_assert_cmpint(estate->node_count, <, ESTATE_NODES);
     int index = estate->node_count++;
     estate_node_t *node = &estate->nodes[index];
-    node->callers_port = port_find();
+    node->clients_port = port_find();
     node->ready_port = port_find();
     node->metrics_port = port_find();
     node->older = older;
@@ -327,16 +327,16 @@
     standin_start(estate);
     proxy_start(estate);
     estate_configure(estate, NULL);
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-1\",\"options\":{\"service\":\"llm\","
-              "\"zone\":\"zone-1\",\"streams\":1,\"models\":[\"m0\",\"m1\"],\"load_ms\":200,"
-              "\"weights_mb\":2100}}");
-    estate_do(estate,
-              "{\"do\":\"engine-start\",\"engine\":\"llm-2\",\"options\":{\"service\":\"llm\","
-              "\"zone\":\"zone-2\",\"streams\":1,\"models\":[\"m0\",\"m2\"],\"load_ms\":200,"
-              "\"weights_mb\":2100}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-1\",\"options\":{\"service\":\"llm\","
+                   "\"zone\":\"zone-1\",\"streams\":1,\"models\":[\"m0\",\"m1\"],\"load_ms\":200,"
+                   "\"weights_mb\":2100}}");
+    estate_command(estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"llm-2\",\"options\":{\"service\":\"llm\","
+                   "\"zone\":\"zone-2\",\"streams\":1,\"models\":[\"m0\",\"m2\"],\"load_ms\":200,"
+                   "\"weights_mb\":2100}}");
     for (int i = 0; i < ESTATE_PROXIED_ENGINES; i++)
-        estate_do(
+        estate_command(
             estate,
             "{\"do\":\"engine-start\",\"engine\":\"lock-%d\",\"options\":{\"service\":\"lock\","
             "\"zone\":\"zone-%d\",\"work_ms\":10,\"port\":%d,\"announce_port\":%d}}",
--- a/tests/harness/estate.h
+++ b/tests/harness/estate.h
@@ -17,7 +17,7 @@
 
 typedef struct estate_node_t {
     process_t process;
-    int callers_port;
+    int clients_port;
     int ready_port;
     int nodes_port;
     int metrics_port;
@@ -65,7 +65,7 @@
 double estate_metric(const estate_t *estate, int index, const char *name);
 /** Wait until a node has its share of the retry budget, divided among `nodes`. A node that starts
  * alone has it at once, others about 17 s after their start. */
-void estate_wait_share(const estate_t *estate, int index, int nodes);
+void estate_wait_retry_share(const estate_t *estate, int index, int nodes);
 /** @return the index of the node that holds the controller's lease, or -1 */
 int estate_controller(const estate_t *estate);
 /** Wait until a node holds the controller's lease. @return its index */
@@ -85,10 +85,10 @@
 void estate_engine_fault(const estate_t *estate, int engine, const char *fault, int bytes,
                          int times);
 /** Send a control command to the stand-in. @param format printf format of the command's JSON */
-void estate_do(const estate_t *estate, const char *format, ...) G_GNUC_PRINTF(2, 3);
+void estate_command(const estate_t *estate, const char *format, ...) G_GNUC_PRINTF(2, 3);
 /** @return the stand-in's records: runs, arrivals, orders, crashes, violations; release it with
  * json_decref */
-json_t *estate_seen(const estate_t *estate);
+json_t *estate_records(const estate_t *estate);
 /** @return the number of runs of the request with this id */
 int estate_runs(const estate_t *estate, const char *id);
 /** @return the number of orders with this operation and model ("": any) */
@@ -106,13 +106,13 @@
 } wire_t;
 
 /** A response as received. */
-typedef struct wire_answer_t {
+typedef struct wire_response_t {
     int status; /**< 0: closed or timed out before the end of the headers */
     GString *head;
     GString *body;
     gboolean whole;  /**< the body is complete: by its length or last chunk */
     gboolean closed; /**< the server closed the connection */
-} wire_answer_t;
+} wire_response_t;
 
 /** Connect to a port of the loopback address; the test fails if nothing listens there. */
 wire_t *wire_open(int port);
@@ -120,15 +120,15 @@
 wire_t *wire_try_open(int port);
 void wire_close(wire_t *wire);
 void wire_send(wire_t *wire, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Read one response. @return what arrived within `timeout_ms`; free it with wire_answer_free */
-wire_answer_t *wire_read(wire_t *wire, int timeout_ms);
-void wire_answer_free(wire_answer_t *answer);
+/** Read one response. @return what arrived within `timeout_ms`; free it with wire_response_free */
+wire_response_t *wire_read(wire_t *wire, int timeout_ms);
+void wire_response_free(wire_response_t *answer);
 /** @return TRUE if the server closes within `timeout_ms` without sending any bytes */
 gboolean wire_is_closed(wire_t *wire, int timeout_ms);
 /** Send a POST with Content-Length. @param headers lines that end with CR LF */
 void wire_post(wire_t *wire, const char *path, const char *id, const char *headers,
                const char *body);
 /** Connect, send a POST, read the response (up to 15 s), close. */
-wire_answer_t *wire_ask(int port, const char *path, const char *id, const char *headers);
+wire_response_t *wire_request(int port, const char *path, const char *id, const char *headers);
 
 #endif
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -28,7 +28,7 @@
 
 typedef struct node_t {
     process_t process;
-    int callers_port;
+    int clients_port;
     int nodes_port;
     int link_proxy_port; /**< address for other nodes when partitions are enabled */
     int operators_port;
@@ -103,7 +103,7 @@
 /** Set the fault mode of the platform stand-in, such as {"table":"refuse"}. */
 void platform_faults(cluster_t *cluster, const char *json);
 /** Deregister a machine from the platform. */
-void machine_leave(cluster_t *cluster, const char *id);
+void machine_deregister(cluster_t *cluster, const char *id);
 
 /** If set, calls use TLS with ca.pem, caller.pem and caller.key of this folder. */
 extern const char *harness_tls_folder;
@@ -131,7 +131,7 @@
                const char *const *headers);
 
 /** @return TRUE if the text holds all tokens of one run: its seed, then every word in order */
-gboolean answer_is_whole(const answer_t *answer, int tokens);
+gboolean answer_is_complete(const answer_t *answer, int tokens);
 
 /** Write a response to the test's log. */
 void answer_print(const answer_t *answer);
@@ -139,7 +139,7 @@
 /** Change the cluster's configuration through a node. @return the HTTP status */
 long declare(cluster_t *cluster, int node, const char *set_json);
 /** Declare the default configuration: assistant with m1..mN, and seat-lock. Waits until ready. */
-void declare_usual(cluster_t *cluster, int models, int max_replicas);
+void declare_defaults(cluster_t *cluster, int models, int max_replicas);
 
 /** @return a node's status; release it with json_decref */
 json_t *node_status(cluster_t *cluster, int node);
@@ -150,19 +150,19 @@
 int64_t node_config_version(cluster_t *cluster, int node);
 
 /** Wait until a condition holds. @return FALSE after `timeout_ms` */
-gboolean eventually(gboolean (*condition)(cluster_t *cluster, void *context), cluster_t *cluster,
+gboolean wait_until(gboolean (*condition)(cluster_t *cluster, void *context), cluster_t *cluster,
                     void *context, int timeout_ms);
 /** Wait until all running nodes are ready and every cell has an owner. */
 void wait_ready(cluster_t *cluster);
 
 /** Maximum number of replicas of a model loaded or loading at the same time, from engine logs. */
-int most_replicas(cluster_t *cluster, const char *model);
+int peak_replicas(cluster_t *cluster, const char *model);
 /** Number of loads of a model (without adapters) that engines started. */
-int loads_begun(cluster_t *cluster, const char *model);
+int loads_started(cluster_t *cluster, const char *model);
 /** Number of orders that would have exceeded accelerator memory. */
 int memory_attempts(cluster_t *cluster);
 /** Number of runs of requests with this body, over all engines. */
-int runs_of(cluster_t *cluster, const char *body);
+int run_count(cluster_t *cluster, const char *body);
 
 /** Kill an engine; its replicas count as unloaded from then on. */
 void engine_kill(cluster_t *cluster, int engine);
--- a/tests/harness/limit_oracle.c
+++ b/tests/harness/limit_oracle.c
@@ -37,11 +37,11 @@
     g_free(oracle);
 }
 
-void limit_oracle_named(limit_oracle_t *oracle, int64_t at_ms) {
+void limit_oracle_reported(limit_oracle_t *oracle, int64_t at_ms) {
     oracle->reported_ms = MIN(oracle->reported_ms, at_ms);
 }
 
-void limit_oracle_passed_on(limit_oracle_t *oracle, int node, int64_t at_ms) {
+void limit_oracle_forwarded(limit_oracle_t *oracle, int node, int64_t at_ms) {
     g_assert_cmpint(node, <, NODES_MOST);
     oracle->forwarded_ms[node] = MIN(oracle->forwarded_ms[node], at_ms);
 }
@@ -65,8 +65,8 @@
            arrival->at_ms >= forwarded_ms + NODE_DELAY_MS;
 }
 
-limit_worst_t limit_oracle_worst(limit_oracle_t *oracle) {
-    limit_worst_t worst = {.allowed = OVERAGE * oracle->per_s * WINDOW_MS / 1000 + SLACK};
+limit_window_t limit_oracle_fullest_window(limit_oracle_t *oracle) {
+    limit_window_t worst = {.allowed = OVERAGE * oracle->per_s * WINDOW_MS / 1000 + SLACK};
     g_autoptr(GArray) times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     g_array_sort(oracle->arrivals, arrivals_compare);
     for (guint i = 0; i < oracle->arrivals->len; i++) {
--- a/tests/harness/limit_oracle.h
+++ b/tests/harness/limit_oracle.h
@@ -17,20 +17,20 @@
 typedef struct limit_oracle_t limit_oracle_t;
 
 /** The window with the most arrivals. */
-typedef struct limit_worst_t {
+typedef struct limit_window_t {
     int64_t from_ms;
     unsigned arrivals;
     double allowed;
-} limit_worst_t;
+} limit_window_t;
 
 limit_oracle_t *limit_oracle_create(double per_s, int64_t contact_ms);
 void limit_oracle_free(limit_oracle_t *oracle);
 /** Record that the engine reported its limit; the earliest time is used. */
-void limit_oracle_named(limit_oracle_t *oracle, int64_t at_ms);
+void limit_oracle_reported(limit_oracle_t *oracle, int64_t at_ms);
 /** Record that a node forwarded a response that reports the limit; its earliest time is used. */
-void limit_oracle_passed_on(limit_oracle_t *oracle, int node, int64_t at_ms);
+void limit_oracle_forwarded(limit_oracle_t *oracle, int node, int64_t at_ms);
 /** Record the arrival of a request from a node, even if the engine rejects it. */
 void limit_oracle_arrival(limit_oracle_t *oracle, int node, int64_t at_ms);
-limit_worst_t limit_oracle_worst(limit_oracle_t *oracle);
+limit_window_t limit_oracle_fullest_window(limit_oracle_t *oracle);
 
 #endif
--- a/tests/harness/observe.c
+++ b/tests/harness/observe.c
@@ -123,7 +123,7 @@
     return events;
 }
 
-int most_replicas(cluster_t *cluster, const char *model) {
+int peak_replicas(cluster_t *cluster, const char *model) {
     g_autoptr(GArray) events = events_read(cluster, model);
     int held = 0, most = 0;
     for (guint i = 0; i < events->len; i++) {
@@ -133,7 +133,7 @@
     return most;
 }
 
-int loads_begun(cluster_t *cluster, const char *model) {
+int loads_started(cluster_t *cluster, const char *model) {
     g_autoptr(GArray) events = events_read(cluster, model);
     int begun = 0;
     for (guint i = 0; i < events->len; i++)
@@ -157,7 +157,7 @@
     return lines_count(cluster, " memory-attempt ", FALSE);
 }
 
-int runs_of(cluster_t *cluster, const char *body) {
+int run_count(cluster_t *cluster, const char *body) {
     g_autofree char *line = g_strconcat("RAN ", body, NULL);
     return lines_count(cluster, line, TRUE);
 }
--- a/tests/harness/wire.c
+++ b/tests/harness/wire.c
@@ -67,7 +67,7 @@
     return TRUE;
 }
 
-static gboolean head_has(const wire_answer_t *answer, const char *text) {
+static gboolean head_has(const wire_response_t *answer, const char *text) {
     return strstr(answer->head->str, text) != NULL;
 }
 
@@ -85,7 +85,7 @@
     return length;
 }
 
-static void chunks_read(wire_t *wire, wire_answer_t *answer, int64_t until_ms) {
+static void chunks_read(wire_t *wire, wire_response_t *answer, int64_t until_ms) {
     for (;;) {
         long length = chunk_take(wire, answer->body);
         if (length == 0) {
@@ -97,7 +97,7 @@
     }
 }
 
-static void length_read(wire_t *wire, wire_answer_t *answer, size_t length, int64_t until_ms) {
+static void length_read(wire_t *wire, wire_response_t *answer, size_t length, int64_t until_ms) {
     while (wire->unread->len < length && bytes_receive(wire, until_ms, &answer->closed))
         continue;
     size_t taken = MIN(length, wire->unread->len);
@@ -106,8 +106,8 @@
     answer->whole = taken == length;
 }
 
-wire_answer_t *wire_read(wire_t *wire, int timeout_ms) {
-    wire_answer_t *answer = g_new0(wire_answer_t, 1);
+wire_response_t *wire_read(wire_t *wire, int timeout_ms) {
+    wire_response_t *answer = g_new0(wire_response_t, 1);
     int64_t until_ms = harness_now_ms() + timeout_ms;
     answer->head = g_string_new(NULL);
     answer->body = g_string_new(NULL);
@@ -129,7 +129,7 @@
     return answer;
 }
 
-void wire_answer_free(wire_answer_t *answer) {
+void wire_response_free(wire_response_t *answer) {
     g_string_free(answer->head, TRUE);
     g_string_free(answer->body, TRUE);
     g_free(answer);
@@ -151,10 +151,10 @@
               path, id, headers, strlen(body), body);
 }
 
-wire_answer_t *wire_ask(int port, const char *path, const char *id, const char *headers) {
+wire_response_t *wire_request(int port, const char *path, const char *id, const char *headers) {
     wire_t *wire = wire_open(port);
     wire_post(wire, path, id, headers, "hello");
-    wire_answer_t *answer = wire_read(wire, 15000);
+    wire_response_t *answer = wire_read(wire, 15000);
     wire_close(wire);
     return answer;
 }
--- a/tests/integration/crowd.c
+++ b/tests/integration/crowd.c
@@ -47,7 +47,7 @@
 int crowd_whole(const crowd_t *crowd, int tokens) {
     int count = 0;
     for (guint i = 0; i < crowd->answers->len; i++)
-        if (answer_is_whole(crowd->answers->pdata[i], tokens))
+        if (answer_is_complete(crowd->answers->pdata[i], tokens))
             count++;
         else
             answer_print(crowd->answers->pdata[i]);
--- a/tests/integration/test_config.c
+++ b/tests/integration/test_config.c
@@ -37,10 +37,10 @@
 static void test_racing_operators(void) {
     cluster_options_t options = {.nodes = 4};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     for (int round = 0; round < 5; round++) {
         int64_t base = node_config_version(cluster, 0);
-        g_assert_true(eventually(version_is_everywhere, cluster, &base, 20000));
+        g_assert_true(wait_until(version_is_everywhere, cluster, &base, 20000));
         concurrent_change_t changes[4];
         GThread *threads[4];
         for (int i = 0; i < 4; i++) {
@@ -57,7 +57,7 @@
         g_assert_cmpint(won, ==, 1);
         g_assert_cmpint(conflicts, ==, 3);
         base++;
-        g_assert_true(eventually(version_is_everywhere, cluster, &base, 20000));
+        g_assert_true(wait_until(version_is_everywhere, cluster, &base, 20000));
         g_assert_cmpint(node_config_version(cluster, 0), ==, base);
     }
     cluster_stop(cluster);
@@ -67,7 +67,7 @@
 static void test_accepted_answer_lost(void) {
     cluster_options_t options = {.nodes = 2, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     for (int i = 1; i <= 4; i++) {
         int64_t before = node_config_version(cluster, 0);
         platform_proxy_fault(cluster, "drop_answer", 0, i);
@@ -76,7 +76,7 @@
         g_test_message("%d answers dropped: %ld %s", i, answer->status, answer->body);
         int64_t accepted = before + 1;
         if (answer->status == 200)
-            g_assert_true(eventually(version_is_everywhere, cluster, &accepted, 20000));
+            g_assert_true(wait_until(version_is_everywhere, cluster, &accepted, 20000));
         else if (answer->status == 503) /* the change was not accepted */
             g_assert_cmpint(node_config_version(cluster, 0), ==, before);
         else
@@ -91,11 +91,11 @@
 static void test_nodes_replaced_while_the_platform_is_away(void) {
     cluster_options_t options = {.nodes = 4, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     for (int i = 0; i < 3; i++)
         answer_free(apply(cluster, i, "north", 20 + i, 0));
     int64_t version = node_config_version(cluster, 2);
-    g_assert_true(eventually(version_is_everywhere, cluster, &version, 20000));
+    g_assert_true(wait_until(version_is_everywhere, cluster, &version, 20000));
     platform_faults(cluster,
                     "{\"table\":\"refuse\",\"objects\":\"refuse\",\"machines\":\"refuse\"}");
     int owner = cell_owner(cluster, "assistant/0");
@@ -104,7 +104,7 @@
             continue;
         process_kill(&cluster->nodes[i].process);
         node_start(cluster, i);
-        g_assert_true(eventually(version_is_everywhere, cluster, &version, 30000));
+        g_assert_true(wait_until(version_is_everywhere, cluster, &version, 30000));
     }
     answer_t *answer = apply(cluster, 0, "north", 99, 0);
     g_assert_cmpint(answer->status, ==, 503);
@@ -115,7 +115,7 @@
     g_assert_cmpint(answer->status, ==, 200);
     answer_free(answer);
     version++;
-    g_assert_true(eventually(version_is_everywhere, cluster, &version, 20000));
+    g_assert_true(wait_until(version_is_everywhere, cluster, &version, 20000));
     cluster_stop(cluster);
 }
 
@@ -123,20 +123,20 @@
 static void test_lone_node_without_platform_refuses(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     platform_faults(cluster, "{\"table\":\"refuse\"}");
     process_kill(&cluster->nodes[0].process);
     node_start(cluster, 0);
     g_usleep(1500000);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpstr(answer->verdict, ==, "not-run");
     answer_free(answer);
     platform_faults(cluster, "{}");
     wait_ready(cluster);
-    answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 4));
+    g_assert_true(answer_is_complete(answer, 4));
     answer_free(answer);
     cluster_stop(cluster);
 }
@@ -146,7 +146,7 @@
 static void test_object_store_away(void) {
     cluster_options_t options = {.nodes = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     platform_faults(cluster, "{\"objects\":\"refuse\"}");
     for (int i = 0; i < 70; i++) {
         answer_t *answer = apply(cluster, i % 2, "north", 100 + i, 0);
@@ -156,7 +156,7 @@
     }
     int64_t version = MAX(node_config_version(cluster, 0), node_config_version(cluster, 1));
     cluster_add_node(cluster);
-    g_assert_true(eventually(version_is_everywhere, cluster, &version, 20000));
+    g_assert_true(wait_until(version_is_everywhere, cluster, &version, 20000));
     platform_faults(cluster, "{}");
     for (int i = 0; i < 40; i++) {
         answer_t *answer = apply(cluster, i % 2, "north", 200 + i, 0);
@@ -171,7 +171,7 @@
     /* All nodes are restarted, so only the platform has the current version. */
     node_start(cluster, 0);
     node_start(cluster, 1);
-    g_assert_true(eventually(version_is_everywhere, cluster, &version, 20000));
+    g_assert_true(wait_until(version_is_everywhere, cluster, &version, 20000));
     cluster_stop(cluster);
 }
 
--- a/tests/integration/test_once.c
+++ b/tests/integration/test_once.c
@@ -14,7 +14,7 @@
 
 /* The answer must agree with what the engines ran. */
 static void answer_check(cluster_t *cluster, const answer_t *answer, const char *body) {
-    int runs = runs_of(cluster, body);
+    int runs = run_count(cluster, body);
     g_assert_cmpint(runs, <=, 1);
     if (answer->status == 200)
         g_assert_cmpint(runs, ==, 1);
@@ -25,20 +25,20 @@
 static void test_retry_with_key_at_another_node(void) {
     cluster_options_t options = {.nodes = 3, .engines = 0, .lock_engines = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
-    answer_t *first = hold(cluster->nodes[0].callers_port, "k1", "{\"seat\":1}");
-    answer_t *second = hold(cluster->nodes[1].callers_port, "k1", "{\"seat\":1}");
-    answer_t *other = hold(cluster->nodes[2].callers_port, "k1", "{\"seat\":2}");
+    declare_defaults(cluster, 0, 1);
+    answer_t *first = hold(cluster->nodes[0].clients_port, "k1", "{\"seat\":1}");
+    answer_t *second = hold(cluster->nodes[1].clients_port, "k1", "{\"seat\":1}");
+    answer_t *other = hold(cluster->nodes[2].clients_port, "k1", "{\"seat\":2}");
     g_assert_cmpint(first->status, ==, 200);
     g_assert_cmpint(second->status, ==, 200);
     g_assert_cmpstr(first->body, ==, second->body);
     g_assert_cmpint(other->status, ==, 422);
-    g_assert_cmpint(runs_of(cluster, "{\"seat\":1}"), ==, 1);
-    g_assert_cmpint(runs_of(cluster, "{\"seat\":2}"), ==, 0);
+    g_assert_cmpint(run_count(cluster, "{\"seat\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"seat\":2}"), ==, 0);
     answer_free(first);
     answer_free(second);
     answer_free(other);
-    first = call("GET", cluster->nodes[2].callers_port, "/v1/requests/k1?model=seat-lock", NULL,
+    first = call("GET", cluster->nodes[2].clients_port, "/v1/requests/k1?model=seat-lock", NULL,
                  NULL, 20000);
     g_assert_cmpint(first->status, ==, 200);
     answer_free(first);
@@ -60,23 +60,23 @@
 static void test_node_killed_while_it_runs(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2, .engine_flags = "--call-ms=2500"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
+    declare_defaults(cluster, 0, 1);
     int owner = cell_owner(cluster, "seat-lock/0");
     for (int round = 0; round < 2; round++) {
         /* first a gateway, then the owner of the cell */
         int victim = round == 0 ? (owner + 1) % 4 : owner;
         g_autofree char *body = g_strdup_printf("{\"round\":%d}", round);
         g_autofree char *key = g_strdup_printf("round-%d", round);
-        hold_thread_t request = {cluster->nodes[victim].callers_port, key, body};
+        hold_thread_t request = {cluster->nodes[victim].clients_port, key, body};
         GThread *caller = g_thread_new("caller", hold_thread_run, &request);
         g_usleep(1000000);
         process_kill(&cluster->nodes[victim].process);
         answer_t *cut = g_thread_join(caller);
         g_assert_cmpint(cut->status, ==, 0);
-        answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, key, body);
+        answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].clients_port, key, body);
         answer_print(retry);
         g_assert_cmpint(retry->status, ==, 200);
-        g_assert_cmpint(runs_of(cluster, body), ==, 1);
+        g_assert_cmpint(run_count(cluster, body), ==, 1);
         answer_free(cut);
         answer_free(retry);
         if (round == 0)
@@ -89,21 +89,21 @@
 static void test_frozen_node_thaws(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
+    declare_defaults(cluster, 0, 1);
     int owner = cell_owner(cluster, "seat-lock/0");
     int frozen = (owner + 1) % 4;
     process_signal(&cluster->nodes[frozen].process, SIGSTOP);
-    hold_thread_t request = {cluster->nodes[frozen].callers_port, "kf", "{\"frozen\":1}"};
+    hold_thread_t request = {cluster->nodes[frozen].clients_port, "kf", "{\"frozen\":1}"};
     GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(300000);
-    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, "kf", "{\"frozen\":1}");
+    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].clients_port, "kf", "{\"frozen\":1}");
     answer_print(retry);
     g_assert_cmpint(retry->status, ==, 200);
     process_signal(&cluster->nodes[frozen].process, SIGCONT);
     answer_t *late = g_thread_join(caller);
     g_assert_cmpint(late->status, ==, 200);
     g_assert_cmpstr(late->body, ==, retry->body);
-    g_assert_cmpint(runs_of(cluster, "{\"frozen\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"frozen\":1}"), ==, 1);
     answer_free(retry);
     answer_free(late);
     cluster_stop(cluster);
@@ -114,13 +114,13 @@
     cluster_options_t options = {
         .nodes = 2, .lock_engines = 1, .proxied = TRUE, .engine_flags = "--call-ms=0"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
-    answer_free(hold(cluster->nodes[0].callers_port, NULL, "{\"warm\":1}"));
+    declare_defaults(cluster, 0, 1);
+    answer_free(hold(cluster->nodes[0].clients_port, NULL, "{\"warm\":1}"));
     for (int bytes = 0; bytes <= last; bytes += step) {
         g_autofree char *body = g_strdup_printf("{\"cut\":%d}", bytes);
         g_autofree char *key = keyed ? g_strdup_printf("cut-%d", bytes) : NULL;
         engine_fault(cluster, 0, fault, 0, bytes, 1);
-        answer_t *answer = hold(cluster->nodes[bytes % 2].callers_port, key, body);
+        answer_t *answer = hold(cluster->nodes[bytes % 2].clients_port, key, body);
         g_test_message("%s behind %d bytes: %ld %s", fault, bytes, answer->status,
                        answer->verdict != NULL ? answer->verdict : "none");
         g_assert_cmpint(answer->status, !=, 0);
@@ -143,11 +143,11 @@
 static void test_engine_dies_before_answering(void) {
     cluster_options_t options = {.nodes = 2, .lock_engines = 2, .engine_flags = "--call-ms=3000"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
-    hold_thread_t request = {cluster->nodes[0].callers_port, "kd", "{\"dies\":1}"};
+    declare_defaults(cluster, 0, 1);
+    hold_thread_t request = {cluster->nodes[0].clients_port, "kd", "{\"dies\":1}"};
     GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(1000000);
-    g_assert_cmpint(runs_of(cluster, "{\"dies\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"dies\":1}"), ==, 1);
     for (int i = 0; i < cluster->engine_count; i++)
         engine_kill(cluster, i);
     answer_t *answer = g_thread_join(caller);
@@ -155,9 +155,9 @@
     g_assert_cmpstr(answer->verdict, ==, "may-have-run");
     answer_free(answer);
     cluster_add_engine(cluster, "seat-lock");
-    answer = hold(cluster->nodes[1].callers_port, "kd", "{\"dies\":1}");
+    answer = hold(cluster->nodes[1].clients_port, "kd", "{\"dies\":1}");
     g_assert_cmpstr(answer->verdict, ==, "may-have-run");
-    g_assert_cmpint(runs_of(cluster, "{\"dies\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"dies\":1}"), ==, 1);
     answer_free(answer);
     cluster_stop(cluster);
 }
@@ -166,18 +166,18 @@
 static void test_once_without_the_table_service(void) {
     cluster_options_t options = {.nodes = 4, .lock_engines = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
-    answer_free(hold(cluster->nodes[0].callers_port, NULL, "{\"warm\":1}"));
+    declare_defaults(cluster, 0, 1);
+    answer_free(hold(cluster->nodes[0].clients_port, NULL, "{\"warm\":1}"));
     platform_faults(cluster, "{\"table\":\"hang\",\"objects\":\"hang\",\"machines\":\"hang\"}");
     int owner = cell_owner(cluster, "seat-lock/0");
-    answer_t *first = hold(cluster->nodes[(owner + 1) % 4].callers_port, "ka", "{\"away\":1}");
+    answer_t *first = hold(cluster->nodes[(owner + 1) % 4].clients_port, "ka", "{\"away\":1}");
     g_assert_cmpint(first->status, ==, 200);
     process_kill(&cluster->nodes[owner].process);
-    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, "ka", "{\"away\":1}");
+    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].clients_port, "ka", "{\"away\":1}");
     answer_print(retry);
     g_assert_cmpint(retry->status, ==, 200);
     g_assert_cmpstr(first->body, ==, retry->body);
-    g_assert_cmpint(runs_of(cluster, "{\"away\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"away\":1}"), ==, 1);
     answer_free(first);
     answer_free(retry);
     cluster_stop(cluster);
@@ -191,18 +191,18 @@
                                  .engine_flags = "--call-ms=1500 --stream-retention-ms=1000",
                                  .node_flags = "--stream-memory-ms=1000"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 0, 1);
+    declare_defaults(cluster, 0, 1);
     int owner = cell_owner(cluster, "seat-lock/0");
     int victim = (owner + 1) % 4;
-    hold_thread_t request = {cluster->nodes[victim].callers_port, "old", "{\"old\":1}"};
+    hold_thread_t request = {cluster->nodes[victim].clients_port, "old", "{\"old\":1}"};
     GThread *caller = g_thread_new("caller", hold_thread_run, &request);
     g_usleep(800000);
     process_kill(&cluster->nodes[victim].process); /* before it forwards the answer */
     answer_free(g_thread_join(caller));
     g_usleep(5000000);
-    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].callers_port, "old", "{\"old\":1}");
+    answer_t *retry = hold(cluster->nodes[(owner + 2) % 4].clients_port, "old", "{\"old\":1}");
     answer_print(retry);
-    g_assert_cmpint(runs_of(cluster, "{\"old\":1}"), ==, 1);
+    g_assert_cmpint(run_count(cluster, "{\"old\":1}"), ==, 1);
     g_assert_cmpint(retry->status, !=, 200);
     g_assert_cmpstr(retry->verdict, ==, "may-have-run");
     answer_free(retry);
--- a/tests/integration/test_outages.c
+++ b/tests/integration/test_outages.c
@@ -8,8 +8,8 @@
 static void test_platform_away_for_the_whole_run(void) {
     cluster_options_t options = {.nodes = 4, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 4, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 4, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     platform_faults(cluster, "{\"table\":\"hang\",\"objects\":\"hang\",\"machines\":\"hang\"}");
     int owner = cell_owner(cluster, "assistant/0");
     int gateway = (owner + 1) % 4;
@@ -17,17 +17,17 @@
     for (int i = 0; i < 4; i++) {
         if (i == 2)
             process_kill(&cluster->nodes[owner].process);
-        answer_t *answer = chat(cluster->nodes[gateway].callers_port, models[i], 6, NULL, NULL);
+        answer_t *answer = chat(cluster->nodes[gateway].clients_port, models[i], 6, NULL, NULL);
         g_test_message("%s: %ld %s", models[i], answer->status, answer->body);
         answer_print(answer);
-        g_assert_true(answer_is_whole(answer, 6));
+        g_assert_true(answer_is_complete(answer, 6));
         answer_free(answer);
     }
     platform_faults(cluster, "{\"table_delay_ms\":100}");
     g_usleep(3000000);
     platform_faults(cluster, "{}");
     for (int i = 0; i < 4; i++)
-        g_assert_cmpint(most_replicas(cluster, models[i]), ==, 1);
+        g_assert_cmpint(peak_replicas(cluster, models[i]), ==, 1);
     cluster_stop(cluster);
 }
 
@@ -35,23 +35,23 @@
 static void test_zone_gone_at_once(void) {
     cluster_options_t options = {.nodes = 6, .engines = 6};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 4, 2);
+    declare_defaults(cluster, 4, 2);
     static const char *const models[] = {"m1", "m2", "m3", "m4"};
     for (int i = 0; i < 4; i++)
-        answer_free(chat(cluster->nodes[i % 3].callers_port, models[i], 4, NULL, NULL));
+        answer_free(chat(cluster->nodes[i % 3].clients_port, models[i], 4, NULL, NULL));
     for (int i = 0; i < 6; i += 3) { /* zone-1 */
         process_kill(&cluster->nodes[i].process);
         engine_kill(cluster, i);
     }
     for (int i = 0; i < 8; i++) {
         answer_t *answer =
-            chat(cluster->nodes[i % 2 + 1].callers_port, models[i % 4], 6, NULL, NULL);
+            chat(cluster->nodes[i % 2 + 1].clients_port, models[i % 4], 6, NULL, NULL);
         answer_print(answer);
-        g_assert_true(answer_is_whole(answer, 6));
+        g_assert_true(answer_is_complete(answer, 6));
         answer_free(answer);
     }
     for (int i = 0; i < 4; i++)
-        g_assert_cmpint(most_replicas(cluster, models[i]), <=, 2);
+        g_assert_cmpint(peak_replicas(cluster, models[i]), <=, 2);
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
     cluster_stop(cluster);
 }
@@ -60,17 +60,17 @@
 static void test_slow_weight_store(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 3, 1);
+    declare_defaults(cluster, 3, 1);
     platform_faults(cluster, "{\"weight_slowdown\":10}");
     crowd_call_t calls[18];
     static const char *const models[] = {"m1", "m2", "m3"};
     for (int i = 0; i < 18; i++)
-        calls[i] = (crowd_call_t){cluster->nodes[i % 3].callers_port, models[i / 3 % 3], 4, NULL};
+        calls[i] = (crowd_call_t){cluster->nodes[i % 3].clients_port, models[i / 3 % 3], 4, NULL};
     crowd_t *crowd = crowd_start(calls, 18);
     crowd_join(crowd);
     g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, 18);
     for (int i = 0; i < 3; i++)
-        g_assert_cmpint(loads_begun(cluster, models[i]), ==, 1);
+        g_assert_cmpint(loads_started(cluster, models[i]), ==, 1);
     crowd_free(crowd);
     cluster_stop(cluster);
 }
@@ -79,8 +79,8 @@
 static void test_majority_of_a_group_lost(void) {
     cluster_options_t options = {.nodes = 3, .engines = 3};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 2, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 2, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     for (int i = 0; i < 3; i++)
         process_kill(&cluster->nodes[i].process);
     for (int i = 0; i < 3; i++)
@@ -88,11 +88,11 @@
     wait_ready(cluster);
     static const char *const models[] = {"m1", "m2"};
     for (int i = 0; i < 2; i++) {
-        answer_t *answer = chat(cluster->nodes[i].callers_port, models[i], 4, NULL, NULL);
+        answer_t *answer = chat(cluster->nodes[i].clients_port, models[i], 4, NULL, NULL);
         answer_print(answer);
-        g_assert_true(answer_is_whole(answer, 4));
+        g_assert_true(answer_is_complete(answer, 4));
         answer_free(answer);
-        g_assert_cmpint(most_replicas(cluster, models[i]), ==, 1);
+        g_assert_cmpint(peak_replicas(cluster, models[i]), ==, 1);
     }
     cluster_stop(cluster);
 }
@@ -101,17 +101,17 @@
 static void test_isolated_node_founds_nothing(void) {
     cluster_options_t options = {.nodes = 3, .engines = 1};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 1, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     int owner = cell_owner(cluster, "assistant/0");
     cluster->options.node_flags = "--cluster=another";
     int isolated = cluster_add_node(cluster);
     g_usleep(9000000); /* longer than the takeover delay of a cell without an owner */
     g_assert_cmpint(cell_owner(cluster, "assistant/0"), ==, owner);
     process_kill(&cluster->nodes[isolated].process);
-    answer_t *answer = chat(cluster->nodes[1].callers_port, "m1", 4, NULL, NULL);
+    answer_t *answer = chat(cluster->nodes[1].clients_port, "m1", 4, NULL, NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 4));
+    g_assert_true(answer_is_complete(answer, 4));
     answer_free(answer);
     cluster_stop(cluster);
 }
--- a/tests/integration/test_refusals.c
+++ b/tests/integration/test_refusals.c
@@ -20,7 +20,7 @@
 static void test_bad_input(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1, .node_flags = "--body-limit-bytes=2000"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     g_autofree char *large = g_strnfill(5000, 'x');
     g_autofree char *long_header =
         g_strconcat("X-Long: ", large, large, large, large, large, large, NULL);
@@ -47,7 +47,7 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         const char *headers[] = {cases[i].header, NULL};
-        answer_t *answer = call(cases[i].method, cluster->nodes[0].callers_port, cases[i].path,
+        answer_t *answer = call(cases[i].method, cluster->nodes[0].clients_port, cases[i].path,
                                 headers, cases[i].body, 20000);
         g_test_message("%s %s", cases[i].path, cases[i].body != NULL ? "with body" : "");
         g_assert_cmpint(answer->status, ==, cases[i].status);
@@ -57,10 +57,10 @@
         }
         answer_free(answer);
     }
-    g_assert_cmpint(loads_begun(cluster, "m1"), ==, 0);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    g_assert_cmpint(loads_started(cluster, "m1"), ==, 0);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 4));
+    g_assert_true(answer_is_complete(answer, 4));
     answer_free(answer);
     cluster_stop(cluster);
 }
@@ -81,17 +81,17 @@
     enum { SENDERS = 50 };
     cluster_options_t options = {.nodes = 1, .engines = 1, .node_flags = "--sender-timeout-s=1"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     int senders[SENDERS];
     for (int i = 0; i < SENDERS; i++)
         senders[i] =
-            stalled_sender_open(cluster->nodes[0].callers_port,
+            stalled_sender_open(cluster->nodes[0].clients_port,
                                 i % 2 == 0 ? "POST /v1/chat/comp"
                                            : "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                                              "Content-Length: 500\r\n\r\n{\"model\"");
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 4));
+    g_assert_true(answer_is_complete(answer, 4));
     answer_free(answer);
     for (int i = 0; i < SENDERS; i++) {
         struct timeval timeout = {.tv_sec = 30};
@@ -111,10 +111,10 @@
 static void test_late_wake_is_refused_at_once(void) {
     cluster_options_t options = {.nodes = 2, .engines = 1, .engine_flags = "--load-slowdown=100"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     /* The owner estimates 250 ms per GiB, without the slowdown; the deadline is below that. */
     static const char *const headers[] = {"Wickbridge-Deadline-Ms: 150", NULL};
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, headers);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, headers);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpstr(answer->verdict, ==, "not-run");
     g_assert_nonnull(answer->retry_after);
@@ -126,9 +126,9 @@
 static void test_no_capacity(void) {
     cluster_options_t options = {.nodes = 2, .engines = 0};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     g_usleep(2500000); /* a new owner first polls for engines */
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     g_assert_cmpint(answer->status, ==, 503);
     g_assert_cmpstr(answer->verdict, ==, "not-run");
     g_assert_nonnull(answer->retry_after);
@@ -145,14 +145,14 @@
                                  .engine_flags = "--memory-mib=1100 --token-interval-ms=20",
                                  .node_flags = "--busy-wait-ms=500"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 2, 1);
-    crowd_call_t long_call = {cluster->nodes[0].callers_port, "m1", 400, ",\"stream\":true"};
+    declare_defaults(cluster, 2, 1);
+    crowd_call_t long_call = {cluster->nodes[0].clients_port, "m1", 400, ",\"stream\":true"};
     crowd_t *busy = crowd_start(&long_call, 1);
     g_usleep(2000000);
     enum { CALLERS = 30 };
     crowd_call_t calls[CALLERS];
     for (int i = 0; i < CALLERS; i++)
-        calls[i] = (crowd_call_t){cluster->nodes[i % 3].callers_port, "m2", 4, NULL};
+        calls[i] = (crowd_call_t){cluster->nodes[i % 3].clients_port, "m2", 4, NULL};
     crowd_t *crowd = crowd_start(calls, CALLERS);
     crowd_join(crowd);
     g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, CALLERS);
--- a/tests/integration/test_stops.c
+++ b/tests/integration/test_stops.c
@@ -15,17 +15,17 @@
 static void test_leaving_engine_gets_no_new_work(void) {
     cluster_options_t options = {.nodes = 2, .engines = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 2);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    declare_defaults(cluster, 1, 2);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     int leaving = engine_index(cluster, answer->engine);
     answer_free(answer);
-    machine_leave(cluster, cluster->engines[leaving].process.name);
+    machine_deregister(cluster, cluster->engines[leaving].process.name);
     int64_t marked_ms = harness_now_ms();
     int64_t last_ms = marked_ms;
     while (harness_now_ms() - marked_ms < 8000) {
-        answer = chat(cluster->nodes[1].callers_port, "m1", 4, NULL, NULL);
+        answer = chat(cluster->nodes[1].clients_port, "m1", 4, NULL, NULL);
         answer_print(answer);
-        g_assert_true(answer_is_whole(answer, 4));
+        g_assert_true(answer_is_complete(answer, 4));
         if (engine_index(cluster, answer->engine) == leaving)
             last_ms = harness_now_ms();
         answer_free(answer);
@@ -42,12 +42,12 @@
     cluster_options_t options = {
         .nodes = 3, .engines = 2, .engine_flags = "--token-interval-ms=10 --load-slowdown=4"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 2, 2);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 2, 2);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     int victim = cell_owner(cluster, "assistant/0"); /* its stop also needs a takeover */
     crowd_call_t calls[24];
     for (int i = 0; i < 24; i++)
-        calls[i] = (crowd_call_t){cluster->nodes[victim].callers_port, i % 3 == 0 ? "m2" : "m1",
+        calls[i] = (crowd_call_t){cluster->nodes[victim].clients_port, i % 3 == 0 ? "m2" : "m1",
                                   120, i % 2 == 0 ? ",\"stream\":true" : NULL};
     crowd_t *crowd = crowd_start(calls, 24);
     g_usleep(400000);
@@ -64,13 +64,13 @@
     cluster_options_t options = {
         .nodes = 2, .engines = 3, .engine_flags = "--token-interval-ms=10"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    declare_defaults(cluster, 1, 1);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     int victim = engine_index(cluster, answer->engine);
     answer_free(answer);
     crowd_call_t calls[16];
     for (int i = 0; i < 16; i++)
-        calls[i] = (crowd_call_t){cluster->nodes[i % 2].callers_port, "m1", 150,
+        calls[i] = (crowd_call_t){cluster->nodes[i % 2].clients_port, "m1", 150,
                                   i % 2 == 0 ? ",\"stream\":true" : NULL};
     crowd_t *crowd = crowd_start(calls, 16);
     g_usleep(500000);
@@ -82,7 +82,7 @@
     g_assert_cmpint(crowd_whole(crowd, 150), ==, 16);
     g_assert_cmpint(crowd_whole(later, 150), ==, 16);
     g_assert_cmpint(status, ==, 0);
-    g_assert_cmpint(most_replicas(cluster, "m1"), ==, 1);
+    g_assert_cmpint(peak_replicas(cluster, "m1"), ==, 1);
     crowd_free(crowd);
     crowd_free(later);
     cluster_stop(cluster);
@@ -92,12 +92,12 @@
 static void test_rolling_replacement(void) {
     cluster_options_t options = {.nodes = 3, .engines = 2};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 2, 2);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 2, 2);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     for (int i = 0; i < 3; i++) {
         crowd_call_t calls[12];
         for (int j = 0; j < 12; j++)
-            calls[j] = (crowd_call_t){cluster->nodes[j % 3].callers_port, j % 2 ? "m1" : "m2", 60,
+            calls[j] = (crowd_call_t){cluster->nodes[j % 3].clients_port, j % 2 ? "m1" : "m2", 60,
                                       j % 4 < 2 ? ",\"stream\":true" : NULL};
         crowd_t *crowd = crowd_start(calls, 12);
         g_usleep(200000);
@@ -108,7 +108,7 @@
         node_start(cluster, i);
         wait_ready(cluster);
     }
-    g_assert_cmpint(most_replicas(cluster, "m1"), <=, 2);
+    g_assert_cmpint(peak_replicas(cluster, "m1"), <=, 2);
     cluster_stop(cluster);
 }
 
--- a/tests/integration/test_storm.c
+++ b/tests/integration/test_storm.c
@@ -100,14 +100,14 @@
 /* Sends a chat, which must be complete, refused with a reason, or cut off with its node. */
 static void chat_once(caller_t *caller, int iteration) {
     g_autofree char *model = g_strdup_printf("m%d", (caller->number + iteration) % MODELS + 1);
-    int port = caller->cluster->nodes[(caller->number * 3 + iteration) % NODES].callers_port;
+    int port = caller->cluster->nodes[(caller->number * 3 + iteration) % NODES].clients_port;
     gboolean streamed = iteration % 2 == 0;
     g_autofree char *body = g_strdup_printf("{\"model\":\"%s\",\"max_tokens\":20,\"messages\":[{"
                                             "\"role\":\"user\",\"content\":\"Is there a "
                                             "seat?\"}]%s}",
                                             model, streamed ? ",\"stream\":true" : "");
     answer_t *answer = call("POST", port, "/v1/chat/completions", NULL, body, 8000);
-    if (answer_is_whole(answer, 20))
+    if (answer_is_complete(answer, 20))
         caller->whole++;
     else if (answer->status == 0)
         caller->cut++; /* the node was killed, or frozen beyond the client's timeout */
@@ -128,7 +128,7 @@
     g_autofree char *header = g_strdup_printf("Idempotency-Key: c%d-%d", caller->number, iteration);
     const char *headers[] = {header, NULL};
     for (int try = 0; try < 4; try++) {
-        int port = caller->cluster->nodes[(caller->number + iteration + try) % NODES].callers_port;
+        int port = caller->cluster->nodes[(caller->number + iteration + try) % NODES].clients_port;
         answer_t *answer = call("POST", port, "/v1/services/seat-lock/hold", headers, body, 5000);
         gboolean answered = answer->status == 200;
         if (answered && strstr(answer->body, body) == NULL &&
@@ -155,7 +155,7 @@
     for (int i = 0; i < CALLERS; i++) {
         for (int iteration = 0; iteration < 400; iteration++) {
             g_autofree char *body = g_strdup_printf("{\"caller\":%d,\"turn\":%d}", i, iteration);
-            int runs = runs_of(cluster, body);
+            int runs = run_count(cluster, body);
             if (runs > 1)
                 g_error("%s ran %d times", body, runs);
         }
@@ -170,7 +170,7 @@
                                  .partitions = TRUE,
                                  .engine_flags = "--memory-mib=3200"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, MODELS, 2);
+    declare_defaults(cluster, MODELS, 2);
     const char *seed = g_getenv("WICKBRIDGE_STORM_SEED"); /* for manual runs */
     GRand *random = g_rand_new_with_seed(seed != NULL ? (guint32)atoi(seed) : DEFAULT_SEED);
     gint stop = 0;
@@ -209,7 +209,7 @@
     keys_check(cluster);
     for (int i = 1; i <= MODELS; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        g_assert_cmpint(most_replicas(cluster, model), <=, 2);
+        g_assert_cmpint(peak_replicas(cluster, model), <=, 2);
     }
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
     /* the cluster recovers */
@@ -218,10 +218,10 @@
     for (int i = 0; i < 20 && (answer == NULL || answer->status != 200); i++) {
         g_clear_pointer(&answer, answer_free);
         g_usleep(1000000);
-        answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+        answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     }
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 4));
+    g_assert_true(answer_is_complete(answer, 4));
     answer_free(answer);
     g_rand_free(random);
     cluster_stop(cluster);
--- a/tests/integration/test_streams.c
+++ b/tests/integration/test_streams.c
@@ -8,13 +8,13 @@
 static void test_cut_streams_are_resumed(void) {
     cluster_options_t options = {.nodes = 1, .engines = 1, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 1, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     for (int bytes = 100; bytes < 4000; bytes += 487) {
         engine_fault(cluster, 0, "cut_answer", 0, bytes, 2);
-        answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 40, ",\"stream\":true", NULL);
+        answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 40, ",\"stream\":true", NULL);
         answer_print(answer);
-        g_assert_true(answer_is_whole(answer, 40));
+        g_assert_true(answer_is_complete(answer, 40));
         answer_free(answer);
     }
     cluster_stop(cluster);
@@ -26,13 +26,13 @@
     cluster_options_t options = {
         .nodes = 2, .engines = 2, .engine_flags = "--token-interval-ms=20"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 2);
-    answer_t *first = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    declare_defaults(cluster, 1, 2);
+    answer_t *first = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     answer_print(first);
-    g_assert_true(answer_is_whole(first, 4));
+    g_assert_true(answer_is_complete(first, 4));
     crowd_call_t calls[20];
     for (int i = 0; i < 20; i++)
-        calls[i] = (crowd_call_t){cluster->nodes[i % 2].callers_port, "m1", 150,
+        calls[i] = (crowd_call_t){cluster->nodes[i % 2].clients_port, "m1", 150,
                                   i % 4 != 0 ? ",\"stream\":true" : NULL};
     crowd_t *crowd = crowd_start(calls, 20);
     g_usleep(1000000);
@@ -57,11 +57,11 @@
     cluster_options_t options = {
         .nodes = 1, .engines = 1, .engine_flags = "--token-interval-ms=20"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    declare_defaults(cluster, 1, 1);
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     static const char *const headers[] = {"Wickbridge-Repeatable: no", NULL};
     GThread *killer = g_thread_new("killer", engine_kill_delayed, cluster);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 400, ",\"stream\":true", headers);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 400, ",\"stream\":true", headers);
     g_thread_join(killer);
     g_assert_cmpint(answer->status, ==, 0); /* the connection is closed after the error */
     g_assert_nonnull(strstr(answer->body, "\"verdict\":\"may-have-run\""));
@@ -74,18 +74,18 @@
 static void test_answers_out_of_order(void) {
     cluster_options_t options = {.nodes = 2, .engines = 2, .lock_engines = 2, .proxied = TRUE};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 2);
+    declare_defaults(cluster, 1, 2);
     engine_fault(cluster, 2, "delay", 150, 0, 0);
     for (int i = 0; i < 40; i++) {
         g_autofree char *body = g_strdup_printf("{\"mine\":%d}", i);
         g_autofree char *expected = g_strdup_printf("\"request\":{\"mine\":%d}", i);
-        answer_t *answer = call("POST", cluster->nodes[i % 2].callers_port,
+        answer_t *answer = call("POST", cluster->nodes[i % 2].clients_port,
                                 "/v1/services/seat-lock/hold", NULL, body, 30000);
         answer_print(answer);
         g_assert_cmpint(answer->status, ==, 200);
         g_assert_nonnull(strstr(answer->body, expected));
         answer_free(answer);
-        g_assert_cmpint(runs_of(cluster, body), ==, 1);
+        g_assert_cmpint(run_count(cluster, body), ==, 1);
     }
     cluster_stop(cluster);
 }
@@ -114,20 +114,20 @@
     cluster_options_t options = {
         .nodes = 4, .engines = 1, .engine_flags = "--token-interval-ms=20"};
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
+    declare_defaults(cluster, 1, 1);
     int owner = cell_owner(cluster, "assistant/0");
     int victim = (owner + 1) % 4;
-    answer_free(chat(cluster->nodes[victim].callers_port, "m1", 4, NULL, NULL));
+    answer_free(chat(cluster->nodes[victim].clients_port, "m1", 4, NULL, NULL));
     static const char *const headers[] = {"Idempotency-Key: mine", NULL};
     GThread *killer = g_thread_new("killer", process_kill_delayed, &cluster->nodes[victim].process);
     answer_t *cut =
-        chat(cluster->nodes[victim].callers_port, "m1", 100, ",\"stream\":true", headers);
+        chat(cluster->nodes[victim].clients_port, "m1", 100, ",\"stream\":true", headers);
     g_thread_join(killer);
     g_assert_cmpint(cut->status, ==, 0);
-    answer_t *fetched = call("GET", cluster->nodes[(owner + 2) % 4].callers_port,
+    answer_t *fetched = call("GET", cluster->nodes[(owner + 2) % 4].clients_port,
                              "/v1/requests/mine?model=m1&stream=true", NULL, NULL, 30000);
     answer_print(fetched);
-    g_assert_true(answer_is_whole(fetched, 100));
+    g_assert_true(answer_is_complete(fetched, 100));
     g_autofree char *before = body_without_keepalives(cut->body);
     g_autofree char *after = body_without_keepalives(fetched->body);
     g_assert_true(strncmp(after, before, strlen(before) / 2) == 0);
--- a/tests/integration/test_tls.c
+++ b/tests/integration/test_tls.c
@@ -84,13 +84,13 @@
                                  .platform_flags = server_flags};
     harness_tls_folder = folder;
     cluster_t *cluster = cluster_start(&options);
-    declare_usual(cluster, 1, 1);
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 8, ",\"stream\":true", NULL);
+    declare_defaults(cluster, 1, 1);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 8, ",\"stream\":true", NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 8));
+    g_assert_true(answer_is_complete(answer, 8));
     answer_free(answer);
     /* the operators' API is not served on the clients' port */
-    answer = call("GET", cluster->nodes[0].callers_port, "/operators/v1/config", NULL, NULL, 5000);
+    answer = call("GET", cluster->nodes[0].clients_port, "/operators/v1/config", NULL, NULL, 5000);
     g_assert_cmpint(answer->status, ==, 404);
     answer_free(answer);
     /* a node with an untrusted certificate can't join */
@@ -108,9 +108,9 @@
     g_assert_cmpint(answer->status, ==, 403);
     g_assert_nonnull(strstr(answer->body, "certificate_needed"));
     answer_free(answer);
-    answer = chat(cluster->nodes[1].callers_port, "m1", 8, NULL, NULL);
+    answer = chat(cluster->nodes[1].clients_port, "m1", 8, NULL, NULL);
     answer_print(answer);
-    g_assert_true(answer_is_whole(answer, 8));
+    g_assert_true(answer_is_complete(answer, 8));
     answer_free(answer);
     harness_tls_folder = NULL;
     cluster_stop(cluster);
--- a/tests/integration/test_wickctl.c
+++ b/tests/integration/test_wickctl.c
@@ -67,10 +67,10 @@
     command_expect(cluster, "status", 0, "ready");
     command_expect(cluster, "status -o json", 0, "\"config_version\": 1");
     command_expect(cluster, policy, 0, "keep_alive_ms 5000");
-    answer_free(chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL));
+    answer_free(chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL));
     command_expect(cluster, "explain model m1", 0, "loaded");
     command_expect(cluster, "explain model nobody", 1, "no such model");
-    answer_t *answer = chat(cluster->nodes[0].callers_port, "m1", 4, NULL, NULL);
+    answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     g_autofree char *explain = g_strconcat("explain request ", answer->request_id, NULL);
     answer_free(answer);
     command_expect(cluster, explain, 0, "completed");
--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -255,7 +255,7 @@
                                   soak_number_of(arrival, "at_ms"));
         }
     }
-    budget_worst_t worst = budget_oracle_worst(oracle);
+    budget_window_t worst = budget_oracle_worst_window(oracle);
     if (soak->has_load_shedding) {
         printf("  %s: %u arrivals beyond the first for %u requests in %d s, %.1f allowed\n",
                service, worst.repeats, worst.requests, soak->retry_window_s, worst.allowed);
@@ -268,7 +268,7 @@
 }
 
 void soak_checks_run(soak_t *soak) {
-    json_t *seen = estate_seen(soak->estate);
+    json_t *seen = estate_records(soak->estate);
     size_t i;
     json_t *text;
     json_array_foreach(json_object_get(seen, "violations"), i, text) {
--- a/tests/soak/callers.c
+++ b/tests/soak/clients.c
@@ -37,7 +37,8 @@
 }
 
 /* Events come once each, in order and of this request; a complete stream has all of them. */
-static void stream_check(soak_t *soak, const soak_request_t *request, const wire_answer_t *answer) {
+static void stream_check(soak_t *soak, const soak_request_t *request,
+                         const wire_response_t *answer) {
     g_autoptr(GString) wanted = g_string_new(NULL);
     size_t matched = 0;
     for (int event = 1; event <= EVENTS; event++) {
@@ -51,7 +52,8 @@
     }
 }
 
-static void answer_check(soak_t *soak, const soak_request_t *request, const wire_answer_t *answer) {
+static void answer_check(soak_t *soak, const soak_request_t *request,
+                         const wire_response_t *answer) {
     if (answer->status / 100 == 2) {
         g_autofree char *start = g_strdup_printf("ran %s at ", request->id);
         if (strstr(answer->head->str, "Response-Seal: ") == NULL) {
@@ -71,7 +73,7 @@
 }
 
 /* Keeps a connection that can be reused, or closes it. */
-static void wire_release(wire_t **connection, wire_t *wire, const wire_answer_t *answer) {
+static void wire_release(wire_t **connection, wire_t *wire, const wire_response_t *answer) {
     gboolean reusable =
         answer->whole && !answer->closed && strstr(answer->head->str, "Connection: close") == NULL;
     if (connection != NULL && reusable) {
@@ -89,7 +91,7 @@
     wire_t *wire = connection != NULL ? *connection : NULL;
     request->reused = wire != NULL;
     if (wire == NULL) {
-        wire = wire_try_open(soak->estate->nodes[request->node].callers_port);
+        wire = wire_try_open(soak->estate->nodes[request->node].clients_port);
     } else {
         *connection = NULL;
     }
@@ -97,7 +99,7 @@
         return; /* the node is down: nothing was sent */
     }
     wire_post(wire, request->path, request->id, headers, body);
-    wire_answer_t *answer = wire_read(wire, DEADLINE_MS + ANSWER_SLACK_MS);
+    wire_response_t *answer = wire_read(wire, DEADLINE_MS + ANSWER_SLACK_MS);
     wire_release(connection, wire, answer);
     request->closed = answer->closed;
     request->ended_ms = harness_now_ms();
@@ -106,7 +108,7 @@
     request->reports_limit = strstr(answer->head->str, "Server-Limit: ") != NULL;
     request->reports_draining = strstr(answer->head->str, "Server-Leaving: 1") != NULL;
     answer_check(soak, request, answer);
-    wire_answer_free(answer);
+    wire_response_free(answer);
     g_mutex_lock(&soak->lock);
     g_array_append_val(soak->requests, *request);
     g_mutex_unlock(&soak->lock);
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -133,18 +133,18 @@
 static void store_begin(soak_fault_t *fault, soak_t *soak) {
     static const char *const faults[] = {"busy", "silent", "reset", "lost", "late", ""};
     const char *name = faults[fault->variant % (int)G_N_ELEMENTS(faults)];
-    estate_do(soak->estate, "{\"do\":\"store-fault\",\"fault\":\"%s\",\"delay_ms\":%d}", name,
-              *name == '\0' ? 200 : 0);
+    estate_command(soak->estate, "{\"do\":\"store-fault\",\"fault\":\"%s\",\"delay_ms\":%d}", name,
+                   *name == '\0' ? 200 : 0);
 }
 
 static void store_end(soak_fault_t *fault, soak_t *soak) {
     (void)fault;
-    estate_do(soak->estate, "{\"do\":\"store-fault\",\"fault\":\"\",\"delay_ms\":0}");
+    estate_command(soak->estate, "{\"do\":\"store-fault\",\"fault\":\"\",\"delay_ms\":0}");
 }
 
 static void compact_begin(soak_fault_t *fault, soak_t *soak) {
     (void)fault;
-    estate_do(soak->estate, "{\"do\":\"compact\"}");
+    estate_command(soak->estate, "{\"do\":\"compact\"}");
 }
 
 /* Wrong responses for a few requests, at one of the four initial engines. */
@@ -152,10 +152,10 @@
     static const char *const faults[] = {"error",  "reset",    "mute",       "cut",
                                          "reject", "unsealed", "order-lost", "order-late"};
     static const char *const engines[] = {"llm-1", "llm-2", "lock-1", "lock-2"};
-    estate_do(soak->estate,
-              "{\"do\":\"engine-fault\",\"engine\":\"%s\",\"fault\":\"%s\",\"count\":%d}",
-              engines[fault->variant % (int)G_N_ELEMENTS(engines)],
-              faults[(fault->variant / 4) % (int)G_N_ELEMENTS(faults)], 1 + fault->variant % 3);
+    estate_command(
+        soak->estate, "{\"do\":\"engine-fault\",\"engine\":\"%s\",\"fault\":\"%s\",\"count\":%d}",
+        engines[fault->variant % (int)G_N_ELEMENTS(engines)],
+        faults[(fault->variant / 4) % (int)G_N_ELEMENTS(faults)], 1 + fault->variant % 3);
 }
 
 /* An additional engine for the lock service, which drains or crashes after a while. */
@@ -167,17 +167,17 @@
     char name[32];
     fault->variant = ++soak->engines_started;
     guest_name(fault, name);
-    estate_do(soak->estate,
-              "{\"do\":\"engine-start\",\"engine\":\"%s\",\"options\":{\"service\":\"lock\","
-              "\"zone\":\"zone-1\",\"work_ms\":10}}",
-              name);
+    estate_command(soak->estate,
+                   "{\"do\":\"engine-start\",\"engine\":\"%s\",\"options\":{\"service\":\"lock\","
+                   "\"zone\":\"zone-1\",\"work_ms\":10}}",
+                   name);
 }
 
 static void guest_end(soak_fault_t *fault, soak_t *soak) {
     soak_drain_t drain;
     guest_name(fault, drain.engine);
     drain.at_ms = harness_now_ms();
-    estate_do(soak->estate, "{\"do\":\"engine-leave\",\"engine\":\"%s\"}", drain.engine);
+    estate_command(soak->estate, "{\"do\":\"engine-leave\",\"engine\":\"%s\"}", drain.engine);
     g_mutex_lock(&soak->lock);
     g_array_append_val(soak->drains, drain);
     g_mutex_unlock(&soak->lock);
@@ -186,7 +186,8 @@
 static void guest_crash_end(soak_fault_t *fault, soak_t *soak) {
     char name[32];
     guest_name(fault, name);
-    estate_do(soak->estate, "{\"do\":\"engine-stop\",\"engine\":\"%s\",\"announce\":true}", name);
+    estate_command(soak->estate, "{\"do\":\"engine-stop\",\"engine\":\"%s\",\"announce\":true}",
+                   name);
 }
 
 static void config_begin(soak_fault_t *fault, soak_t *soak) {
@@ -201,18 +202,18 @@
 
 /* Restarts after 0.1 to 1.1 s; its row stays meanwhile, since the engine keeps its id. */
 static void engine_restart_begin(soak_fault_t *fault, soak_t *soak) {
-    estate_do(soak->estate,
-              "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
-              engine_name(fault), 100 + fault->variant);
-    estate_do(soak->estate, "{\"do\":\"engine-crash\",\"engine\":\"%s\"}", engine_name(fault));
+    estate_command(soak->estate,
+                   "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"back_ms\",\"value\":%d}",
+                   engine_name(fault), 100 + fault->variant);
+    estate_command(soak->estate, "{\"do\":\"engine-crash\",\"engine\":\"%s\"}", engine_name(fault));
 }
 
 static void foreign_row_begin(soak_fault_t *fault, soak_t *soak) {
     static const char *const values[] = {"{}", "[[[[", "{\\\"service\\\":\\\"lock\\\"}",
                                          "{\\\"state\\\":\\\"asleep\\\"}", "x"};
-    estate_do(soak->estate,
-              "{\"do\":\"put\",\"table\":\"servers\",\"key\":\"foreign-%d\",\"value\":\"%s\"}",
-              fault->variant % 7, values[fault->variant % (int)G_N_ELEMENTS(values)]);
+    estate_command(soak->estate,
+                   "{\"do\":\"put\",\"table\":\"servers\",\"key\":\"foreign-%d\",\"value\":\"%s\"}",
+                   fault->variant % 7, values[fault->variant % (int)G_N_ELEMENTS(values)]);
 }
 
 static void zone_name(const soak_fault_t *fault, char zone[32]) {
@@ -222,9 +223,9 @@
 static void evacuation_begin(soak_fault_t *fault, soak_t *soak) {
     soak_evacuation_t evacuation = {.to_ms = G_MAXINT64};
     zone_name(fault, evacuation.zone);
-    estate_do(soak->estate,
-              "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\",\"value\":\"{}\"}",
-              evacuation.zone);
+    estate_command(soak->estate,
+                   "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\",\"value\":\"{}\"}",
+                   evacuation.zone);
     evacuation.from_ms = harness_now_ms();
     g_mutex_lock(&soak->lock);
     g_array_append_val(soak->evacuations, evacuation);
@@ -242,7 +243,7 @@
         }
     }
     g_mutex_unlock(&soak->lock);
-    estate_do(soak->estate, "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\"}", zone);
+    estate_command(soak->estate, "{\"do\":\"put\",\"table\":\"op\",\"key\":\"evacuate/%s\"}", zone);
 }
 
 static void build_begin(soak_fault_t *fault, soak_t *soak) {
@@ -259,9 +260,10 @@
 static void engines_shed(const soak_t *soak, int count) {
     static const char *const engines[] = {"llm-1", "llm-2", "lock-1", "lock-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) {
-        estate_do(soak->estate,
-                  "{\"do\":\"engine-fault\",\"engine\":\"%s\",\"fault\":\"reject\",\"count\":%d}",
-                  engines[i], count);
+        estate_command(
+            soak->estate,
+            "{\"do\":\"engine-fault\",\"engine\":\"%s\",\"fault\":\"reject\",\"count\":%d}",
+            engines[i], count);
     }
 }
 
@@ -276,8 +278,8 @@
 }
 
 static void engine_report_state(const soak_t *soak, const char *engine, const char *lines) {
-    estate_do(soak->estate, "{\"do\":\"engine-state\",\"engine\":\"%s\",\"lines\":\"%s\"}", engine,
-              lines);
+    estate_command(soak->estate, "{\"do\":\"engine-state\",\"engine\":\"%s\",\"lines\":\"%s\"}",
+                   engine, lines);
 }
 
 /* Some of the limits are malformed or out of range. */
@@ -293,8 +295,9 @@
 }
 
 static void engine_set_backoff(const soak_t *soak, const char *engine, const char *retry_after) {
-    estate_do(soak->estate, "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}",
-              engine, retry_after);
+    estate_command(soak->estate,
+                   "{\"do\":\"engine-rest\",\"engine\":\"%s\",\"retry_after\":\"%s\"}", engine,
+                   retry_after);
 }
 
 static void backoff_begin(soak_fault_t *fault, soak_t *soak) {
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -53,20 +53,20 @@
 
 /* One engine is slow and reports it, one reports a pace out of range. */
 static void paces_set(const estate_t *estate) {
-    estate_do(estate, "{\"do\":\"engine-pace\",\"engine\":\"llm-1\",\"told\":\"300\","
-                      "\"percent\":300}");
-    estate_do(estate, "{\"do\":\"engine-pace\",\"engine\":\"llm-2\","
-                      "\"told\":\"1000000000\",\"percent\":50}");
+    estate_command(estate, "{\"do\":\"engine-pace\",\"engine\":\"llm-1\",\"told\":\"300\","
+                           "\"percent\":300}");
+    estate_command(estate, "{\"do\":\"engine-pace\",\"engine\":\"llm-2\","
+                           "\"told\":\"1000000000\",\"percent\":50}");
 }
 
 /* Engines keep their ids when they restart. */
 static void engines_keep_ids(const estate_t *estate) {
     static const char *const engines[] = {"llm-1", "llm-2", "lock-1", "lock-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) {
-        estate_do(estate,
-                  "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"same_id\","
-                  "\"value\":1}",
-                  engines[i]);
+        estate_command(estate,
+                       "{\"do\":\"engine-option\",\"engine\":\"%s\",\"name\":\"same_id\","
+                       "\"value\":1}",
+                       engines[i]);
     }
 }
 
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -110,7 +110,7 @@
 gboolean soak_is_disturbed_except(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
                                   const char *name);
 
-/* callers.c */
+/* clients.c */
 /** Start the clients' threads. @return them, owned by the caller; end with soak_clients_join */
 GPtrArray *soak_clients_start(soak_t *soak);
 void soak_clients_join(GPtrArray *threads);
