--- a/tests/soak/state_checks.c
+++ b/tests/soak/state_checks.c
@@ -89,10 +89,10 @@
         return; /* malformed or out of range: nodes ignore it */
     }
     limit_oracle_t *oracle = limit_oracle_create(per_s, CONTACT_MS);
-    limit_oracle_named(oracle, report->from_ms);
+    limit_oracle_reported(oracle, report->from_ms);
     for (int node = 0; node < SOAK_NODES; node++) {
         forwarded_ms[node] = first_forwarded_ms(soak, lookup, report, node, FALSE);
-        limit_oracle_passed_on(oracle, node, forwarded_ms[node]);
+        limit_oracle_forwarded(oracle, node, forwarded_ms[node]);
     }
     size_t i;
     json_t *arrival;
@@ -105,7 +105,7 @@
             limit_oracle_arrival(oracle, node, at_ms);
         }
     }
-    limit_worst_t worst = limit_oracle_worst(oracle);
+    limit_window_t worst = limit_oracle_fullest_window(oracle);
     if (worst.arrivals > worst.allowed) {
         soak_fail(soak, "%s: named a limit of %g a second and got %u in 4 s, %.1f allowed",
                   report->engine, per_s, worst.arrivals, worst.allowed);
--- a/tests/unit/test_group.c
+++ b/tests/unit/test_group.c
@@ -153,8 +153,8 @@
 }
 
 static void seed_run(guint32 seed) {
-    world_figures_t figures = {0};
-    g_assert_cmpstr(world_run(NULL, 0, seed, 4000, &figures), ==, NULL);
+    world_counters_t figures = {0};
+    g_assert_cmpstr(simulation_run(NULL, 0, seed, 4000, &figures), ==, NULL);
 }
 
 static void test_seed_founder_with_an_old_record(void) {
--- a/tests/unit/test_quota_ledger.c
+++ b/tests/unit/test_quota_ledger.c
@@ -107,10 +107,10 @@
 /* A third of many nodes is cut off before a surge: the limit holds. */
 static void test_third_cut_off_of_many(void) {
     for (unsigned seed = 1; seed <= SEEDS; seed++) {
-        quota_result_t result = quota_sim_play(quota_way_shares, 350, QUOTA_HOT_CUT_MANY, seed);
-        g_test_message("seed %u: %.3f of the rule, %.4f refused", seed, result.most_of_rule,
+        quota_result_t result = quota_sim_run(quota_strategy_shares, 350, QUOTA_HOT_CUT_MANY, seed);
+        g_test_message("seed %u: %.3f of the rule, %.4f refused", seed, result.max_of_rule,
                        result.refused);
-        g_assert_cmpfloat(result.most_of_rule, <=, 1.0);
+        g_assert_cmpfloat(result.max_of_rule, <=, 1.0);
         g_assert_cmpfloat(result.refused, <=, 0.02);
     }
 }
@@ -119,8 +119,8 @@
  * is all that the limit allows; refused is relative to what that bucket admits. */
 static void test_limits_hold_over_all_nodes(void) {
     static const struct {
-        quota_trouble_t trouble;
-        double most_of_rule;
+        quota_fault_t trouble;
+        double max_of_rule;
         double refused;
     } bounds[] = {
         {QUOTA_CALM, 0.75, 0.001},         {QUOTA_HOT, 0.95, 0.005},
@@ -134,11 +134,11 @@
     for (size_t i = 0; i < G_N_ELEMENTS(bounds); i++) {
         for (unsigned seed = 1; seed <= SEEDS; seed++) {
             quota_result_t result =
-                quota_sim_play(quota_way_shares, NODES, bounds[i].trouble, seed);
+                quota_sim_run(quota_strategy_shares, NODES, bounds[i].trouble, seed);
             g_test_message("%s, seed %u: %.3f of the rule, %.4f refused",
-                           quota_trouble_name(bounds[i].trouble), seed, result.most_of_rule,
+                           quota_fault_name(bounds[i].trouble), seed, result.max_of_rule,
                            result.refused);
-            g_assert_cmpfloat(result.most_of_rule, <=, bounds[i].most_of_rule);
+            g_assert_cmpfloat(result.max_of_rule, <=, bounds[i].max_of_rule);
             g_assert_cmpfloat(result.refused, <=, bounds[i].refused);
         }
     }
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -27,7 +27,7 @@
             }
         }
     }
-    budget_worst_t worst = budget_oracle_worst(oracle);
+    budget_window_t worst = budget_oracle_worst_window(oracle);
     g_test_message("%u resends for %u requests, %.1f allowed", worst.repeats, worst.requests,
                    worst.allowed);
     g_assert_cmpfloat(worst.excess, <=, 0);
@@ -38,7 +38,7 @@
 
 /* Nodes with bursts of traffic, each retrying whenever allowed. Requests take up to half a second
  * from clients to nodes, and from nodes to engines. */
-static void nodes_run(guint32 seed, budget_worst_t *worst) {
+static void nodes_run(guint32 seed, budget_window_t *worst) {
     enum {
         NODES = 5,
         SHARE = 4,
@@ -71,7 +71,7 @@
             }
         }
     }
-    *worst = budget_oracle_worst(oracle);
+    *worst = budget_oracle_worst_window(oracle);
     budget_oracle_free(oracle);
     for (int node = 0; node < NODES; node++) {
         wb_retry_budget_free(budgets[node]);
@@ -81,7 +81,7 @@
 
 static void test_nodes_together(void) {
     for (guint32 seed = 1; seed <= 40; seed++) {
-        budget_worst_t worst;
+        budget_window_t worst;
         nodes_run(seed, &worst);
         g_test_message("seed %u: %u for %u requests, %.1f allowed", seed, worst.repeats,
                        worst.requests, worst.allowed);
