--- a/tests/fuzz/sim_claims.c
+++ b/tests/fuzz/sim_claims.c
@@ -67,7 +67,7 @@
         claim_propose(node, want, claim->attempt + 1);
 }
 
-void claim_start(world_t *world) {
+void sim_claim_start(world_t *world) {
     sim_node_t *node = &world->nodes[world_choose(world, NODES)];
     if (node->cell == NULL || node->frozen || !wb_group_has_quorum(node->group, world->now_ms))
         return;
--- a/tests/fuzz/world.c
+++ b/tests/fuzz/world.c
@@ -361,7 +361,7 @@
         else if (choice < 14)
             demand_create(world);
         else if (choice < 16)
-            claim_start(world);
+            sim_claim_start(world);
         else if (choice < 17)
             founding_try(world, &world->nodes[world_choose(world, NODES)]);
         else
--- a/tests/fuzz/world_types.h
+++ b/tests/fuzz/world_types.h
@@ -115,7 +115,7 @@
 const char *oracle_check(world_t *world);
 
 /* sim_claims.c */
-void claim_start(world_t *world);
+void sim_claim_start(world_t *world);
 void claims_committed(sim_node_t *node, uint64_t sequence);
 void claims_lost(sim_node_t *node);
 void claims_clear(sim_node_t *node);
