--- a/src/directory/engine_subset.h
+++ b/src/directory/engine_subset.h
@@ -24,7 +24,7 @@
  * @param model   "" for any engine of the service
  * @param zone    of the requesting gateway
  * @param now_ms  monotonic time
- * @return at most WB_ENGINE_SUBSET_MAX borrowed wb_engine_t that hold the model and may get work;
+ * @return at most WB_ENGINE_SUBSET_MAX borrowed wb_engine_t that hold the model and are usable;
  * the array is to be freed with g_ptr_array_unref
  */
 GPtrArray *wb_engine_subset(const GPtrArray *engines, const char *model, const char *zone,
--- a/src/request/api_key.c
+++ b/src/request/api_key.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Returns the last value of a header, or NULL. @param count out: number of headers of that name */
-static const char *only_value(const wb_http_head_t *head, const char *name, unsigned *count) {
+static const char *last_value(const wb_http_head_t *head, const char *name, unsigned *count) {
     const char *value = NULL;
     *count = 0;
     for (guint i = 0; i < head->headers->len; i++) {
@@ -43,7 +43,7 @@
 wb_api_key_t wb_api_key_read(const wb_http_head_t *head, const wb_dialect_t *dialect) {
     wb_api_key_t found = {WB_API_KEY_ABSENT, {{0}}};
     unsigned count;
-    const char *value = only_value(head, dialect->api_key, &count);
+    const char *value = last_value(head, dialect->api_key, &count);
     if (count == 0) {
         return found;
     }
--- a/src/request/api_key.h
+++ b/src/request/api_key.h
@@ -12,7 +12,7 @@
 #include "wickbridge/http_reader.h"
 
 typedef enum wb_api_key_state_t {
-    WB_API_KEY_ABSENT,    /**< no header for it */
+    WB_API_KEY_ABSENT,    /**< the header is missing */
     WB_API_KEY_MALFORMED, /**< repeated header, other scheme, empty, too long or not printable */
     WB_API_KEY_PRESENT    /**< one well-formed key, which need not belong to a tenant */
 } wb_api_key_state_t;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -119,8 +119,8 @@
     return timeout != NULL ? g_ascii_strtoll(timeout + strlen("timeout="), NULL, 10) * 1000 : 0;
 }
 
-/* Whether a response belongs to this request: by the request's id, or, if it has none, because the
- * connection is new and has brought no other response. */
+/* Whether a response belongs to this request: it names the request's id, or it names none but is
+ * the first response on a new connection. */
 static gboolean answer_matches(const wb_attempt_t *attempt, const wb_http_head_t *head) {
     const wb_exchange_t *exchange = attempt->exchange;
     const char *id = wb_http_head_get(head, exchange->edge->dialect->request_id);
--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -18,7 +18,8 @@
 #define REPORT_DECAY_MS 1000.0
 /* How long a prompt prefix is taken to stay cached at an engine. */
 #define PREFIX_KEPT_MS 30000
-/* Time without a byte, beyond the prefill, after which an engine is unresponsive. */
+/* Time without a byte, beyond twice the estimated prefill, after which an engine is unresponsive.
+ */
 #define UNRESPONSIVE_MS 300.0
 /* A cold engine can sustain few requests, so it is used only where no warm engine would answer much
  * earlier. */
@@ -109,7 +110,8 @@
     return uncached;
 }
 
-/* Whether the engine has sent no byte for longer than the prefill of its pending requests takes. */
+/* Whether the engine has sent no byte for UNRESPONSIVE_MS and twice the estimated time to prefill
+ * its pending requests. */
 static gboolean is_unresponsive(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
     if (engine->unheard_since_ms == 0)
         return FALSE;
--- a/src/request/crash_watch.h
+++ b/src/request/crash_watch.h
@@ -35,7 +35,7 @@
 
 typedef struct wb_crash_watch_events_t {
     /** An engine has ended.
-     * @param requests array of wb_aborted_request_t, maybe with duplicates; owned by the watch.
+     * @param requests array of wb_aborted_request_t, maybe with duplicates; valid during the call.
      * Requests whose abort is noticed later are reported by a further call. */
     void (*on_crashed)(const char *engine_id, const GArray *requests, void *context);
     void *context;
--- a/src/request/demand.c
+++ b/src/request/demand.c
@@ -10,9 +10,11 @@
     char *adapter;
     unsigned waiting;
     unsigned running;
-    unsigned arrivals;               /* since the last message */
-    uint64_t work;                   /* prompt tokens of the arrivals */
-    int64_t earliest_target_ms;      /* earliest target of those that waited since none did */
+    unsigned arrivals;          /* since the last message */
+    uint64_t work;              /* prompt tokens of the arrivals */
+    int64_t earliest_target_ms; /* earliest latency target (without one: answer due time) of the
+                                   requests that began to wait since `waiting` was last 0;
+                                   G_MAXINT64: none */
     int64_t retry_expected_until_ms; /* until when a refused client may retry */
 } wb_demand_entry_t;
 
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* Attempts of a request that may reach an engine. */
+/* Maximum attempts of a request that may have reached an engine. */
 #define SENDS_MAX 4
 /* A repeatable request whose engine stays silent for this share of the target latency is sent to
  * another one. */
@@ -18,7 +18,7 @@
 #define REJECTED_AVOID_MS 100
 /* Delay before the same request may be sent to it again; doubled with each further rejection. */
 #define REJECTED_RETRY_MS 120
-/* Attempts of a request whose connection fails. */
+/* Maximum attempts of a request that fail before a byte is sent. */
 #define CONNECT_FAILURES_MAX 8
 /* How much later than its Retry-After a client is still expected to retry. */
 #define RETRY_GRACE_MS 500
@@ -174,7 +174,8 @@
              (long long)avoid_ms);
 }
 
-/* Whether the engine has sent nothing on any connection since it got this request, for too long. */
+/* Whether the engine has sent nothing on any connection since it got this request, more than
+ * SILENT_ENGINE_MS ago. */
 static gboolean engine_is_silent(const wb_exchange_t *exchange) {
     const wb_engine_t *engine = exchange->engine;
     return exchange->attempt != NULL && !exchange->first_event_seen &&
@@ -328,14 +329,15 @@
     exchange_send(exchange, engine);
 }
 
-/* Sends a request again that has run or may have. Returns FALSE when that isn't allowed. */
+/* Sends a request again although it has run, or may have. Returns FALSE when that isn't allowed. */
 static gboolean resend_run(wb_exchange_t *exchange) {
     const wb_route_t *route = exchange->route;
     gboolean repeatable =
         route->kind == WB_ROUTE_REPEATABLE || (route->kind == WB_ROUTE_STREAM && route->resumable);
     if (!repeatable || exchange->runs >= (unsigned)MAX(route->max_attempts, 1))
         return FALSE;
-    /* It isn't known yet whether it crashed its last engine; if so, it would crash the next. */
+    /* The request may have crashed its last engine, which isn't known yet; it would then crash the
+     * next one too. */
     if (wb_exchange_is_suspect(exchange))
         return FALSE;
     if (exchange->answer_begun &&
@@ -394,7 +396,7 @@
     wb_exchange_forward_answer(exchange);
 }
 
-/* The digest shows whether the same request is aborted at engine after engine. */
+/* Logs a failed attempt. Its digest shows whether several engines aborted the same request. */
 static void attempt_failure_log(wb_exchange_t *exchange, const wb_attempt_failure_t *failure) {
     char digest[WB_REQUEST_DIGEST_TEXT_BYTES] = "";
     if (failure->sent) {
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -103,7 +103,7 @@
         wb_attempt_set_reading(exchange->attempt, TRUE);
 }
 
-static void pause_note(wb_exchange_t *exchange) {
+static void gap_note(wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
     if (exchange->last_event_ms != 0)
         exchange->max_pause_ms = MAX(exchange->max_pause_ms, now_ms - exchange->last_event_ms);
@@ -116,7 +116,7 @@
     if (length == 0)
         return;
     wb_exchange_note_first_event(exchange);
-    pause_note(exchange);
+    gap_note(exchange);
     exchange->events++;
     wb_exchange_release_prefill(exchange);
     char *id = wb_events_last_id(text, length);
--- a/src/request/exchange_internal.h
+++ b/src/request/exchange_internal.h
@@ -11,10 +11,11 @@
 #include "request/request_types.h"
 
 /* exchange.c */
-/** Send it to an engine, let it wait, or end it. It may be freed. */
+/** Send the request to an engine, let it wait, or answer it. The exchange may be freed. */
 void wb_exchange_dispatch(wb_exchange_t *exchange);
-/** End it with an answer of this node: the outcome's own status if it certainly has not run, else
- * 502 or 504. If the answer has begun, the connection is aborted. It is freed. */
+/** Answer the request from this node: with the outcome's own status if it certainly has not run,
+ * else with 502 or 504. If an answer has begun, the connection is aborted. The exchange is freed.
+ */
 void wb_exchange_give_up(wb_exchange_t *exchange, wb_outcome_t outcome);
 /** Record the outcome and free the exchange. @return its connection, to send the answer on */
 wb_http_connection_t *wb_exchange_end(wb_exchange_t *exchange, wb_outcome_t outcome,
@@ -24,38 +25,42 @@
 void wb_exchange_clear_reply(wb_reply_t *reply);
 /** The engine has prefilled the prompt, or won't: remove it from the engine's backlog. */
 void wb_exchange_release_prefill(wb_exchange_t *exchange);
-/** Arm the timer for the end of its wait if it waits, else for the time its answer is due. */
+/** Arm the timer for the end of the wait if the request waits, else for the time its answer is due.
+ */
 void wb_exchange_arm_timeout(wb_exchange_t *exchange);
 
 /* exchange_read.c */
-/** Find its route, service, model and times. @return WB_OUTCOME_COUNT, or why it can't be served */
+/** Find the request's route, service, model and times. @return WB_OUTCOME_COUNT, or why it can't be
+ * served */
 wb_outcome_t wb_exchange_read(wb_exchange_t *exchange);
 /** @return the HTTP status of an outcome of a request that has not run */
 unsigned wb_outcome_status(wb_outcome_t outcome);
 
 /* exchange_tenant.c */
-/** Find its tenant and priority. @return WB_OUTCOME_COUNT, or why it can't be served */
+/** Find the request's tenant and priority. @return WB_OUTCOME_COUNT, or why it can't be served */
 wb_outcome_t wb_exchange_read_tenant(wb_exchange_t *exchange);
-/** Charge its tenant's limit for one run. @return FALSE when the limit is used up */
+/** Charge one run of the request to its tenant's limit. @return FALSE when the limit is used up */
 gboolean wb_exchange_charge_quota(wb_exchange_t *exchange);
-/** It has ended: refund the charge if it has not run, and charge each further run. */
+/** The request has ended: refund the charge if it has not run, and charge each run beyond the
+ * first.
+ */
 void wb_exchange_settle_quota(const wb_exchange_t *exchange);
 
 /* exchange_budget.c */
-/** Count its arrival, which adds to the retry budget of its service. */
+/** Count the request's arrival, which adds to the retry budget of its service. */
 void wb_exchange_count_request(const wb_exchange_t *exchange);
-/** @return resends that this node's retry budget for its service allows now */
+/** @return resends that this node's retry budget for the request's service allows now */
 double wb_exchange_resends_left(const wb_exchange_t *exchange);
 /** Take one resend from the budget, and log it. @return FALSE when there is none left */
 gboolean wb_exchange_take_resend(wb_exchange_t *exchange);
 
 /* exchange_wait.c */
-/** @return the client timeout, from its arrival */
+/** @return the client timeout, counted from the request's arrival */
 int64_t wb_exchange_client_timeout_ms(const wb_exchange_t *exchange);
-/** Let it wait for an engine or a load as long as that is useful; if it waits already, update that.
- */
+/** Let the request wait for an engine or a load as long as that is useful; if it waits already,
+ * update the end of its wait. */
 void wb_exchange_wait(wb_exchange_t *exchange);
-/** End its wait, if it waits. */
+/** Take the request off the list of waiting ones, if it is there. */
 void wb_exchange_stop_waiting(wb_exchange_t *exchange);
 /** @return TRUE while no controller is reachable */
 gboolean wb_exchange_lacks_controller(const wb_exchange_t *exchange);
@@ -63,35 +68,37 @@
 int64_t wb_exchange_retry_after_ms(const wb_exchange_t *exchange);
 
 /* exchange_poison.c */
-/** @return the digest of its content; computed on first use, as few requests need it */
+/** @return the digest of the request's content; computed on first use, as few requests need it */
 const wb_request_digest_t *wb_exchange_digest(wb_exchange_t *exchange);
 
-/** @return FALSE when it is known to crash the engines that run it, unless a trial is due: then it
- * is marked as the trial */
+/** @return FALSE when the request is known to crash the engines that run it, unless a trial is due:
+ * then it is marked as the trial */
 gboolean wb_exchange_may_send(wb_exchange_t *exchange);
-/** @return TRUE when one more engine that ends while running it makes it poison */
+/** @return TRUE when one more crash of an engine that runs the request would make it poison */
 gboolean wb_exchange_is_suspect(wb_exchange_t *exchange);
-/** @return the time until its poison entry expires; at least 1 */
+/** @return the time until the request's poison entry expires; at least 1 */
 int64_t wb_exchange_poison_left_ms(wb_exchange_t *exchange);
-/** Its engine aborted it, and may have crashed while running it. */
+/** The engine aborted the request, and may have crashed while running it. */
 void wb_exchange_note_aborted(wb_exchange_t *exchange);
-/** Its engine completed an answer, whatever its status: it didn't crash the engine. */
+/** The engine completed an answer of any status: the request didn't crash it. */
 void wb_exchange_note_completed(wb_exchange_t *exchange);
 
 /* exchange_wait.c */
-/** @return TRUE when the engines that can serve it are known here; else they have been requested */
+/** @return TRUE when the engines that can serve the request are known here; else they have been
+ * requested from a relay */
 gboolean wb_exchange_engines_known(const wb_exchange_t *exchange);
-/** Let it wait until its engines are known here. */
+/** Let the request wait until its engines are known here. */
 void wb_exchange_wait_for_engines(wb_exchange_t *exchange);
 
 /* exchange_answer.c */
-/** The engine has begun to answer: record the latency. Only the first call has an effect. */
+/** The engine has begun to answer: record the latency, and clear the engine's failures. Only the
+ * first call has an effect. */
 void wb_exchange_note_first_event(wb_exchange_t *exchange);
 /** Forward the engine's complete answer, or the rest of it. It is freed. */
 void wb_exchange_forward_answer(wb_exchange_t *exchange);
 
 /* exchange_outcome.c */
-/** Record its outcome in the log, the metrics and the ring of ended requests. */
+/** Record the request's outcome in the log, the metrics and the ring of ended requests. */
 void wb_exchange_record_outcome(const wb_exchange_t *exchange, wb_outcome_t outcome,
                                 unsigned status);
 
--- a/src/request/exchange_poison.c
+++ b/src/request/exchange_poison.c
@@ -22,11 +22,11 @@
 /* Returns the request's entry in the poison registry, or NULL. Few requests have a body of the same
  * length as an entry, so comparing lengths first avoids most digests. */
 static const wb_poison_entry_t *poison_entry_find(wb_exchange_t *exchange) {
-    const wb_poison_registry_t *book = exchange->edge->poison;
-    if (!wb_poison_registry_has_length(book, exchange->body->len)) {
+    const wb_poison_registry_t *registry = exchange->edge->poison;
+    if (!wb_poison_registry_has_length(registry, exchange->body->len)) {
         return NULL;
     }
-    return wb_poison_registry_find(book, wb_exchange_digest(exchange));
+    return wb_poison_registry_find(registry, wb_exchange_digest(exchange));
 }
 
 static void trial_log(const wb_exchange_t *exchange) {
@@ -100,7 +100,7 @@
     poison_changed(edge);
 }
 
-/* Whether refusing it now may save an engine: it waits, or its engine may not have begun to run it.
+/* Whether refusing a request now may save an engine: it waits, or its engine may not run it yet.
  * A request that is being answered goes on: if it completes, it is no poison. */
 static gboolean may_refuse(const wb_exchange_t *exchange) {
     return wb_list_is_linked(&exchange->waiting) ||
--- a/src/request/exchange_read.c
+++ b/src/request/exchange_read.c
@@ -76,7 +76,8 @@
     return number >= 1 && number <= spec->adapters;
 }
 
-/* Late in a planned stop, a request is accepted only if it is certain to end in time. */
+/* Late in a planned stop, streams are refused, and other requests are accepted only if they would
+ * end in time when they take STOP_SHORT_MS at most. */
 static gboolean is_too_late_to_accept(const wb_exchange_t *exchange) {
     const wb_edge_t *edge = exchange->edge;
     int64_t now_ms = wb_clock_ms();
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -1,4 +1,4 @@
-/* A request's tenant, found by its API key, and what the request costs of the tenant's limit. */
+/* Finds a request's tenant by its API key, and charges the request to the tenant's limit. */
 #include "request/exchange_internal.h"
 
 /* Outcome for a key that no tenant has. If this node's catalog may be out of date, the key may be a
@@ -47,14 +47,14 @@
 }
 
 static void over_quota_log(const wb_exchange_t *exchange, double cost,
-                           const wb_quota_decision_t *verdict) {
-    int64_t age_ms = verdict->told_ms != 0 ? wb_clock_ms() - verdict->told_ms : -1;
+                           const wb_quota_decision_t *decision) {
+    int64_t age_ms = decision->told_ms != 0 ? wb_clock_ms() - decision->told_ms : -1;
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
              "\"share\":%.3f,\"book_reached\":%s,\"share_age_ms\":%lld,\"retry_ms\":%lld",
              wb_event_escape(exchange->id), wb_event_escape(exchange->tenant->name), cost,
-             exchange->tenant->rate_per_s, verdict->share, verdict->reached ? "true" : "false",
-             (long long)age_ms, (long long)verdict->retry_ms);
+             exchange->tenant->rate_per_s, decision->share, decision->reached ? "true" : "false",
+             (long long)age_ms, (long long)decision->retry_ms);
 }
 
 /* Traffic classes are distinguished by service and by the route's priority, as a tenant's own
@@ -72,15 +72,15 @@
         return TRUE;
     }
     double cost = wb_tenant_cost(exchange->tenant, requested_tokens(exchange));
-    wb_quota_decision_t verdict =
+    wb_quota_decision_t decision =
         wb_quota_limiter_admit(edge->quota, exchange->tenant, traffic_class(exchange), cost,
                                edge->node_count, wb_clock_ms());
-    if (verdict.admitted) {
+    if (decision.admitted) {
         exchange->quota_cost = cost;
         return TRUE;
     }
-    exchange->quota_retry_ms = verdict.retry_ms;
-    over_quota_log(exchange, cost, &verdict);
+    exchange->quota_retry_ms = decision.retry_ms;
+    over_quota_log(exchange, cost, &decision);
     return FALSE;
 }
 
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -63,7 +63,8 @@
 
 #define WB_ENDED_REQUESTS 128
 
-/** A part of a prompt. */
+/** A part of a prompt, as named by the client. Requests whose first parts are the same share a
+ * prefix that engines may have cached. */
 typedef struct wb_prompt_part_t {
     char *id;
     int64_t tokens;
@@ -244,7 +245,7 @@
     int64_t first_event_ms; /* duration from its arrival */
     int64_t last_event_ms;  /* 0: no event yet */
     int64_t max_pause_ms;   /* duration: longest time between two events */
-    unsigned events;        /* reads that completed at least one event */
+    unsigned events;        /* reads from the engine that completed at least one event */
 };
 
 /** @return the id of the engine of the last attempt; "" when there was none */
@@ -259,16 +260,18 @@
 /** @return TRUE when the request may be served in any region, or an engine of its service is in an
  * allowed one */
 gboolean wb_balancer_has_allowed_engine(const wb_edge_t *edge, const wb_exchange_t *exchange);
-/** When an engine that can serve a request next accepts one of this node. */
+/** When the next engine that can serve a request accepts another request of this node. */
 typedef struct wb_availability_t {
     int64_t at_ms;    /**< G_MAXINT64: none will, or it isn't known */
-    gboolean is_cold; /**< the engine is cold; the model need not be loaded elsewhere */
+    gboolean is_cold; /**< the engine is cold: the request waits for it alone, and no load is asked
+                         for */
 } wb_availability_t;
 /** @return the earliest availability of an engine, behind requests that wait for it already */
 wb_availability_t wb_balancer_next_available(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                              int64_t now_ms);
 /** Called when a connection is established: meanwhile the engine may have reported that it is
- * draining, a limit or a backoff. Counts the request against the engine's limit.
+ * draining, a limit or a backoff. Counts the request against the engine's limit unless that has
+ * been done.
  * @return FALSE when the request must not be written */
 gboolean wb_balancer_may_write(const wb_edge_t *edge, const wb_exchange_t *exchange,
                                int64_t now_ms);
