--- a/src/control/controller.c
+++ b/src/control/controller.c
@@ -50,7 +50,7 @@
     return controller->token != 0 && controller->events.may_act(controller->events.context);
 }
 
-static int64_t owner_request_order(const char *engine, void *context) {
+static int64_t owner_authorize_order(const char *engine, void *context) {
     wb_controller_t *controller = context;
     return controller->events.authorize_order(engine, controller->events.context);
 }
@@ -116,13 +116,13 @@
     return wb_controller_store_loads(context, service);
 }
 
-static void owner_store_load_ended(const char *service, unsigned at_once, int64_t took_ms,
+static void owner_store_load_ended(const char *service, unsigned concurrent, int64_t took_ms,
                                    int64_t nominal_ms, void *context) {
     wb_load_concurrency_t *concurrency = concurrency_of(context, service);
-    wb_load_concurrency_record(concurrency, at_once, took_ms, nominal_ms);
+    wb_load_concurrency_record(concurrency, concurrent, took_ms, nominal_ms);
     wb_event("store-load-ended",
              ",\"service\":\"%s\",\"at_once\":%u,\"ms\":%lld,\"alone_ms\":%lld,\"limit\":%u",
-             wb_event_escape(service), at_once, (long long)took_ms, (long long)nominal_ms,
+             wb_event_escape(service), concurrent, (long long)took_ms, (long long)nominal_ms,
              wb_load_concurrency_limit(concurrency, nominal_ms));
 }
 
@@ -171,7 +171,7 @@
     if (orders != NULL)
         return orders;
     wb_engine_orders_owner_t owner = {owner_may_act,
-                                      owner_request_order,
+                                      owner_authorize_order,
                                       wb_controller_pick_victims,
                                       wb_controller_pick_adapter_victim,
                                       wb_controller_service,
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -37,6 +37,10 @@
     void *context;
 } wb_controller_events_t;
 
+/**
+ * The controller lives as long as the process; whatever is passed in must outlive it.
+ * @param events copied
+ */
 wb_controller_t *wb_controller_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
                                       const wb_dialect_t *dialect, wb_fleet_t *fleet,
                                       wb_edge_metrics_t *metrics,
@@ -54,7 +58,7 @@
 void wb_controller_set_catalog(wb_controller_t *controller, wb_catalog_t *catalog);
 /** Handle a gateway's report of its running and waiting requests. */
 void wb_controller_on_demand(wb_controller_t *controller, const wb_wire_demand *demand);
-/** An engine has restarted under its id: orders to its previous start are void. */
+/** An engine has restarted under its id: orders to its previous incarnation are void. */
 void wb_controller_engine_restarted(wb_controller_t *controller, const char *engine_id);
 /** An engine's announcement has changed or was removed. */
 void wb_controller_engine_changed(wb_controller_t *controller, const char *engine_id);
--- a/src/control/controller_missing.c
+++ b/src/control/controller_missing.c
@@ -71,8 +71,9 @@
     return usage->use.rate_per_s * (double)spec->store_load_ms / 1000;
 }
 
-/* Maximum cost of a missing model's load to other requests: unlimited while requests wait for it,
- * less when there are only refused ones whose clients may retry. */
+/* Maximum cost of a missing model's load to other requests: unlimited while requests wait for it;
+ * otherwise the usual cost of a load, plus what refused clients, which may retry, and expected
+ * requests would lose. */
 static double missing_cost_limit_ms(const wb_usage_t *usage, const wb_model_spec_t *spec) {
     if (usage->use.waiting > 0) {
         return G_MAXDOUBLE;
@@ -96,7 +97,8 @@
     g_array_append_val(entries, entry);
 }
 
-static void plan_send(wb_controller_t *controller, const char *service, const GArray *entries) {
+static void estimates_send(wb_controller_t *controller, const char *service,
+                           const GArray *entries) {
     if (entries->len == 0) {
         return;
     }
@@ -140,8 +142,8 @@
            (usage->use.waiting + usage->missed_requests + expected_requests(usage, spec));
 }
 
-/* Loads a missing model; from the weight store only when missing models may use it now.
- */
+/* Loads a missing model, from the weight store only when it isn't a replica's turn. Returns FALSE
+ * when no engine will do. */
 static gboolean missing_place(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                               const wb_model_spec_t *spec, const wb_usage_t *usage,
                               int64_t now_ms) {
@@ -186,5 +188,5 @@
             models_ahead++;
         }
     }
-    plan_send(controller, service, entries);
+    estimates_send(controller, service, entries);
 }
--- a/src/control/controller_models.c
+++ b/src/control/controller_models.c
@@ -45,7 +45,7 @@
     return TRUE;
 }
 
-/* A model that may get one more replica, and the maximum that this can gain. */
+/* A model that may get one more replica, and the gain if that is on the fastest engine. */
 typedef struct wb_scale_out_t {
     const wb_model_spec_t *spec;
     const wb_model_use_t *use;
@@ -123,7 +123,8 @@
         if (i > 0 && wb_controller_deadline_passed(controller))
             break;
         gboolean found;
-        /* The first replica that only lacks the weight store requests it: its gain is largest. */
+        /* Of the replicas that wait only for the weight store, the one with the largest gain, which
+         * is evaluated first, becomes the pending one. */
         placed += scale_out_place(controller, snapshot,
                                   &g_array_index(scale_outs, wb_scale_out_t, i), &found);
         evaluated += found;
--- a/src/control/controller_types.h
+++ b/src/control/controller_types.h
@@ -90,8 +90,8 @@
  * @return FALSE when no engine will do within the limit */
 gboolean wb_controller_place_model(wb_controller_t *controller, wb_placement_snapshot_t *snapshot,
                                    const wb_model_spec_t *spec, double limit_ms, const char *why);
-/** Add a replica to models that need more prefill capacity or slots than their engines should give
- * them, or whose engines are slow. */
+/** Add a replica to models whose engines have too little prefill capacity, too few slots or a low
+ * speed, where that saves their requests more than it costs others. */
 void wb_controller_scale_out(wb_controller_t *controller, wb_placement_snapshot_t *snapshot);
 /** @return models to evict from an engine so that `model` fits, owned by the caller, or NULL.
  * @param context the controller */
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -202,9 +202,10 @@
 /* Applies the engine-reported state in the response headers of a report or order. */
 static void response_head_apply(const wb_http_head_t *head, void *context) {
     wb_engine_orders_t *orders = context;
-    wb_engine_response_t heard = {orders->dialect,      head,          WB_RESPONSE_TO_CALL,
-                                  orders->call_sent_ms, wb_clock_ms(), orders->settings->drain_ms};
-    if (wb_engine_update_from_response(orders->engine, &heard, orders->metrics)) {
+    wb_engine_response_t response = {orders->dialect,     head,
+                                     WB_RESPONSE_TO_CALL, orders->call_sent_ms,
+                                     wb_clock_ms(),       orders->settings->drain_ms};
+    if (wb_engine_update_from_response(orders->engine, &response, orders->metrics)) {
         orders->owner.engine_state_changed(orders->engine, orders->owner.context);
     }
 }
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -1,10 +1,10 @@
 /**
  * @file engine_orders.h
- * @brief Carries out tasks on one engine: evicts what must go, loads what is wanted, and checks the
- * outcome.
+ * @brief Carries out tasks on one engine: unloads models or adapters to make room, loads the
+ * requested ones, and checks the outcome.
  *
  * A task asks for a model or adapter on the engine; an order is one load or unload command that is
- * sent to it. One order at a time. The engine's state is read once and then updated with each
+ * sent to it, one at a time. The engine's state is read once and then updated with each
  * accepted order; when it doesn't match the engine's response, it is read again.
  *
  * Tasks report no errors to the caller: a task that can't be done (the engine doesn't respond,
@@ -59,6 +59,8 @@
     void *context;
 } wb_engine_orders_owner_t;
 
+/** @param owner copied; the other pointers must outlive the orders, which hold a reference to the
+ * engine */
 wb_engine_orders_t *wb_engine_orders_create(wb_loop_t *loop, const wb_edge_settings_t *settings,
                                             const wb_dialect_t *dialect, wb_engine_t *engine,
                                             wb_edge_metrics_t *metrics,
--- a/src/control/engine_orders_types.h
+++ b/src/control/engine_orders_types.h
@@ -37,7 +37,7 @@
     int64_t order_sent_ms;
     int64_t order_load_ms; /* nominal time of the load */
     unsigned resends;      /* of the order, after calls with unknown outcome */
-    unsigned failures;     /* calls in a row */
+    unsigned failures;     /* failed calls in a row */
     int64_t unreachable_until_ms;
     wb_awaited_t awaited;
     int64_t load_due_ms;      /* when the load should be complete */
@@ -47,8 +47,8 @@
 /* engine_orders_overdue.c */
 /** The load under way takes longer than estimated: report a new estimate. */
 void wb_engine_orders_report_load_overdue(wb_engine_orders_t *orders);
-/** The grant for an order takes longer than a decision should, as when the store is slow: report a
- * new estimate for the task's model. The grant takes one write of the lease row, or two. */
+/** The grant for an order, which takes one or two writes of the lease row, is late, as when the
+ * store is slow: report a new estimate for the task's model. */
 void wb_engine_orders_report_grant_overdue(wb_engine_orders_t *orders,
                                            const wb_engine_task_t *task);
 
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -21,8 +21,8 @@
 
 struct wb_lease_t {
     wb_lease_settings_t settings;
-    wb_lease_row_t known;     /* holder NULL: the lease isn't held */
-    int64_t version;          /* of the row; 0: not there; -1: never read */
+    wb_lease_row_t known;     /* holder NULL: the row isn't there or was never read */
+    int64_t version;          /* of the row; 0: it isn't there; -1: never read */
     int64_t version_since_ms; /* when this node learned of the version */
     uint64_t own_token;       /* 0: never held by this process */
     uint64_t beat; /* heartbeat counter of the last write; starts at a random value, so that
@@ -158,7 +158,8 @@
     return MAX(holder_expires_ms(lease), lease->holder_priority_until_ms);
 }
 
-/* Delay of this node's takeover after that, so that nodes don't all try at the same time. */
+/* Delay of this node's takeover after takeover_at_ms, so that nodes don't all try at the same time.
+ */
 static int64_t takeover_delay_ms(const wb_lease_t *lease) {
     if (is_own(lease, &lease->known))
         return 0;
--- a/src/control/lease_grants.c
+++ b/src/control/lease_grants.c
@@ -10,15 +10,15 @@
 typedef struct wb_grant_t {
     int64_t requested_ms; /* when an order was last requested; 0: never */
     uint64_t beat; /* of the first row that lists the engine, as all later ones do; 0: none does */
-    int64_t blocked_ms; /* time until which another holder's orders block it; 0: never blocked */
+    int64_t blocked_until_ms; /* another holder may have ordered it recently; 0: never blocked */
 } wb_grant_t;
 
 struct wb_lease_grants_t {
     int64_t handover_interval_ms;
-    GHashTable *engines;    /* id -> wb_grant_t */
-    int64_t all_blocked_ms; /* time until which any engine may have been ordered */
-    uint64_t written_beat;  /* of this node's newest row that is known to be in the store */
-    GPtrArray *granted;     /* names in the last row, owned by `engines` or by `dropped` */
+    GHashTable *engines;          /* id -> wb_grant_t */
+    int64_t all_blocked_until_ms; /* until then any engine counts as recently ordered */
+    uint64_t written_beat;        /* of this node's newest row that is known to be in the store */
+    GPtrArray *granted;           /* names in the last row, owned by `engines` or by `dropped` */
     GPtrArray *inherited;
     GPtrArray *dropped; /* names removed from `engines` that the last row may still borrow */
 };
@@ -68,28 +68,29 @@
                            int64_t until_ms, int64_t now_ms) {
     g_hash_table_foreach_remove(grants->engines, engine_drop, grants);
     grants->written_beat = 0;
-    grants->all_blocked_ms = 0;
+    grants->all_blocked_until_ms = 0;
     if (row == NULL) {
         return;
     }
     if (!row->has_grants || row->grants_unlisted) {
-        grants->all_blocked_ms = until_ms;
+        grants->all_blocked_until_ms = until_ms;
         return;
     }
     for (guint i = 0; i < row->granted_count; i++) {
         wb_grant_t *grant = grant_get(grants, row->granted[i]);
         grant->requested_ms = same ? now_ms : 0;
-        grant->blocked_ms = same ? 0 : until_ms;
+        grant->blocked_until_ms = same ? 0 : until_ms;
     }
     for (guint i = 0; i < row->inherited_count; i++) {
-        grant_get(grants, row->inherited[i])->blocked_ms = until_ms;
+        grant_get(grants, row->inherited[i])->blocked_until_ms = until_ms;
     }
 }
 
 int64_t wb_lease_grants_blocked_ms(const wb_lease_grants_t *grants, const char *engine,
                                    int64_t now_ms) {
     const wb_grant_t *grant = g_hash_table_lookup(grants->engines, engine);
-    int64_t until_ms = MAX(grants->all_blocked_ms, grant != NULL ? grant->blocked_ms : 0);
+    int64_t until_ms =
+        MAX(grants->all_blocked_until_ms, grant != NULL ? grant->blocked_until_ms : 0);
     return MAX(until_ms - now_ms, 0);
 }
 
@@ -129,7 +130,7 @@
     gboolean recently_requested =
         grant->requested_ms != 0 &&
         data->now_ms - grant->requested_ms < data->grants->handover_interval_ms;
-    if (recently_requested || data->now_ms < grant->blocked_ms) {
+    if (recently_requested || data->now_ms < grant->blocked_until_ms) {
         return FALSE;
     }
     g_ptr_array_add(data->grants->dropped, name);
@@ -149,7 +150,7 @@
         if (grant->requested_ms != 0 && grant->beat == 0) {
             grant->beat = row->beat;
         }
-        if (now_ms < grant->blocked_ms) {
+        if (now_ms < grant->blocked_until_ms) {
             g_ptr_array_add(grants->inherited, name);
         } else {
             g_ptr_array_add(grants->granted, name);
@@ -157,7 +158,7 @@
     }
     row->has_grants = TRUE;
     row->grants_unlisted =
-        now_ms < grants->all_blocked_ms || g_hash_table_size(grants->engines) > MAX_NAMES;
+        now_ms < grants->all_blocked_until_ms || g_hash_table_size(grants->engines) > MAX_NAMES;
     row->granted = row->grants_unlisted ? NULL : (char **)grants->granted->pdata;
     row->granted_count = row->grants_unlisted ? 0 : grants->granted->len;
     row->inherited = row->grants_unlisted ? NULL : (char **)grants->inherited->pdata;
--- a/src/control/load_queue.h
+++ b/src/control/load_queue.h
@@ -19,8 +19,7 @@
 typedef struct wb_missing_model_t {
     const wb_model_spec_t *spec;
     unsigned missed_requests; /**< requests for it that arrived while no engine held it */
-    unsigned time_left_ms;    /**< minimum over the waiting requests until the client times out;
-                                 G_MAXUINT: none wait */
+    unsigned time_left_ms;    /**< as wb_usage_t.time_left_ms; G_MAXUINT: none wait */
 } wb_missing_model_t;
 
 /** GCompareFunc for g_array_sort: most missed requests first, then least time left. */
--- a/src/control/load_window.h
+++ b/src/control/load_window.h
@@ -2,8 +2,9 @@
  * @file load_window.h
  * @brief Sliding-window rate limit of loads from the weight store.
  *
- * The rate holds in each window of `window_ms` and in each shorter one of `burst_ms`. Pure: the
- * time is passed in, in ms of the monotonic clock. Nothing here fails.
+ * The rate holds in each window of `window_ms` and in each shorter one of `burst_ms`, but each
+ * window allows at least one load. Pure: the time is passed in, in ms of the monotonic clock.
+ * Nothing here fails.
  */
 #ifndef WICKBRIDGE_LOAD_WINDOW_H
 #define WICKBRIDGE_LOAD_WINDOW_H
@@ -13,7 +14,7 @@
 
 typedef struct wb_load_window_t wb_load_window_t;
 
-/** @param burst_ms length of the shorter window, which allows its own share of the rate */
+/** @param burst_ms length of the shorter window */
 wb_load_window_t *wb_load_window_create(int64_t window_ms, int64_t burst_ms);
 void wb_load_window_free(wb_load_window_t *window);
 /** @param loads_per_s the store's rate limit; 0: none */
--- a/src/control/placement.c
+++ b/src/control/placement.c
@@ -4,12 +4,14 @@
 #include <math.h>
 #include <string.h>
 
+/* Cost of an eviction that must not be made. */
 #define INFEASIBLE_MS 1e9
 /* Time for the unload order and the check that it was carried out. */
 #define UNLOAD_MS 120.0
 /* Delay of a load by a running request, which must end before its model is unloaded. */
 #define RUN_COMPLETION_MS 400.0
-/* Minimum cost per request of losing one replica, divided by the number of replicas. */
+/* Minimum cost per request of losing one of several replicas, to be divided by their number; of the
+ * last replica, the cost per request in addition to a reload. */
 #define REPLICA_LOSS_MS 40.0
 /* Minimum cost of evicting a model's last replica, even if no request for it is expected. */
 #define LAST_REPLICA_MS 150.0
@@ -227,7 +229,8 @@
     return NULL;
 }
 
-/* Selects the cheapest models to evict to free this much memory; NULL when that can't be done. */
+/* Selects the cheapest models to evict so that this much memory becomes free. Returns NULL when
+ * that can't be done. */
 static GPtrArray *victims_select(const wb_placement_snapshot_t *snapshot,
                                  const wb_engine_state_t *state, double speed, double needed_mb,
                                  double *cost_ms) {
--- a/src/control/table_watch.c
+++ b/src/control/table_watch.c
@@ -204,8 +204,8 @@
     watch->state = WB_WATCH_FOLLOWING;
     watch->events.on_batch(TRUE, watch->events.context);
     /* An empty table isn't trusted, as it is probably about to be filled. */
-    int64_t peer_read_valid_ms = watch->newest_row > 0 ? watch->settings.full_read_valid_ms : 0;
-    int64_t read_fresh_until_ms = watch->read_started_ms + peer_read_valid_ms;
+    int64_t read_valid_ms = watch->newest_row > 0 ? watch->settings.full_read_valid_ms : 0;
+    int64_t read_fresh_until_ms = watch->read_started_ms + read_valid_ms;
     call_after(watch, MAX(next_call_ms(watch), read_fresh_until_ms) - wb_clock_ms());
 }
 
@@ -265,7 +265,7 @@
     }
     const wb_table_row_t *last = g_ptr_array_index(answer->rows, answer->rows->len - 1);
     g_free(watch->next_key);
-    /* The next key above the last one. */
+    /* A key just above the last one. */
     watch->next_key = g_strconcat(last->key, "\x01", NULL);
     call_after(watch, 0);
 }
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -217,6 +217,7 @@
            (exchange->sends < SENDS_MAX && wb_exchange_take_resend(exchange));
 }
 
+/* Sends the request to another engine, unless that would leave no resend in the budget. */
 static void silence_expired(void *context) {
     wb_exchange_t *exchange = context;
     exchange->silence_timer = NULL;
