--- a/src/control/controller_missing.c
+++ b/src/control/controller_missing.c
@@ -72,8 +72,8 @@
 }
 
 /* Maximum cost of a missing model's load to other requests: unlimited while requests wait for it;
- * otherwise the usual cost of a load, plus what refused clients, which may retry, and expected
- * requests would lose. */
+ * otherwise the cost of a load from the weight store, plus what refused clients, which may retry,
+ * and expected requests would lose. */
 static double missing_cost_limit_ms(const wb_usage_t *usage, const wb_model_spec_t *spec) {
     if (usage->use.waiting > 0) {
         return G_MAXDOUBLE;
--- a/src/control/engine_orders.c
+++ b/src/control/engine_orders.c
@@ -11,13 +11,19 @@
 #define POLL_MIN_MS 60
 #define POLL_MAX_MS 400
 #define POLL_DIVISOR 8
+/* Interval of the checks whether the weight store's rate limit allows a load. */
 #define STORE_RETRY_MS 40
 /* About the time of a lease row's write, which a pending grant waits for. */
 #define GRANT_POLL_MS 8
 #define UNLOAD_POLL_MS 80
+/* Delay of the first check after a load should be complete. If the engine is idle without the model
+ * four such delays after that time, the order counts as lost, and the task tries again. */
 #define LOAD_GRACE_MS 250
 #define RETRY_MS 150
+/* Maximum resends of an order whose outcome is unknown. */
 #define MAX_RESENDS 8
+/* After this many failed calls in a row, or its end, an engine gets no new tasks for
+ * UNREACHABLE_MS. */
 #define MAX_FAILURES 3
 #define UNREACHABLE_MS 2000
 #define TASK_TIMEOUT_MS 12000
--- a/src/control/lease.c
+++ b/src/control/lease.c
@@ -110,6 +110,7 @@
         lease->held_until_ms = MAX(lease->held_until_ms, sent_ms + lease->settings.duration_ms);
 }
 
+/* Another process has written the row, so this one doesn't hold the lease. */
 static void predecessor_update(wb_lease_t *lease, int64_t now_ms) {
     lease->held_until_ms = 0;
     lease->predecessor.loads = lease->known.recent_loads;
--- a/src/request/exchange_internal.h
+++ b/src/request/exchange_internal.h
@@ -41,9 +41,7 @@
 wb_outcome_t wb_exchange_read_tenant(wb_exchange_t *exchange);
 /** Charge one run of the request to its tenant's limit. @return FALSE when the limit is used up */
 gboolean wb_exchange_charge_quota(wb_exchange_t *exchange);
-/** The request has ended: refund the charge if it has not run, and charge each run beyond the
- * first.
- */
+/** The request has ended: refund the charge if it has not run, else charge each further run. */
 void wb_exchange_settle_quota(const wb_exchange_t *exchange);
 
 /* exchange_budget.c */
@@ -60,7 +58,7 @@
 /** Let the request wait for an engine or a load as long as that is useful; if it waits already,
  * update the end of its wait. */
 void wb_exchange_wait(wb_exchange_t *exchange);
-/** Take the request off the list of waiting ones, if it is there. */
+/** End the request's wait, if it waits. */
 void wb_exchange_stop_waiting(wb_exchange_t *exchange);
 /** @return TRUE while no controller is reachable */
 gboolean wb_exchange_lacks_controller(const wb_exchange_t *exchange);
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -263,8 +263,7 @@
 /** When the next engine that can serve a request accepts another request of this node. */
 typedef struct wb_availability_t {
     int64_t at_ms;    /**< G_MAXINT64: none will, or it isn't known */
-    gboolean is_cold; /**< the engine is cold: the request waits for it alone, and no load is asked
-                         for */
+    gboolean is_cold; /**< the engine is cold: the request waits for it without asking for a load */
 } wb_availability_t;
 /** @return the earliest availability of an engine, behind requests that wait for it already */
 wb_availability_t wb_balancer_next_available(const wb_edge_t *edge, const wb_exchange_t *exchange,
@@ -295,8 +294,8 @@
 /** Engines or their models have changed: dispatch all waiting requests again. */
 void wb_exchanges_retry_waiting(wb_edge_t *edge);
 
-/** A model is being loaded and should be ready after this duration: requests that wait for it wait
- * on, or are refused. */
+/** A model is being loaded and should be ready after this duration: requests that wait for it
+ * continue to wait, or are refused if that is too late for them. */
 void wb_exchanges_expect_model(wb_edge_t *edge, const char *service, const char *model,
                                unsigned ready_in_ms);
 /** @return TRUE when a request waits for the model */
