--- a/src/dispatch/admission.c
+++ b/src/dispatch/admission.c
@@ -5,7 +5,7 @@
  * a response is as likely late as not (engine_choice.c), at 1.5 it is almost certainly late. */
 #define REFUSAL_START 1.5
 #define REFUSAL_FULL 2.5
-/* Targets by which both bounds are higher for requests of the highest priority. */
+/* Added to both bounds for requests of the highest priority. */
 #define URGENT_GRACE 1.0
 /* Gateways learn of a backlog up to half a second late, so an earlier retry is of no use. */
 #define RETRY_MIN_MS 500
--- a/src/dispatch/engine_choice.c
+++ b/src/dispatch/engine_choice.c
@@ -41,11 +41,11 @@
 
 /* Probability that a stream has an overlong gap while prompts are prefilled beside it for
  * `prefill_s` seconds: Poisson arrivals whose rate grows with the square of the gap. */
-static double long_gap_probability(double pause_ms, double target_gap_ms, double prefill_s) {
+static double long_gap_probability(double gap_ms, double target_gap_ms, double prefill_s) {
     if (target_gap_ms <= 0) {
         return 0;
     }
-    double length = pause_ms / target_gap_ms;
+    double length = gap_ms / target_gap_ms;
     return 1 - exp(-LONG_GAPS_PER_S * prefill_s * length * length);
 }
 
--- a/src/dispatch/engine_limit.c
+++ b/src/dispatch/engine_limit.c
@@ -37,7 +37,7 @@
         limit->limit_reported_ms = limit_reported_ms;
         return TRUE;
     }
-    /* The order of these two responses is unknown: the stricter limit applies. */
+    /* If the order of the two responses is unknown, the stricter limit applies. */
     double next_per_s = sent_ms > limit->limit_reported_ms ? per_s : MIN(limit->per_s, per_s);
     gboolean changed = next_per_s != limit->per_s;
     limit->per_s = next_per_s;
--- a/src/dispatch/wait_scale.c
+++ b/src/dispatch/wait_scale.c
@@ -7,7 +7,7 @@
 #define PREDICTED_MIN_MS 500.0
 #define SCALE_MIN 0.05
 #define SCALE_MAX 3.0
-/* A longer wait is a fault of the engine and is counted as this. */
+/* Longer waits are due to a fault of the engine and are capped at this. */
 #define MEASURED_MAX_MS 5000.0
 /* All routes are dropped at this bound; those of former configurations aren't removed otherwise. */
 #define ROUTES_MAX 512
--- a/src/edge/catalog_reader.c
+++ b/src/edge/catalog_reader.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-/* Larger values are parsed on a thread. Parsing this much on the loop delays the events of streams
- * by less than they may be late. */
+/* Larger values are parsed on a worker thread. Parsing a smaller one on the loop delays the events
+ * of streams by an acceptable time. */
 #define INLINE_MAX_BYTES (64 * 1024)
 
 /* One row to parse. */
--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -9,14 +9,14 @@
 #define TICK_MS 50
 #define SWEEP_MS 500
 #define LOG_FLUSH_MS 100
-/* Least duration of a planned stop: new client connections arrive until the load balancer has seen
+/* Min duration of a planned stop: new client connections arrive until the load balancer has seen
  * that the node isn't ready. */
 #define STOP_MIN_MS 2600
 /* Loop rounds after which everything that had arrived is read. */
 #define STOP_READ_ROUNDS 2
 /* Open requests are ended this long before the grace time is over. */
 #define STOP_MARGIN_MS 700
-/* Requests that wait for a model are refused this long before that. */
+/* Requests that wait for a model are refused this long before open requests are ended. */
 #define STOP_REFUSE_WAITING_MS 1200
 /* Longest time to wait for the release of the lease at the end of a stop. */
 #define RELEASE_MS 400
@@ -136,8 +136,8 @@
     stop_check(node);
 }
 
-/* A planned stop ends when no requests are left and the load balancer has had time to see it, or at
- * the end of the grace time. */
+/* A planned stop ends when no requests are left and the load balancer has had time to see that the
+ * node isn't ready, or shortly before the end of the grace time. */
 static void drain_tick(wb_edge_node_t *node, int64_t now_ms) {
     int64_t elapsed_ms = now_ms - node->edge.drain_began_ms;
     int64_t grace_ms = (int64_t)(node->edge.settings.stop_grace_s * 1000) - STOP_MARGIN_MS;
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -72,7 +72,7 @@
     wb_directory_t *directory;
     GHashTable *engine_rows;  /* id -> wb_table_row_t, kept for subscribers in a large fleet */
     GHashTable *zones;        /* every zone that was ever evacuated -> private to node_zones.c */
-    gboolean starts_reported; /* some engine row had a start time: from then on all must */
+    gboolean starts_reported; /* an engine row had a start time: rows without one are invalid now */
     unsigned rejected_rows;   /* malformed engine rows since the last log line */
     int64_t rejected_rows_logged_ms;
     gboolean store_unavailable[WB_TABLE_NODES + 1]; /* by wb_table_name_t: the last call failed */
@@ -110,7 +110,7 @@
     int64_t pace_logged_ms;
     int64_t pace_sent_ms;         /* when this node last sent engine loads */
     int64_t pace_received_ms;     /* when engine loads were last received */
-    uint64_t poison_sent_version; /* version of the poison book that was last sent */
+    uint64_t poison_sent_version; /* poison registry version last sent */
     gboolean poison_aggregator;   /* as of the last tick */
     gboolean states_sent;         /* all engine-reported state was sent on controller_link */
     wb_link_t *controller_link;
@@ -177,9 +177,9 @@
 gboolean wb_edge_node_has_large_fleet(const wb_edge_node_t *node);
 /** @return TRUE when this node reads the whole engines table, which the lease requires */
 gboolean wb_edge_node_reads_engines(const wb_edge_node_t *node);
-/** @return TRUE when it reads the table and the first full read is complete */
+/** @return TRUE when this node reads the whole engines table and has completed a full read */
 gboolean wb_edge_node_knows_engines(const wb_edge_node_t *node);
-/** @return FALSE while a subscriber has had no complete answer from a relay */
+/** @return FALSE while this node is a subscriber that has had no complete answer from a relay */
 gboolean wb_edge_node_directory_is_ready(const wb_edge_node_t *node);
 /** As wb_edge_t.engines_known; subscribes to engines that aren't known. @param context the node */
 gboolean wb_edge_node_directory_engines_known(const char *service, const char *model,
@@ -193,7 +193,7 @@
 void wb_edge_node_subscription_free(wb_subscription_t *subscription);
 /** Store an engine row that was added, changed or removed, and queue it for its subscribers. */
 void wb_edge_node_relay_row(wb_edge_node_t *node, const wb_table_row_t *row);
-/** Add to a gateway's subscription and send it the rows. */
+/** Extend a gateway's subscription and send it the rows that it subscribes to. */
 void wb_edge_node_relay_subscribe(wb_edge_node_t *node, wb_link_t *link, wb_gateway_t *gateway,
                                   const wb_wire_engine_subscribe *want);
 /** Send subscribers the queued changes, or an empty message as a heartbeat. */
@@ -355,7 +355,7 @@
 wb_controller_view_t wb_edge_node_controller_view(void *context);
 
 /* node_store_updates.c */
-/* A gateway that received no store update for so long polls the store itself. */
+/* A gateway that has received no store update for this long polls the store itself. */
 #define WB_UPDATE_LIFE_MS 1200
 /** @return the watch of a table; NULL: there is none
  * @param table a wb_table_name_t, possibly from a message and out of range */
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -1,8 +1,8 @@
 /* Announces the lease holder to nodes that have no link to it.
- * A node learns from the store who holds the lease. One that the store refuses, or that is cut off
- * from it, stays with the holder it knows, which may have gone or lost the lease, and then refuses
- * requests for models that aren't loaded. So the holder connects to each node that has a row but no
- * link, and sends it the lease row; the node then opens its own link to the holder.
+ * A node reads in the store which node holds the lease. Without access to the store it keeps the
+ * holder it knows. When that holder stops or loses the lease, the node has no controller and
+ * refuses requests for models that aren't loaded. So the new holder connects to each node that has
+ * a row but no link, and sends it the lease row; the node then opens its own link to the holder.
  * Times are in ms. A failed announcement is repeated with exponential backoff. */
 #include "edge/edge_node_types.h"
 
@@ -11,8 +11,8 @@
 /* Nodes that can read the store open their link within two polls (1 s); the others get an
  * announcement then. */
 #define LINK_WAIT_MS 1000
-/* Backoff between announcements to a node, doubled each time. Machines return within seconds; those
- * that don't keep their rows for minutes. */
+/* Backoff between announcements to a node, doubled each time. Most machines are back within
+ * seconds; the row of one that isn't expires after minutes only. */
 #define RETRY_MS 1000
 #define RETRY_MAX_MS 8000
 /* The link of an announcement is closed after this time. */
@@ -124,7 +124,8 @@
 
 void wb_edge_node_tick_announce(wb_edge_node_t *node, int64_t now_ms) {
     gboolean all_linked = g_hash_table_size(node->gateways) + 1 >= g_hash_table_size(node->nodes);
-    /* A large fleet also has links for subscriptions, so the number of links proves nothing. */
+    /* In a large fleet there are also links for subscriptions, so the number of links doesn't show
+     * whether all nodes are linked. */
     if (!node->lease_held || (all_linked && !wb_edge_node_has_large_fleet(node))) {
         g_hash_table_remove_all(node->announcements);
         return;
@@ -133,9 +134,9 @@
     GHashTableIter iter;
     gpointer id;
     gpointer value;
-    unsigned begun = 0;
+    unsigned started = 0;
     g_hash_table_iter_init(&iter, node->nodes);
-    while (g_hash_table_iter_next(&iter, &id, &value) && begun < MAX_PER_TICK) {
+    while (g_hash_table_iter_next(&iter, &id, &value) && started < MAX_PER_TICK) {
         const wb_node_row_t *row = value;
         if (strcmp(id, node->edge.settings.id) == 0 || row->address == NULL) {
             continue;
@@ -144,6 +145,6 @@
             g_hash_table_remove(node->announcements, id);
             continue;
         }
-        begun += announcement_check(node, id, row->address, now_ms);
+        started += announcement_check(node, id, row->address, now_ms);
     }
 }
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -39,8 +39,8 @@
 typedef struct wb_wanted_model_t {
     char *service;
     char *model;
-    int64_t asked_ms; /* when it was last subscribed to; 0: not on this link */
-    int64_t answered_ms;
+    int64_t asked_ms;    /* when it was last subscribed to; 0: not on this link */
+    int64_t answered_ms; /* when a relay last answered for it; 0: never */
 } wb_wanted_model_t;
 
 /* A placement update that came before the row of its engine. */
@@ -57,15 +57,16 @@
     GPtrArray *early_placements; /* of wb_early_placement_t */
     GHashTable *versions;        /* id of an engine -> int64_t *, version of its row as received */
     wb_link_t *link;
-    char *relay;                 /* id of the node at the other end of link */
-    gboolean handshake_done;     /* the relay's format version allows subscriptions */
-    gboolean incomplete_answers; /* it has answered before its first full read was complete */
-    gboolean relay_complete;     /* it has answered with a complete table */
-    gboolean complete;           /* any relay has */
+    char *relay;             /* id of the node at the other end of link */
+    gboolean handshake_done; /* the relay's format version allows subscriptions */
+    gboolean
+        incomplete_answers;  /* the relay has answered before its first full read was complete */
+    gboolean relay_complete; /* the relay has answered from a complete table */
+    gboolean complete;       /* this relay or an earlier one has answered so */
     int64_t linked_ms;
     int64_t received_ms;
     int64_t connect_ms;    /* next attempt to connect */
-    int64_t lost_since_ms; /* 0: there is a relay */
+    int64_t lost_since_ms; /* since when there is no relay; 0: there is one */
     GHashTable *failed;    /* id of a node that couldn't be reached -> int64_t *, when */
 };
 
@@ -150,7 +151,8 @@
     wb_table_watch_read_all(directory->node->engines_watch);
 }
 
-/* Rows that were read before the table turned out to be large would no longer be updated. */
+/* Removes the engines read before the table was found to be large: their rows would no longer be
+ * updated. */
 static void engines_clear(wb_edge_node_t *node) {
     g_autoptr(GList) ids = g_hash_table_get_keys(wb_fleet_all(node->edge.fleet));
     for (GList *item = ids; item != NULL; item = item->next) {
@@ -244,10 +246,10 @@
     }
 }
 
-static void rows_take(wb_directory_t *directory, const wb_wire_engine_update *show) {
+static void rows_take(wb_directory_t *directory, const wb_wire_engine_update *update) {
     wb_edge_node_t *node = directory->node;
-    for (guint i = 0; i < show->rows.rows_len; i++) {
-        const wb_wire_table_row *wire = &show->rows.rows_val[i];
+    for (guint i = 0; i < update->rows.rows_len; i++) {
+        const wb_wire_table_row *wire = &update->rows.rows_val[i];
         int64_t version = (int64_t)wire->row_version;
         wb_table_row_t row = {wire->key, wire->removed ? NULL : (guchar *)wire->value.value_val,
                               wire->value.value_len, version};
@@ -255,8 +257,8 @@
                              g_memdup2(&version, sizeof(version)));
         wb_table_watch_apply_row(node->engines_watch, &row);
     }
-    for (guint i = 0; i < show->holds.holds_len; i++) {
-        const wb_wire_placement_entry *entry = &show->holds.holds_val[i];
+    for (guint i = 0; i < update->holds.holds_len; i++) {
+        const wb_wire_placement_entry *entry = &update->holds.holds_val[i];
         wb_engine_t *engine = wb_fleet_find(node->edge.fleet, entry->engine);
         if (engine != NULL) {
             wb_edge_node_placement_take(node, engine, entry);
@@ -266,29 +268,29 @@
 
 /* Rows that a relay sends before its first full read is complete are valid, but some may be
  * missing: subscribes to all again once it is complete. */
-static void engine_update_take(wb_directory_t *directory, const wb_wire_engine_update *show) {
+static void engine_update_take(wb_directory_t *directory, const wb_wire_engine_update *update) {
     wb_edge_node_t *node = directory->node;
     int64_t now_ms = wb_clock_ms();
-    gboolean resubscribe = show->whole && directory->incomplete_answers;
+    gboolean resubscribe = update->whole && directory->incomplete_answers;
     directory->received_ms = now_ms;
-    directory->incomplete_answers = !show->whole;
-    rows_take(directory, show);
+    directory->incomplete_answers = !update->whole;
+    rows_take(directory, update);
     if (resubscribe) {
         subscribe_all(directory);
         return;
     }
-    if (!show->whole) {
+    if (!update->whole) {
         return;
     }
     directory->complete = TRUE;
     directory->relay_complete = TRUE;
     directory->lost_since_ms = 0;
-    for (guint i = 0; i < show->answered.answered_len; i++) {
-        wanted_answered(directory, &show->answered.answered_val[i], now_ms);
+    for (guint i = 0; i < update->answered.answered_len; i++) {
+        wanted_answered(directory, &update->answered.answered_val[i], now_ms);
     }
-    wb_table_watch_note_peer_read(node->engines_watch, 0, now_ms - (int64_t)show->age_ms);
+    wb_table_watch_note_peer_read(node->engines_watch, 0, now_ms - (int64_t)update->age_ms);
     early_placements_apply(directory, now_ms);
-    if (show->answered.answered_len > 0 || show->rows.rows_len > 0) {
+    if (update->answered.answered_len > 0 || update->rows.rows_len > 0) {
         wb_exchanges_retry_waiting(&node->edge);
     }
 }
@@ -461,8 +463,8 @@
     if (directory->state != WB_DIRECTORY_SUBSCRIBER) {
         return FALSE;
     }
-    /* Only a request that waits here for the model needs the engine's row now; otherwise its use
-     * later subscribes to it. */
+    /* Only a request that waits here for the model needs the engine's row now; a later request
+     * subscribes to it. */
     if (!entry->held || directory->link == NULL || !directory->handshake_done ||
         !wb_exchanges_any_waiting_for(&node->edge, entry->model)) {
         return TRUE;
--- a/src/edge/node_engine_states.c
+++ b/src/edge/node_engine_states.c
@@ -9,8 +9,8 @@
 /* Encoded size of an engine in a message. */
 #define ENTRY_BYTES 48
 #define SEND_INTERVAL_MS 50
-/* Upper bound of that delay: the end of a limit counts only if it is newer than the known limit by
- * more than this. */
+/* Upper bound of the delay on a link: the end of a limit counts only if it is newer than the known
+ * limit by more than this. */
 #define DELAY_MAX_MS 500
 #define LIMIT_MILLI 1000.0
 
@@ -139,7 +139,7 @@
         const wb_wire_engine_state *wire = &states->engines.engines_val[i];
         wb_engine_t *engine = wb_fleet_find(node->edge.fleet, wire->engine);
         if (engine == NULL || (int64_t)wire->born_ms != engine->state->born_ms) {
-            continue; /* not needed here, or another start of the engine is known */
+            continue; /* not needed here, or another incarnation is known */
         }
         gboolean draining =
             wire->leaving && wb_engine_set_draining(engine, node->edge.settings.drain_ms, now_ms);
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -1,7 +1,7 @@
 /* Applies rows of the engines table: engines appear, restart, drain and disappear.
  * Any process may write such rows. An invalid row removes the engine of that id and changes nothing
- * else. An engine may restart under its id: all state of its earlier start is then dropped at once.
- * Errors are logged as engine-row-refused, with the reason. */
+ * else. An engine may restart under its id: all state of its earlier incarnation is then dropped at
+ * once. Errors are logged as engine-row-refused, with the reason. */
 #include "edge/edge_node_types.h"
 
 #include <string.h>
@@ -25,8 +25,8 @@
              held ? "true" : "false");
 }
 
-/* Sends gateways differences that no order of this holder made; they rarely read engine rows
- * themselves. */
+/* Sends gateways the changes of an engine's models that this holder didn't order; gateways rarely
+ * read engine rows themselves. */
 static void placements_compare(wb_edge_node_t *node, const char *engine, GHashTable *before,
                                GHashTable *after) {
     GHashTableIter iter;
@@ -45,7 +45,7 @@
     }
 }
 
-/* Applies an engine's state. Returns NULL when a later start of the engine is known. */
+/* Applies an engine's state. Returns NULL when a later incarnation is known. */
 static wb_engine_t *engine_state_apply(wb_edge_node_t *node, wb_engine_t *known,
                                        wb_engine_state_t *state) {
     int64_t now_ms = wb_clock_ms();
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -13,7 +13,7 @@
 /* Mean time between the takeover attempts of two nodes, so that most nodes see the new holder
  * before their own attempt. */
 #define TAKEOVER_GAP_MS 30
-/* Least interval over which the takeover attempts are spread. */
+/* Min interval over which the takeover attempts are spread. */
 #define TAKEOVER_SPREAD_MS 200
 /* Delay before weaker machines attempt a takeover, so that the strongest go first: the spread of a
  * few nodes and one write to the store. */
@@ -40,7 +40,7 @@
             wb_table_watch_poll_soon(node->catalog_watch);
         }
     }
-    /* A lapsed lease stops orders at once. The controller's view of the engines stays valid until
+    /* An expired lease stops orders at once. The controller's view of the engines stays valid until
      * another node has held the lease. */
     if (held)
         wb_controller_set_lease(node->controller, token, wb_lease_predecessor(node->lease));
@@ -156,8 +156,8 @@
                        lease_write_done, node);
 }
 
-/* Don't take over before the store has answered a read that began after the holder's last update:
- * if the store is unavailable, the holder has lost it as well. */
+/* Returns FALSE while this node must not take over the lease, as the store hasn't answered since
+ * the holder's last update: if the store is unavailable, the holder has lost it as well. */
 static gboolean store_confirmed_since_update(const wb_edge_node_t *node) {
     return wb_lease_is_own(node->lease) || wb_lease_known_row(node->lease) == NULL ||
            wb_table_watch_known_ms(node->nodes_watch) >= node->update_received_ms;
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -9,11 +9,11 @@
 /* Cluster name in the handshake, by which edge nodes recognize each other. */
 #define EDGE_CLUSTER "wickbridge-edge"
 
-/* Returns TRUE when a placement entry concerns the known start of an engine. An entry for a later
- * start becomes valid once that start's row is read, which is requested here; one for an earlier
- * start is outdated. */
-static gboolean engine_start_matches(wb_edge_node_t *node, const wb_engine_t *engine,
-                                     const wb_wire_start_times *starts, guint i) {
+/* Returns TRUE when a placement entry concerns the known incarnation of an engine. An entry for a
+ * later incarnation becomes valid once the row of that is read, so the table is polled; one for an
+ * earlier incarnation is outdated. */
+static gboolean incarnation_matches(wb_edge_node_t *node, const wb_engine_t *engine,
+                                    const wb_wire_start_times *starts, guint i) {
     if (i >= starts->born_ms.born_ms_len || starts->born_ms.born_ms_val[i] == 0) {
         return TRUE; /* the sender didn't include it */
     }
@@ -65,7 +65,7 @@
             }
             continue;
         }
-        if (engine_start_matches(node, engine, &starts, i)) {
+        if (incarnation_matches(node, engine, &starts, i)) {
             wb_edge_node_placement_take(node, engine, entry);
         }
     }
@@ -73,7 +73,8 @@
     wb_exchanges_retry_waiting(edge);
 }
 
-/* Requests that can't wait for their model's expected load time are refused now, with that time. */
+/* Sets the expected load times of models. Requests that can't wait that long are refused at once.
+ */
 static void load_plan_take(wb_edge_node_t *node, const wb_wire_load_plan *plan) {
     for (guint i = 0; i < plan->entries.entries_len; i++) {
         const wb_wire_load_plan_entry *entry = &plan->entries.entries_val[i];
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -12,7 +12,7 @@
 /* Received loads stay valid until the aggregator was unresponsive for this long; while it holds the
  * lease it sends store updates each 300 ms. */
 #define LOADS_LIFE_MS 2000
-/* Least backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
+/* Min backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
 #define BACKLOG_LOG_MS 1000.0
 #define LOG_INTERVAL_MS 1000
 
@@ -37,7 +37,7 @@
         wb_engine_t *engine = value;
         engine->pace_min_percent = wb_engine_pace_recent_min(&engine->pace, now_ms);
         /* Tokens sent before the link was open have been processed by now, or their clients have
-         * left. */
+         * disconnected. */
         engine->tokens_sent = 0;
     }
 }
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -63,7 +63,7 @@
     }
 }
 
-/* The link of a gateway behind a network cut stays up for a while. */
+/* Finds gateways that are cut off from this node, as their links stay open for some time. */
 static void unresponsive_check(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
--- a/src/edge/node_reach.c
+++ b/src/edge/node_reach.c
@@ -16,7 +16,7 @@
 /* A takeover that isn't seen this long after it was due has failed or can't be seen here: jitter of
  * the attempts, a write to the store up to its timeout, a link to the new holder. */
 #define TAKEOVER_OVERDUE_MS 1300
-/* Age at which the last two updates are missing. */
+/* Age of the last update at which two updates are overdue. */
 #define UPDATE_LATE_MS 700
 
 static const char *reach_name(wb_controller_reach_t reach) {
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -73,18 +73,19 @@
                                const wb_wire_engine_subscribe *want, const GArray *holds) {
     int64_t now_ms = wb_clock_ms();
     wb_wire_message message = {.kind = WB_WIRE_ENGINE_UPDATE};
-    wb_wire_engine_update *show = &message.wb_wire_message_u.engine_update;
-    show->whole = wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->engines_watch);
-    show->age_ms = table_age_ms(node, now_ms);
+    wb_wire_engine_update *update = &message.wb_wire_message_u.engine_update;
+    update->whole =
+        wb_edge_node_reads_engines(node) && wb_table_watch_is_synced(node->engines_watch);
+    update->age_ms = table_age_ms(node, now_ms);
     if (want != NULL) {
-        show->answered.answered_len = want->wants.wants_len;
-        show->answered.answered_val = want->wants.wants_val;
+        update->answered.answered_len = want->wants.wants_len;
+        update->answered.answered_val = want->wants.wants_val;
     }
-    show->rows.rows_len = subscription->changes->len;
-    show->rows.rows_val = (wb_wire_table_row *)(void *)subscription->changes->data;
+    update->rows.rows_len = subscription->changes->len;
+    update->rows.rows_val = (wb_wire_table_row *)(void *)subscription->changes->data;
     if (holds != NULL) {
-        show->holds.holds_len = holds->len;
-        show->holds.holds_val = (wb_wire_placement_entry *)(void *)holds->data;
+        update->holds.holds_len = holds->len;
+        update->holds.holds_val = (wb_wire_placement_entry *)(void *)holds->data;
     }
     wb_link_send(link, &message);
     g_array_set_size(subscription->changes, 0);
--- a/src/edge/node_store_updates.c
+++ b/src/edge/node_store_updates.c
@@ -14,17 +14,17 @@
  * change must be known. That covers a change of the lease holder, and still leaves time for an own
  * read. */
 #define FRESH_SHARE 0.6
-/* The holder polls this much more often, so that its reads are still fresh when gateways receive
- * them. */
+/* The holder polls at this share of the time for which its reads are valid, so that they are still
+ * fresh when gateways receive them. */
 #define HOLDER_POLL_SHARE 0.33
 /* Without updates, engines are polled this many times in the drain time. */
 #define POLLS_PER_DRAIN 3
 /* Safety polls of the catalog and of nodes are this many times rarer than those of engines. The
- * updates name the newest configuration, and nodes come and go slowly. */
+ * updates name the newest configuration, and nodes are rarely added or removed. */
 #define SAFETY_MULTIPLE 2
-/* A node that polls for changes of nodes reads the table several times in a row's lifetime. With
- * updates it reads the table once in that time: each row is renewed several times in it, and the
- * holder sends nodes that come and go. */
+/* Poll interval of the nodes table, as a share of the lifetime of a row. With updates a node reads
+ * it only once in that lifetime, in which each row is renewed several times; the holder sends added
+ * and removed nodes. */
 #define NODE_POLL_SHARE 0.25
 /* A full read counts as fresh for this share of the time for which the holder's reads do: after a
  * start, updates arrive by then. */
@@ -45,7 +45,7 @@
 #define NODES_WAIT_MS 3000
 #define NODES_PAUSE_MS 1000
 #define NODES_CHANGE_MS 100
-/* The lease row itself arrives with each update, and nodes come and go slowly. */
+/* The lease row itself arrives with each update, and nodes are rarely added or removed. */
 #define NODES_FRESH_MS 3000
 
 wb_table_watch_t *wb_edge_node_watch(const wb_edge_node_t *node, unsigned table) {
@@ -69,18 +69,18 @@
     int64_t node_life_ms = (int64_t)(settings->node_life_s * 1000);
     int64_t node_ms = (int64_t)(NODE_POLL_SHARE * (double)node_life_ms);
     int64_t peer_read_valid_ms;
-    int64_t hold_ms;
+    int64_t wait_ms;
     int64_t pause_ms;
     int64_t retry_ms =
         node->store_unavailable[WB_TABLE_NODES] ? RETRY_OTHERS_LOST_MS : RETRY_OTHERS_MS;
     switch (table) {
     case WB_TABLE_CATALOG:
         peer_read_valid_ms = (int64_t)(FRESH_SHARE * (double)settings->catalog_ms);
-        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
+        wait_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
                                    : settings->catalog_ms;
         pause_ms = node->lease_held ? CATALOG_PAUSE_MS : settings->catalog_ms / CATALOG_POLLS;
         return (wb_table_watch_intervals_t){
-            .wait_ms = hold_ms,
+            .wait_ms = wait_ms,
             .pause_ms = pause_ms,
             .peer_read_valid_ms = peer_read_valid_ms,
             .look_ms = pause_ms,
@@ -89,13 +89,13 @@
             .full_read_valid_ms = (int64_t)(FULL_READ_FRESH_SHARE * (double)peer_read_valid_ms)};
     case WB_TABLE_ENGINES:
         peer_read_valid_ms = (int64_t)(FRESH_SHARE * (double)settings->drain_ms);
-        hold_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
+        wait_ms = node->lease_held ? (int64_t)(HOLDER_POLL_SHARE * (double)peer_read_valid_ms)
                                    : ENGINES_WAIT_MS;
         pause_ms = node->lease_held
-                       ? hold_ms
+                       ? wait_ms
                        : MAX(settings->engine_poll_ms, settings->drain_ms / POLLS_PER_DRAIN);
         return (wb_table_watch_intervals_t){
-            .wait_ms = hold_ms,
+            .wait_ms = wait_ms,
             .pause_ms = pause_ms,
             .peer_read_valid_ms = peer_read_valid_ms,
             .look_ms = settings->drain_ms / POLLS_PER_DRAIN,
--- a/src/edge/node_zones.c
+++ b/src/edge/node_zones.c
@@ -21,8 +21,8 @@
     gboolean evacuated;
 } wb_zone_row_t;
 
-/* Time for which the zone's engines still get what no other engine can take. 0 at a node that has
- * just started, which doesn't know when the evacuation began. */
+/* Time for which the zone's engines still get the requests that no other engine can take. 0 at a
+ * node that has just started, which doesn't know when the evacuation began. */
 static int64_t grace_ms(const wb_edge_node_t *node) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     if (!wb_table_watch_is_synced(node->catalog_watch)) {
@@ -37,11 +37,11 @@
     if (wb_fleet_zone_is_evacuated(node->edge.fleet, zone)) {
         return;
     }
-    int64_t closed_ms = now_ms + grace_ms(node);
-    unsigned engines = wb_fleet_evacuate_zone(node->edge.fleet, zone, closed_ms);
+    int64_t from_ms = now_ms + grace_ms(node);
+    unsigned engines = wb_fleet_evacuate_zone(node->edge.fleet, zone, from_ms);
     node->edge.metrics.evacuations++;
     wb_event("zone-evacuated", ",\"of\":\"%s\",\"engines\":%u,\"closed_in_ms\":%lld",
-             wb_event_escape(zone), engines, (long long)(closed_ms - now_ms));
+             wb_event_escape(zone), engines, (long long)(from_ms - now_ms));
 }
 
 /* Treats the engines of a zone as cold when its evacuation ends: they may have turned cold just
--- a/src/load/load.c
+++ b/src/load/load.c
@@ -15,7 +15,7 @@
     gint64 started_us;
     gint64 received_us;
     int events;
-    int pieces;
+    int chunks;
     char tail[16]; /* last bytes received, to detect the final event */
 } load_stream_t;
 
@@ -59,9 +59,9 @@
     int events = count_events(data, length);
     if (stream->events == 0 && events > 0)
         wb_samples_add(&result->first_token, (double)(now_us - stream->started_us) / 1000.0);
-    else if (stream->pieces % GAP_SAMPLE_INTERVAL == 0)
+    else if (stream->chunks % GAP_SAMPLE_INTERVAL == 0)
         wb_samples_add(&result->gaps, (double)(now_us - stream->received_us) / 1000.0);
-    stream->pieces++;
+    stream->chunks++;
     stream->received_us = now_us;
     stream->events += events;
     result->events += events;
@@ -71,12 +71,12 @@
 static void stream_ended(const wb_http_result_t *outcome, void *context) {
     load_stream_t *stream = context;
     load_run_t *run = stream->run;
-    gboolean answered = outcome->outcome == WB_HTTP_COMPLETED;
+    gboolean completed = outcome->outcome == WB_HTTP_COMPLETED;
     gboolean has_last_event = memcmp(stream->tail + 1, "data: [DONE]\n\n", 14) == 0;
-    if (answered && outcome->status == 200 && has_last_event &&
+    if (completed && outcome->status == 200 && has_last_event &&
         stream->events == run->plan->tokens + 2)
         run->result->whole++;
-    else if (answered && outcome->status == 503 && strstr(outcome->body, "not-run") != NULL)
+    else if (completed && outcome->status == 503 && strstr(outcome->body, "not-run") != NULL)
         run->result->refused++;
     else
         run->result->broken++;
@@ -113,7 +113,7 @@
     const char *node_headers[] = {owner, NULL};
     stream->started_us = g_get_monotonic_time();
     stream->events = 0;
-    stream->pieces = 0;
+    stream->chunks = 0;
     memset(stream->tail, 0, sizeof(stream->tail));
     wb_http_request_t request = {.method = "POST",
                                  .url = url,
--- a/src/pace/pace_aggregate.c
+++ b/src/pace/pace_aggregate.c
@@ -35,7 +35,7 @@
 
 struct wb_pace_aggregate_t {
     double token_ms;
-    GHashTable *engines; /* id -> wb_book_engine_t */
+    GHashTable *engines; /* id -> wb_aggregate_engine_t */
 };
 
 uint32_t wb_pace_engine_key(const char *id) {
--- a/src/poison/poison_registry.h
+++ b/src/poison/poison_registry.h
@@ -31,11 +31,12 @@
 
 #include <stdint.h>
 
-/** Crashed engines from which a request is refused. With fewer, two unrelated crashes would refuse
- * a harmless request; each more costs another engine for each poison request. */
+/** Min number of crashed engines for which a request is refused. With a lower one, two unrelated
+ * crashes would refuse a harmless request; with a higher one, each poison request crashes more
+ * engines. */
 #define WB_POISON_ENGINES 3
-/** Crashed engines from which an entry is sent to other nodes. With one, each crash would send all
- * requests that ran on the engine, and only a repetition concerns other nodes. */
+/** Min number of crashed engines for which an entry is sent to all nodes. With one, each crash
+ * would send all requests that ran on the engine, and only a repetition concerns other nodes. */
 #define WB_POISON_SYNC_ENGINES 2
 /** Max engines stored for a request. */
 #define WB_POISON_ENGINES_KEPT 8
--- a/src/quota/equal_share.h
+++ b/src/quota/equal_share.h
@@ -28,8 +28,8 @@
 
 /** Validity of the list of nodes. It is normally refreshed every second. */
 #define WB_SHARE_VALID_MS 4000
-/** Longest time that another node's report of the list may be in transit: then a broken link is
- * closed. */
+/** Longest time that another node's report of the list may be in transit: a broken link is closed
+ * after it. */
 #define WB_SHARE_DELAY_MS 3000
 
 typedef struct wb_equal_share_t wb_equal_share_t;
@@ -51,8 +51,8 @@
 void wb_equal_share_after_pause(wb_equal_share_t *share, int64_t now_ms);
 /**
  * This process has written the first row that its machine ever had, and has read it back: no
- * earlier process used anything. If no other node is listed, no node has: it gets the whole at
- * once.
+ * earlier process on this machine used anything. If no other node is listed, this node gets the
+ * whole budget at once.
  */
 void wb_equal_share_set_first_process(wb_equal_share_t *share, int64_t now_ms);
 /** Drop removed nodes that no node counts any more. */
--- a/src/quota/quota_limiter.c
+++ b/src/quota/quota_limiter.c
@@ -12,7 +12,7 @@
 #define ENTRY_EXPIRY_MS 60000
 
 /* A traffic class of a tenant. */
-typedef struct wb_gate_class_t {
+typedef struct wb_limiter_class_t {
     wb_decayed_rate_t demand;
     double asked;          /* units requested since the last report */
     double requests;       /* since the last report */
@@ -20,11 +20,11 @@
     double share;          /* in force while the tenant is throttled */
     double credit;         /* units that may be admitted while throttled; negative: a debt */
     gboolean credit_unset; /* credit must be initialized */
-} wb_gate_class_t;
+} wb_limiter_class_t;
 
-typedef struct wb_gate_entry_t {
+typedef struct wb_limiter_entry_t {
     char *tenant;
-    GHashTable *classes; /* wb_quota_class_t -> wb_gate_class_t */
+    GHashTable *classes; /* wb_quota_class_t -> wb_limiter_class_t */
     wb_decayed_rate_t demand;
     double share;                   /* of classes without a share of their own; 1: not throttled */
     double previous_share;          /* before the latest shares were received */
@@ -32,16 +32,16 @@
     double local_rate_per_s;        /* fill rate of the local bucket */
     gboolean local_unset;           /* local bucket and rate must be initialized */
     int64_t used_ms;
-} wb_gate_entry_t;
+} wb_limiter_entry_t;
 
 struct wb_quota_limiter_t {
-    GHashTable *entries; /* tenant -> wb_gate_entry_t */
+    GHashTable *entries; /* tenant -> wb_limiter_entry_t */
     gboolean reached;
     int64_t told_ms;
 };
 
 static void entry_free(gpointer data) {
-    wb_gate_entry_t *entry = data;
+    wb_limiter_entry_t *entry = data;
     g_hash_table_unref(entry->classes);
     g_free(entry->tenant);
     g_free(entry);
@@ -58,10 +58,10 @@
     g_free(limiter);
 }
 
-static wb_gate_entry_t *entry_get(wb_quota_limiter_t *limiter, const char *tenant) {
-    wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
+static wb_limiter_entry_t *entry_get(wb_quota_limiter_t *limiter, const char *tenant) {
+    wb_limiter_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry == NULL) {
-        entry = g_new0(wb_gate_entry_t, 1);
+        entry = g_new0(wb_limiter_entry_t, 1);
         entry->tenant = g_strdup(tenant);
         entry->classes = g_hash_table_new_full(NULL, NULL, NULL, g_free);
         entry->share = 1;
@@ -72,10 +72,10 @@
     return entry;
 }
 
-static wb_gate_class_t *class_get(wb_gate_entry_t *entry, wb_quota_class_t kind) {
-    wb_gate_class_t *traffic = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(kind));
+static wb_limiter_class_t *class_get(wb_limiter_entry_t *entry, wb_quota_class_t kind) {
+    wb_limiter_class_t *traffic = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(kind));
     if (traffic == NULL) {
-        traffic = g_new0(wb_gate_class_t, 1);
+        traffic = g_new0(wb_limiter_class_t, 1);
         traffic->share = entry->share;
         traffic->credit_unset = TRUE;
         g_hash_table_insert(entry->classes, GUINT_TO_POINTER(kind), traffic);
@@ -93,30 +93,30 @@
 /* Credit grows by the share of each request's cost, and a request is admitted while it is positive,
  * so that admitted costs add up to the share. The initial credit is random: otherwise each of many
  * nodes would admit its first request, which is too much in total. */
-static void admit_throttled(wb_gate_class_t *traffic, double cost, int64_t now_ms,
-                            wb_quota_decision_t *verdict) {
+static void admit_throttled(wb_limiter_class_t *traffic, double cost, int64_t now_ms,
+                            wb_quota_decision_t *decision) {
     if (traffic->credit_unset) {
         traffic->credit_unset = FALSE;
         traffic->credit = -cost * g_random_double();
     }
     traffic->credit += traffic->share * cost;
-    verdict->admitted = traffic->credit > 0;
-    if (verdict->admitted) {
+    decision->admitted = traffic->credit > 0;
+    if (decision->admitted) {
         traffic->credit -= cost;
         return;
     }
     double income_per_s =
         traffic->share * wb_decayed_rate_read(&traffic->demand, DEMAND_TIME_S, now_ms);
-    verdict->retry_ms = retry_ms(-traffic->credit, income_per_s);
+    decision->retry_ms = retry_ms(-traffic->credit, income_per_s);
 }
 
 /* Depth of the local bucket; at least one unit. */
-static double local_depth(const wb_gate_entry_t *entry) {
+static double local_depth(const wb_limiter_entry_t *entry) {
     return MAX(WB_QUOTA_OFFLINE_DEPTH_S * entry->local_rate_per_s, 1);
 }
 
 /* Initializes a tenant's local bucket, at its first request after the ledger became unreachable. */
-static void local_start(wb_gate_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
+static void local_start(wb_limiter_entry_t *entry, const wb_tenant_t *tenant, unsigned nodes,
                         double demand_per_s, double cost, int64_t now_ms) {
     double equal_per_s = nodes > 0 ? WB_QUOTA_OFFLINE_SHARE * tenant->rate_per_s / nodes : 0;
     double allowed_per_s =
@@ -128,64 +128,64 @@
     entry->local_unset = FALSE;
 }
 
-static void admit_locally(wb_gate_entry_t *entry, double cost, int64_t now_ms,
-                          wb_quota_decision_t *verdict) {
+static void admit_locally(wb_limiter_entry_t *entry, double cost, int64_t now_ms,
+                          wb_quota_decision_t *decision) {
     double level = wb_token_bucket_fill(&entry->local_bucket, entry->local_rate_per_s,
                                         local_depth(entry), now_ms);
-    verdict->admitted = level > 0;
-    if (verdict->admitted) {
+    decision->admitted = level > 0;
+    if (decision->admitted) {
         entry->local_bucket.level -= cost;
         return;
     }
-    verdict->retry_ms = retry_ms(-level, entry->local_rate_per_s);
+    decision->retry_ms = retry_ms(-level, entry->local_rate_per_s);
 }
 
 wb_quota_decision_t wb_quota_limiter_admit(wb_quota_limiter_t *limiter, const wb_tenant_t *tenant,
                                            wb_quota_class_t kind, double cost, unsigned nodes,
                                            int64_t now_ms) {
-    wb_quota_decision_t verdict = {
+    wb_quota_decision_t decision = {
         .admitted = TRUE, .share = 1, .reached = limiter->reached, .told_ms = limiter->told_ms};
     if (tenant->rate_per_s <= 0) {
-        return verdict;
+        return decision;
     }
-    wb_gate_entry_t *entry = entry_get(limiter, tenant->name);
+    wb_limiter_entry_t *entry = entry_get(limiter, tenant->name);
     double demand_before_per_s = wb_decayed_rate_read(&entry->demand, DEMAND_TIME_S, now_ms);
     wb_decayed_rate_add(&entry->demand, cost, DEMAND_TIME_S, now_ms);
     entry->used_ms = now_ms;
-    wb_gate_class_t *traffic = class_get(entry, kind);
+    wb_limiter_class_t *traffic = class_get(entry, kind);
     wb_decayed_rate_add(&traffic->demand, cost, DEMAND_TIME_S, now_ms);
     traffic->asked += cost;
     traffic->requests += 1;
-    verdict.share = entry->share < 1 ? traffic->share : 1;
+    decision.share = entry->share < 1 ? traffic->share : 1;
     if (!limiter->reached) {
         if (entry->local_unset) {
             local_start(entry, tenant, nodes, demand_before_per_s, cost, now_ms);
         }
-        admit_locally(entry, cost, now_ms, &verdict);
+        admit_locally(entry, cost, now_ms, &decision);
     } else if (entry->share < 1) {
-        admit_throttled(traffic, cost, now_ms, &verdict);
+        admit_throttled(traffic, cost, now_ms, &decision);
     }
-    if (verdict.admitted) {
+    if (decision.admitted) {
         traffic->admitted += cost;
     }
-    return verdict;
+    return decision;
 }
 
 void wb_quota_limiter_adjust(wb_quota_limiter_t *limiter, const char *tenant, wb_quota_class_t kind,
                              double cost) {
-    wb_gate_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
+    wb_limiter_entry_t *entry = g_hash_table_lookup(limiter->entries, tenant);
     if (entry != NULL) {
         class_get(entry, kind)->admitted += cost;
         entry->local_bucket.level -= cost;
     }
 }
 
-static void usage_reset(wb_gate_entry_t *entry) {
+static void usage_reset(wb_limiter_entry_t *entry) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_class_t *traffic = value;
+        wb_limiter_class_t *traffic = value;
         traffic->asked = 0;
         traffic->requests = 0;
         traffic->admitted = 0;
@@ -201,7 +201,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_entry_t *entry = value;
+        wb_limiter_entry_t *entry = value;
         entry->local_unset = TRUE;
         if (reached) {
             usage_reset(entry); /* the ledger has already deducted an assumed usage for this time */
@@ -211,14 +211,14 @@
 
 /* Sets the share of a throttled tenant for all its classes; shares of single classes follow it in
  * the list. */
-static void share_set(wb_gate_entry_t *entry, double share) {
+static void share_set(wb_limiter_entry_t *entry, double share) {
     gboolean starts = entry->previous_share >= 1;
     GHashTableIter iter;
     gpointer value;
     entry->share = CLAMP(share, 0, 1);
     g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_class_t *traffic = value;
+        wb_limiter_class_t *traffic = value;
         traffic->share = entry->share;
         traffic->credit_unset |= starts;
     }
@@ -231,12 +231,12 @@
     limiter->told_ms = now_ms;
     g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wb_gate_entry_t *entry = value;
+        wb_limiter_entry_t *entry = value;
         entry->previous_share = entry->share;
         entry->share = 1;
     }
     for (size_t i = 0; i < count; i++) {
-        wb_gate_entry_t *entry = entry_get(limiter, shares[i].tenant);
+        wb_limiter_entry_t *entry = entry_get(limiter, shares[i].tenant);
         entry->used_ms = now_ms;
         if (shares[i].kind == WB_QUOTA_OTHER_CLASSES) {
             share_set(entry, shares[i].share);
@@ -246,13 +246,13 @@
     }
 }
 
-static void usage_append(GArray *usage, wb_gate_entry_t *entry) {
+static void usage_append(GArray *usage, wb_limiter_entry_t *entry) {
     GHashTableIter iter;
     gpointer key;
     gpointer value;
     g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const wb_gate_class_t *traffic = value;
+        const wb_limiter_class_t *traffic = value;
         if (traffic->asked == 0 && traffic->admitted == 0) {
             continue;
         }
@@ -274,12 +274,12 @@
     return usage;
 }
 
-static gboolean has_usage(const wb_gate_entry_t *entry) {
+static gboolean has_usage(const wb_limiter_entry_t *entry) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, entry->classes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const wb_gate_class_t *traffic = value;
+        const wb_limiter_class_t *traffic = value;
         if (traffic->asked != 0 || traffic->admitted != 0) {
             return TRUE;
         }
@@ -292,7 +292,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const wb_gate_entry_t *entry = value;
+        const wb_limiter_entry_t *entry = value;
         if (now_ms - entry->used_ms > ENTRY_EXPIRY_MS && !has_usage(entry)) {
             g_hash_table_iter_remove(&iter);
         }
--- a/src/quota/quota_share.h
+++ b/src/quota/quota_share.h
@@ -10,13 +10,14 @@
 
 #include "quota/quota_order.h"
 
-/** While the ledger is unreachable, a node admits an unthrottled tenant up to this multiple of its
- * recent demand there. */
+/** While the ledger is unreachable, a node admits an unthrottled tenant up to this multiple of the
+ * tenant's recent demand at the node. */
 #define WB_QUOTA_OFFLINE_FACTOR 1.5
-/** Or up to this share of an equal share of the tenant's limit, if that is more. All nodes may be
- * disconnected at once, and their allowances together must not exceed the limit. */
+/** If this share of an equal share of the tenant's limit is more, the node admits that instead. All
+ * nodes may be disconnected at once, and their allowances together must not exceed the limit. */
 #define WB_QUOTA_OFFLINE_SHARE 0.15
-/** Depth of the tenant's local token bucket meanwhile, in seconds of its local rate. */
+/** Depth of the tenant's token bucket at the node while the ledger is unreachable, in seconds of
+ * its fill rate. */
 #define WB_QUOTA_OFFLINE_DEPTH_S 1.0
 
 /** Share of a throttled tenant's requests to admit. A throttled tenant has one for
