--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -5,7 +5,7 @@
  * A node serves clients as a gateway. The node that holds the placement controller's lease also
  * runs the controller; every other node keeps a link to it, sends it demand and receives updates.
  * The node that the lease row names is the aggregator, even while its lease has expired: it
- * collects the gateways' reports on quota use, engine load and poison requests.
+ * collects the gateways' reports on quota usage, engine load and poison requests.
  *
  * Times are milliseconds of wb_clock_ms (monotonic) unless a name says otherwise. Functions run on
  * the loop's thread and return no errors; failures are logged as events and retried on later ticks.
@@ -104,7 +104,7 @@
     int64_t quota_sent_ms;      /* when this node last sent shares */
     int64_t quota_logged_ms;
     int64_t quota_received_ms; /* when shares were last received */
-    int64_t quota_reported_ms; /* when use was last reported, to this or another node */
+    int64_t quota_reported_ms; /* when usage was last reported, to this or another node */
     wb_pace_aggregate_t *pace_book;
     gboolean pace_aggregator; /* as of the last tick */
     int64_t pace_logged_ms;
@@ -269,7 +269,7 @@
 /* node_quota.c */
 /** Apply the tenants' limits of a new configuration. */
 void wb_edge_node_quota_set_limits(wb_edge_node_t *node);
-/** Add the tenants' use at this node to a demand message, and reset it. */
+/** Add the tenants' usage at this node to a demand message, and reset it. */
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand);
 /** Write the shares last sent, for the lease row. @return bytes written; 0: they don't fit */
 u_int wb_edge_node_quota_write(wb_edge_node_t *node, char *bytes, u_int room);
@@ -338,7 +338,8 @@
 void wb_edge_node_gateway_close(wb_link_t *link, const char *reason, void *context);
 /** @return TRUE when gateways report to this node: it holds the lease, or the lease row names it */
 gboolean wb_edge_node_is_aggregator(const wb_edge_node_t *node);
-/** Send demand, quota use and engine use to the controller, or apply them here if it is this node.
+/** Send demand, quota usage and engine usage to the controller, or apply them here if it is this
+ * node.
  */
 void wb_edge_node_send_demand(wb_edge_node_t *node);
 /** As wb_edge_t.on_pending_demand. Demand is sent once per loop round, after its requests were
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -173,7 +173,7 @@
     json_respond(connection, 200, json_pack("{s:o}", "models", models));
 }
 
-/* A tenant's limit; the use over all nodes is known to the aggregator only. */
+/* A tenant's limit; the usage over all nodes is known to the aggregator only. */
 static json_t *tenant_json(const wb_edge_node_t *node, const wb_tenant_t *tenant) {
     json_t *json =
         json_pack("{s:s, s:i, s:s, s:f, s:f}", "tenant", tenant->name, "rank", tenant->rank, "unit",
@@ -228,10 +228,10 @@
     json_respond(connection, 200, json_pack("{s:o}", "requests", requests));
 }
 
-/* Clears a request that operators expect to be served from now on, as after a fix of the engines.
+/* Clears a request's crashes on behalf of an operator, for example after a fix of the engines.
  */
-static void poison_forgive(wb_edge_node_t *node, wb_http_connection_t *connection,
-                           const char *query) {
+static void poison_clear(wb_edge_node_t *node, wb_http_connection_t *connection,
+                         const char *query) {
     static const char member[] = "digest=";
     wb_request_digest_t digest;
     if (!g_str_has_prefix(query, member) ||
@@ -376,7 +376,7 @@
     {"GET", "/operators/v1/models", models_show},
     {"GET", "/operators/v1/tenants", tenants_show},
     {"GET", "/operators/v1/poison", poison_show},
-    {"POST", "/operators/v1/poison/forgive", poison_forgive},
+    {"POST", "/operators/v1/poison/forgive", poison_clear},
     {"GET", "/operators/v1/explain", explanation_show},
     {"POST", "/operators/v1/drain", drain_begin},
 };
--- a/src/edge/node_announce.c
+++ b/src/edge/node_announce.c
@@ -12,7 +12,7 @@
  * announcement then. */
 #define LINK_WAIT_MS 1000
 /* Backoff between announcements to a node, doubled each time. Most machines are back within
- * seconds; the row of one that isn't expires after minutes only. */
+ * seconds; the row of one that isn't back expires only after minutes. */
 #define RETRY_MS 1000
 #define RETRY_MAX_MS 8000
 /* The link of an announcement is closed after this time. */
--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -57,12 +57,11 @@
     GPtrArray *early_placements; /* of wb_early_placement_t */
     GHashTable *versions;        /* id of an engine -> int64_t *, version of its row as received */
     wb_link_t *link;
-    char *relay;             /* id of the node at the other end of link */
-    gboolean handshake_done; /* the relay's format version allows subscriptions */
-    gboolean
-        incomplete_answers;  /* the relay has answered before its first full read was complete */
-    gboolean relay_complete; /* the relay has answered from a complete table */
-    gboolean complete;       /* this relay or an earlier one has answered so */
+    char *relay;                 /* id of the node at the other end of link */
+    gboolean handshake_done;     /* the relay's format version allows subscriptions */
+    gboolean incomplete_answers; /* the relay answered during its first full read */
+    gboolean relay_complete;     /* the relay answered with a complete table */
+    gboolean complete;           /* this relay or an earlier one has answered so */
     int64_t linked_ms;
     int64_t received_ms;
     int64_t connect_ms;    /* next attempt to connect */
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -25,7 +25,7 @@
              held ? "true" : "false");
 }
 
-/* Sends gateways the changes of an engine's models that this holder didn't order; gateways rarely
+/* Sends gateways changes of an engine's models that this holder didn't order; gateways rarely
  * read engine rows themselves. */
 static void placements_compare(wb_edge_node_t *node, const char *engine, GHashTable *before,
                                GHashTable *after) {
@@ -174,7 +174,7 @@
         return;
     }
     gboolean restarted = known != NULL && wb_engine_state_is_later(known->state, state);
-    gboolean was_leaving = known != NULL && known->draining_since_ms != 0;
+    gboolean was_draining = known != NULL && known->draining_since_ms != 0;
     gboolean was_cold = known != NULL && known->state->cold_ms > 0;
     wb_engine_t *before = known != NULL ? wb_engine_ref(known) : NULL;
     if (restarted) {
@@ -193,7 +193,7 @@
     }
     gboolean turned_cold = !was_cold && engine->state->cold_ms > 0;
     if (known == NULL || restarted || turned_cold ||
-        was_leaving != (engine->draining_since_ms != 0)) {
+        was_draining != (engine->draining_since_ms != 0)) {
         engine_seen(node, engine, row);
     }
     wb_controller_engine_changed(node->controller, row->key);
--- a/src/edge/node_lease.c
+++ b/src/edge/node_lease.c
@@ -156,8 +156,9 @@
                        lease_write_done, node);
 }
 
-/* Returns FALSE while this node must not take over the lease, as the store hasn't answered since
- * the holder's last update: if the store is unavailable, the holder has lost it as well. */
+/* Returns FALSE while this node must not take over the lease, as the store hasn't answered a read
+ * that began after the holder's last update: if the store is unavailable, the holder has lost it as
+ * well. */
 static gboolean store_confirmed_since_update(const wb_edge_node_t *node) {
     return wb_lease_is_own(node->lease) || wb_lease_known_row(node->lease) == NULL ||
            wb_table_watch_known_ms(node->nodes_watch) >= node->update_received_ms;
--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -10,7 +10,7 @@
 #define EDGE_CLUSTER "wickbridge-edge"
 
 /* Returns TRUE when a placement entry concerns the known incarnation of an engine. An entry for a
- * later incarnation becomes valid once the row of that is read, so the table is polled; one for an
+ * later incarnation becomes valid once its row is read, so the table is polled; one for an
  * earlier incarnation is outdated. */
 static gboolean incarnation_matches(wb_edge_node_t *node, const wb_engine_t *engine,
                                     const wb_wire_start_times *starts, guint i) {
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -16,13 +16,13 @@
 #define BACKLOG_LOG_MS 1000.0
 #define LOG_INTERVAL_MS 1000
 
-/* Takes an engine's unreported use and resets it. Returns FALSE when there is none. */
-static gboolean engine_use_take(wb_engine_t *engine, wb_wire_engine_usage *use) {
+/* Takes an engine's unreported usage and resets it. Returns FALSE when there is none. */
+static gboolean engine_usage_take(wb_engine_t *engine, wb_wire_engine_usage *usage) {
     if (engine->tokens_sent <= 0 && engine->pace_min_percent == 0) {
         return FALSE;
     }
-    *use = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
-                                  (u_int)engine->tokens_sent};
+    *usage = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
+                                    (u_int)engine->tokens_sent};
     engine->pace_min_percent = 0;
     engine->tokens_sent = 0;
     return TRUE;
@@ -55,7 +55,7 @@
     g_hash_table_iter_init(&iter, engines);
     while (g_hash_table_iter_next(&iter, NULL, &engine) &&
            demand->engines.engines_len < WB_WIRE_LIST_MAX) {
-        if (engine_use_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
+        if (engine_usage_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
             demand->engines.engines_len++;
         }
     }
@@ -65,8 +65,8 @@
     guint count = demand->engines.engines_len;
     g_autofree wb_pace_report_t *reports = g_new0(wb_pace_report_t, MAX(count, 1));
     for (guint i = 0; i < count; i++) {
-        const wb_wire_engine_usage *use = &demand->engines.engines_val[i];
-        reports[i] = (wb_pace_report_t){use->engine, use->pace_percent, use->tokens};
+        const wb_wire_engine_usage *usage = &demand->engines.engines_val[i];
+        reports[i] = (wb_pace_report_t){usage->engine, usage->pace_percent, usage->tokens};
     }
     wb_pace_aggregate_report(node->pace_book, reports, count, wb_clock_ms());
 }
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -1,4 +1,4 @@
-/* Cluster-wide limits of tenants: exchange of use and shares between gateways and the aggregator.
+/* Cluster-wide limits of tenants: exchange of usage and shares between gateways and the aggregator.
  * The aggregator maintains the ledger (quota_ledger.h). It is the node that the lease row names,
  * since every gateway has a link to it; it need not hold the lease at the moment, so limits stay in
  * force while the store is unavailable.
@@ -34,16 +34,16 @@
 }
 
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand) {
-    GArray *uses = wb_quota_limiter_take_usage(node->edge.quota);
-    demand->tenants.tenants_len = uses->len;
-    demand->tenants.tenants_val = calloc(MAX(uses->len, 1), sizeof(wb_wire_tenant_usage));
-    for (guint i = 0; i < uses->len; i++) {
-        const wb_quota_usage_t *use = &g_array_index(uses, wb_quota_usage_t, i);
+    GArray *usages = wb_quota_limiter_take_usage(node->edge.quota);
+    demand->tenants.tenants_len = usages->len;
+    demand->tenants.tenants_val = calloc(MAX(usages->len, 1), sizeof(wb_wire_tenant_usage));
+    for (guint i = 0; i < usages->len; i++) {
+        const wb_quota_usage_t *usage = &g_array_index(usages, wb_quota_usage_t, i);
         demand->tenants.tenants_val[i] =
-            (wb_wire_tenant_usage){strdup(use->tenant), use->kind, (u_int)use->requests,
-                                   (uint64_t)use->asked, (int64_t)use->admitted};
+            (wb_wire_tenant_usage){strdup(usage->tenant), usage->kind, (u_int)usage->requests,
+                                   (uint64_t)usage->asked, (int64_t)usage->admitted};
     }
-    g_array_unref(uses);
+    g_array_unref(usages);
 }
 
 void wb_edge_node_quota_take_report(wb_edge_node_t *node, const wb_wire_demand *demand) {
@@ -51,9 +51,9 @@
     wb_quota_ledger_node_connected(node->quota_book, demand->node);
     for (guint i = 0; i < demand->tenants.tenants_len; i++) {
         const wb_wire_tenant_usage *wire = &demand->tenants.tenants_val[i];
-        wb_quota_usage_t use = {wire->tenant, wire->kind, (double)wire->asked,
-                                (double)wire->requests, (double)wire->admitted};
-        wb_quota_ledger_report(node->quota_book, demand->node, &use, now_ms);
+        wb_quota_usage_t usage = {wire->tenant, wire->kind, (double)wire->asked,
+                                  (double)wire->requests, (double)wire->admitted};
+        wb_quota_ledger_report(node->quota_book, demand->node, &usage, now_ms);
     }
 }
 
--- a/src/edge/node_store_updates.c
+++ b/src/edge/node_store_updates.c
@@ -14,16 +14,16 @@
  * change must be known. That covers a change of the lease holder, and still leaves time for an own
  * read. */
 #define FRESH_SHARE 0.6
-/* The holder polls at this share of the time for which its reads are valid, so that they are still
- * fresh when gateways receive them. */
+/* Poll interval of the holder, as a share of the time for which its reads are valid: they are then
+ * still fresh when gateways receive them. */
 #define HOLDER_POLL_SHARE 0.33
 /* Without updates, engines are polled this many times in the drain time. */
 #define POLLS_PER_DRAIN 3
 /* Safety polls of the catalog and of nodes are this many times rarer than those of engines. The
  * updates name the newest configuration, and nodes are rarely added or removed. */
 #define SAFETY_MULTIPLE 2
-/* Poll interval of the nodes table, as a share of the lifetime of a row. With updates a node reads
- * it only once in that lifetime, in which each row is renewed several times; the holder sends added
+/* Max poll interval of the nodes table, as a share of the lifetime of a row. With updates one read
+ * in that lifetime is enough: each row is renewed several times in it, and the holder sends added
  * and removed nodes. */
 #define NODE_POLL_SHARE 0.25
 /* A full read counts as fresh for this share of the time for which the holder's reads do: after a
--- a/src/fleet/engine_response.c
+++ b/src/fleet/engine_response.c
@@ -6,8 +6,8 @@
 
 #include "wickbridge/event_log.h"
 
-/* Time after the last report of a limit during which responses without a limit are sent to other
- * nodes again: a node ignores the end of a limit if it knows a later report of the limit. */
+/* Time after the last report of a limit during which the limit's end is sent again, with the time
+ * of the latest response: nodes ignore an end that is older than the last report they know. */
 #define END_RESEND_MS 30000
 
 static void update_load(wb_engine_t *engine, const wb_engine_response_t *response,
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -24,7 +24,7 @@
 
 /* State that an incarnation of an engine reported in response headers. */
 typedef struct wb_reported_state_t {
-    gboolean leaving;
+    gboolean draining;
     wb_engine_limit_t limit; /* without the recorded send times */
     int64_t backoff_until_ms;
 } wb_reported_state_t;
@@ -109,7 +109,7 @@
     const wb_reported_state_t *saved =
         g_hash_table_lookup(fleet->reported, engine->state->incarnation);
     if (saved != NULL) {
-        engine->drain_reported = saved->leaving;
+        engine->drain_reported = saved->draining;
         engine->limit = saved->limit;
         engine->backoff_until_ms = saved->backoff_until_ms;
     }
--- a/src/poison/poison_registry.c
+++ b/src/poison/poison_registry.c
@@ -113,10 +113,10 @@
     for (guint i = 0; i < entry->engine_count; i++) {
         if ((entry->forgiven & (1U << i)) != 0) {
             guint last = --entry->engine_count;
-            gboolean last_forgiven = (entry->forgiven & (1U << last)) != 0;
+            gboolean last_cleared = (entry->forgiven & (1U << last)) != 0;
             entry->engines[i] = entry->engines[last];
             entry->forgiven &= ~((1U << i) | (1U << last));
-            entry->forgiven |= last_forgiven && i != last ? 1U << i : 0;
+            entry->forgiven |= last_cleared && i != last ? 1U << i : 0;
             return TRUE;
         }
     }
@@ -124,20 +124,20 @@
 }
 
 /* Returns TRUE when the engine is new, or newly cleared. */
-static gboolean engine_add(wb_poison_entry_t *entry, uint64_t engine, gboolean forgiven) {
+static gboolean engine_add(wb_poison_entry_t *entry, uint64_t engine, gboolean cleared) {
     guint index = engine_index(entry, engine);
     if (index < entry->engine_count) {
-        gboolean changed = forgiven && (entry->forgiven & (1U << index)) == 0;
-        entry->forgiven |= forgiven ? 1U << index : 0;
+        gboolean changed = cleared && (entry->forgiven & (1U << index)) == 0;
+        entry->forgiven |= cleared ? 1U << index : 0;
         return changed;
     }
     /* A cleared engine doesn't replace another one. */
-    if ((forgiven && entry->engine_count == WB_POISON_ENGINES_KEPT) || !engine_make_room(entry)) {
+    if ((cleared && entry->engine_count == WB_POISON_ENGINES_KEPT) || !engine_make_room(entry)) {
         return FALSE;
     }
     index = entry->engine_count++;
     entry->engines[index] = engine;
-    entry->forgiven |= forgiven ? 1U << index : 0;
+    entry->forgiven |= cleared ? 1U << index : 0;
     return TRUE;
 }
 
@@ -175,8 +175,8 @@
     }
     gboolean changed = FALSE;
     for (guint i = 0; i < MIN(received->engine_count, WB_POISON_ENGINES_KEPT); i++) {
-        gboolean forgiven = (received->forgiven & (1U << i)) != 0;
-        changed = engine_add(entry, received->engines[i], forgiven) || changed;
+        gboolean cleared = (received->forgiven & (1U << i)) != 0;
+        changed = engine_add(entry, received->engines[i], cleared) || changed;
     }
     entry->until_ms = MAX(entry->until_ms, received->until_ms);
     if (changed) {
--- a/src/poison/request_digest.h
+++ b/src/poison/request_digest.h
@@ -14,7 +14,7 @@
 
 #include <glib.h>
 
-/** 128 bits: among 2^40 different requests any two share a digest with a probability of 2^-49. */
+/** 128 bits: the probability that two of 2^40 different requests share a digest is 2^-49. */
 #define WB_REQUEST_DIGEST_BYTES 16
 /** Size of a digest as text: two hexadecimal digits a byte and the terminating zero. */
 #define WB_REQUEST_DIGEST_TEXT_BYTES (2 * WB_REQUEST_DIGEST_BYTES + 1)
--- a/src/quota/equal_share.h
+++ b/src/quota/equal_share.h
@@ -29,7 +29,7 @@
 /** Validity of the list of nodes. It is normally refreshed every second. */
 #define WB_SHARE_VALID_MS 4000
 /** Longest time that another node's report of the list may be in transit: a broken link is closed
- * after it. */
+ * after this time. */
 #define WB_SHARE_DELAY_MS 3000
 
 typedef struct wb_equal_share_t wb_equal_share_t;
--- a/src/quota/quota_ledger.c
+++ b/src/quota/quota_ledger.c
@@ -154,24 +154,25 @@
                                 entry->burst, now_ms);
 }
 
-static void class_add_usage(wb_quota_entry_t *entry, const wb_quota_usage_t *use, int64_t now_ms) {
-    wb_class_demand_t *demand = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(use->kind));
+static void class_add_usage(wb_quota_entry_t *entry, const wb_quota_usage_t *usage,
+                            int64_t now_ms) {
+    wb_class_demand_t *demand = g_hash_table_lookup(entry->classes, GUINT_TO_POINTER(usage->kind));
     if (demand == NULL) {
         demand = g_new0(wb_class_demand_t, 1);
         demand->share = entry->share;
         demand->sent_share = 1;
-        g_hash_table_insert(entry->classes, GUINT_TO_POINTER(use->kind), demand);
+        g_hash_table_insert(entry->classes, GUINT_TO_POINTER(usage->kind), demand);
     }
-    wb_decayed_rate_add(&demand->units, use->asked, DEMAND_TIME_S, now_ms);
-    wb_decayed_rate_add(&demand->costs, use->asked, COST_TIME_S, now_ms);
-    wb_decayed_rate_add(&demand->requests, use->requests, COST_TIME_S, now_ms);
+    wb_decayed_rate_add(&demand->units, usage->asked, DEMAND_TIME_S, now_ms);
+    wb_decayed_rate_add(&demand->costs, usage->asked, COST_TIME_S, now_ms);
+    wb_decayed_rate_add(&demand->requests, usage->requests, COST_TIME_S, now_ms);
 }
 
 void wb_quota_ledger_report(wb_quota_ledger_t *ledger, const char *node_name,
-                            const wb_quota_usage_t *use, int64_t now_ms) {
-    const char *tenant = use->tenant;
-    double asked = use->asked;
-    double admitted = use->admitted;
+                            const wb_quota_usage_t *usage, int64_t now_ms) {
+    const char *tenant = usage->tenant;
+    double asked = usage->asked;
+    double admitted = usage->admitted;
     wb_quota_entry_t *entry = g_hash_table_lookup(ledger->entries, tenant);
     if (entry == NULL) {
         return; /* no limit, or one that this node's configuration doesn't have yet */
@@ -179,7 +180,7 @@
     entry_fill(entry, now_ms);
     entry->bucket.level = MIN(entry->bucket.level - admitted, entry->burst);
     wb_decayed_rate_add(&entry->asked, asked, DEMAND_TIME_S, now_ms);
-    class_add_usage(entry, use, now_ms);
+    class_add_usage(entry, usage, now_ms);
     wb_decayed_rate_add(&entry->admitted, admitted, ADMITTED_TIME_S, now_ms);
     wb_quota_node_t *node = node_get(ledger, node_name);
     node->reported = TRUE;
--- a/src/quota/quota_ledger.h
+++ b/src/quota/quota_ledger.h
@@ -48,7 +48,7 @@
 
 /** A node has reported its usage of one traffic class since its last report. */
 void wb_quota_ledger_report(wb_quota_ledger_t *ledger, const char *node,
-                            const wb_quota_usage_t *use, int64_t now_ms);
+                            const wb_quota_usage_t *usage, int64_t now_ms);
 /** A node is connected (again): nothing is deducted for it any more. */
 void wb_quota_ledger_node_connected(wb_quota_ledger_t *ledger, const char *node);
 /** A node is disconnected, but may go on admitting requests. */
