--- a/src/edge/node_directory.c
+++ b/src/edge/node_directory.c
@@ -21,7 +21,7 @@
 #define SELECT_AFTER_RESTART_MS 100
 /* Time in which a relay that has just started must complete its first full read. */
 #define RELAY_READ_TIMEOUT_MS 4000
-/* A relay sends at least a heartbeat each 500 ms. */
+/* A relay sends a heartbeat after 500 ms without changes. */
 #define RELAY_TIMEOUT_MS 1200
 #define RECONNECT_MS 100
 /* Time without a relay after which a subscriber reads the table itself; spread by node, as many may
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -10,7 +10,7 @@
 /* Encoded size of an engine in a message to gateways. */
 #define ENTRY_BYTES 16
 /* Received loads stay valid until the aggregator was unresponsive for this long; while it holds the
- * lease it sends store updates each 300 ms. */
+ * lease it sends store updates every 300 ms. */
 #define LOADS_LIFE_MS 2000
 /* Min backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
 #define BACKLOG_LOG_MS 1000.0
--- a/src/edge/node_relay.c
+++ b/src/edge/node_relay.c
@@ -119,8 +119,8 @@
     }
 }
 
-/* Placement updates may be ahead of rows: the answer includes the engines that hold the model by
- * updates only. */
+/* Appends an engine whose row doesn't list the model: it holds the model by a placement update,
+ * which may precede the row. */
 static void holds_append(GArray *holds, const wb_engine_t *engine, const char *model) {
     if (*model == '\0' || g_hash_table_contains(engine->state->models, model)) {
         return;
--- a/src/poison/poison_registry.h
+++ b/src/poison/poison_registry.h
@@ -13,11 +13,10 @@
  * set, and so do the cleared ones. So it doesn't matter in which order, how often and by which node
  * updates are sent.
  *
- * Bounds: WB_POISON_ENTRIES requests; the ones with the fewest engines are evicted, of those the
- * one that expires first. The crashes of a request expire `retention_ms` after the last one; a
- * refused request is then admitted again until one more crash. Long before, one node runs it as a
- * trial: a refused request that is in fact harmless could otherwise never be cleared by a complete
- * response.
+ * Bounds: WB_POISON_ENTRIES requests; the one with the fewest engines is evicted, of several such
+ * the first to expire. The crashes of a request expire `retention_ms` after the last one; a refused
+ * request is then admitted again until one more crash. Long before, one node runs it as a trial: a
+ * refused request that is in fact harmless could otherwise never be cleared by a complete response.
  *
  * Times are monotonic and in milliseconds. Pure: the time is passed in. No errors. Crash detection
  * and messages are handled elsewhere.
--- a/src/quota/equal_share.c
+++ b/src/quota/equal_share.c
@@ -147,8 +147,8 @@
     return has_share ? count_nodes(share, window_ms, now_ms) : 0;
 }
 
-/* Number of nodes ordered before this one. Counting more nodes never lowers it, so that even with
- * different lists no more nodes than units consider themselves entitled to one. */
+/* Number of nodes ordered before this one. A longer list of nodes never lowers it: nodes with
+ * different lists don't claim more units than there are. */
 static unsigned own_rank(const wb_equal_share_t *share) {
     uint64_t own = id_digest(share->own_id);
     unsigned preceding = 0;
