--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -10,19 +10,19 @@
 /* Encoded size of an engine in a message to gateways. */
 #define ENTRY_BYTES 16
 /* Received loads stay valid until the aggregator was unresponsive for this long; while it holds the
- * lease it sends store updates each 300 ms. */
+ * lease it sends store updates every 300 ms. */
 #define LOADS_LIFE_MS 2000
-/* Least backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
+/* Min backlog that is logged: such an engine misses most targets, which are 0.5 to 5 s. */
 #define BACKLOG_LOG_MS 1000.0
 #define LOG_INTERVAL_MS 1000
 
-/* Takes an engine's unreported use and resets it. Returns FALSE when there is none. */
-static gboolean engine_use_take(wb_engine_t *engine, wb_wire_engine_usage *use) {
+/* Takes an engine's unreported usage and resets it. Returns FALSE when there is none. */
+static gboolean engine_usage_take(wb_engine_t *engine, wb_wire_engine_usage *usage) {
     if (engine->tokens_sent <= 0 && engine->pace_min_percent == 0) {
         return FALSE;
     }
-    *use = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
-                                  (u_int)engine->tokens_sent};
+    *usage = (wb_wire_engine_usage){strdup(engine->state->id), engine->pace_min_percent,
+                                    (u_int)engine->tokens_sent};
     engine->pace_min_percent = 0;
     engine->tokens_sent = 0;
     return TRUE;
@@ -37,7 +37,7 @@
         wb_engine_t *engine = value;
         engine->pace_min_percent = wb_engine_pace_recent_min(&engine->pace, now_ms);
         /* Tokens sent before the link was open have been processed by now, or their clients have
-         * left. */
+         * disconnected. */
         engine->tokens_sent = 0;
     }
 }
@@ -55,7 +55,7 @@
     g_hash_table_iter_init(&iter, engines);
     while (g_hash_table_iter_next(&iter, NULL, &engine) &&
            demand->engines.engines_len < WB_WIRE_LIST_MAX) {
-        if (engine_use_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
+        if (engine_usage_take(engine, &demand->engines.engines_val[demand->engines.engines_len])) {
             demand->engines.engines_len++;
         }
     }
@@ -65,8 +65,8 @@
     guint count = demand->engines.engines_len;
     g_autofree wb_pace_report_t *reports = g_new0(wb_pace_report_t, MAX(count, 1));
     for (guint i = 0; i < count; i++) {
-        const wb_wire_engine_usage *use = &demand->engines.engines_val[i];
-        reports[i] = (wb_pace_report_t){use->engine, use->pace_percent, use->tokens};
+        const wb_wire_engine_usage *usage = &demand->engines.engines_val[i];
+        reports[i] = (wb_pace_report_t){usage->engine, usage->pace_percent, usage->tokens};
     }
     wb_pace_aggregate_report(node->pace_book, reports, count, wb_clock_ms());
 }
