--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -132,7 +132,8 @@
 void wb_cell_set_machine(wb_cell_t *cell, const char *id, const char *address, const char *zone,
                          wb_machine_state_t state, int64_t now_ms) {
     cell_engine_t *engine = engine_get(cell, id, address, zone, now_ms);
-    engine->machine = MAX(engine->machine, state); /* a draining machine does not return */
+    /* States only advance: live, draining, removed. */
+    engine->machine = MAX(engine->machine, state);
     engine_propose(cell, engine);
 }
 
--- a/src/cell/cell_adapters.c
+++ b/src/cell/cell_adapters.c
@@ -58,7 +58,8 @@
     return TRUE;
 }
 
-/* The ready replica without the adapter that has the most free memory, or NULL. */
+/* Of the loaded replicas of the model that don't hold the adapter, the one with the most free
+ * memory, or NULL. */
 static cell_engine_t *replica_choose(wb_cell_t *cell, const char *model, const char *adapter) {
     cell_engine_t *best = NULL;
     int64_t max_free_bytes = INT64_MIN;
@@ -84,7 +85,8 @@
     return best;
 }
 
-/* Number of usable engines that hold the adapter or load it; sets `batch` when there are any. */
+/* Number of usable engines that hold the adapter or load it. Sets `batch` to the batch size of one
+ * of them, if there are any. */
 static guint adapter_replicas(const wb_cell_t *cell, const char *model, const char *adapter,
                               int *batch) {
     guint count = 0;
@@ -121,7 +123,8 @@
         adapter_evict(cell, engine);
 }
 
-/* Unloads one adapter that is no longer declared, or was idle for the service's keep-alive time. */
+/* Unloads one adapter that is no longer declared, or has been idle for longer than the service's
+ * keep-alive time. */
 static void adapters_unload_idle(wb_cell_t *cell, cell_engine_t *engine, int64_t now_ms) {
     GHashTableIter models, adapters;
     gpointer model_value, adapter_value;
--- a/src/cell/cell_balance.c
+++ b/src/cell/cell_balance.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define BALANCE_INTERVAL_MS 2000
-#define MIN_DIFFERENCE 2 /* owned cells; a smaller one would move cells back and forth */
+#define MIN_DIFFERENCE 2 /* in owned cells; with 1, a cell would move back and forth */
 
 /* Number of cells owned by each node, according to gossip. */
 static GHashTable *owned_counts(wb_cell_host_t *host) {
--- a/src/cell/cell_bootstrap.c
+++ b/src/cell/cell_bootstrap.c
@@ -17,7 +17,7 @@
 #define NO_VERSION (-1)     /* of the machine list: read it in full */
 #define MAINTAIN_INTERVAL_MS 500
 #define SURVIVOR_DELAY_DIVISOR 4 /* a surviving member's delay is divided by this */
-#define POSITION_DELAY_MS 2000   /* between nodes, by rendezvous hashing */
+#define POSITION_DELAY_MS 2000   /* per position of the node by rendezvous hashing */
 
 /* A change of a cell's row: bootstrap, recovery or a member change. */
 typedef struct row_change_t {
@@ -73,7 +73,8 @@
     wb_platform_transact(change->host->parts.platform, checks, writes, done, change);
 }
 
-/* This node, then alive nodes of other zones, then of its own, each by rendezvous hashing. */
+/* Adds up to group_size members: this node, then alive nodes of other zones, then of its own zone,
+ * each in the order of rendezvous hashing. */
 static void members_choose(wb_cell_host_t *host, const char *cell, GPtrArray *members) {
     const wb_member_table_t *table = wb_membership_table(host->parts.membership);
     g_ptr_array_add(members, g_strdup(host->node));
@@ -140,7 +141,7 @@
     row_change_free(change);
 }
 
-/* A later process of the same machine is known, so this one has ended. */
+/* Whether a later process of the node's machine is known, so that the node has certainly ended. */
 static gboolean node_was_replaced(wb_cell_host_t *host, const char *node) {
     char id[128], other[128];
     wb_member_machine_id(node, id, sizeof(id));
@@ -154,7 +155,8 @@
     return FALSE;
 }
 
-/* Whether the member has certainly ended. One that this node has never heard from may be alive. */
+/* Whether the member has certainly ended. A member unknown to both gossip and the machine list may
+ * be alive. */
 static gboolean member_is_gone(wb_cell_host_t *host, const json_t *machines, const char *node) {
     const wb_member_t *member =
         wb_member_table_find(wb_membership_table(host->parts.membership), node);
@@ -171,8 +173,9 @@
     return FALSE;
 }
 
-/* Whether the cell may be recovered: no other member of its row can still act. Another survivor
- * would first have to promise the new era. */
+/* Whether the cell may be recovered: all other members of its row are gone. One that is alive could
+ * still act in the old era, as it hasn't promised the new one. A group whose only member is
+ * this node needs no recovery. Sets `self_is_listed` if this node is a member of the row. */
 static gboolean others_are_gone(row_change_t *change, const json_t *machines,
                                 gboolean *self_is_listed) {
     size_t index;
@@ -259,7 +262,7 @@
     }
     if (hosted->ownerless_since_ms == 0)
         hosted->ownerless_since_ms = now_ms;
-    /* No delay for a cell that never had an owner; otherwise the group has time for an election.
+    /* The delay gives the group time for an election; a cell that never had an owner needs none.
      * Surviving members come first: they may hold the newest record. */
     int64_t delay_ms = owner != NULL ? host->options.orphan_after_ms : 0;
     if (self_is_member(hosted))
@@ -275,7 +278,7 @@
     wb_platform_read_row(host->parts.platform, key, bootstrap_on_row, change);
 }
 
-/* Proposes the members to the group, once they stand in the row. */
+/* Proposes the members to the group, after they were written to the row. */
 static void members_propose(row_change_t *change) {
     hosted_cell_t *hosted = cell_host_find(change->host, change->cell);
     if (hosted == NULL || hosted->group == NULL)
--- a/src/cell/cell_claims.c
+++ b/src/cell/cell_claims.c
@@ -1,7 +1,7 @@
 /* Grants claims: the single execution of a request that is not repeatable, by its idempotency key.
  *
- * A claim is granted only after its command is committed, so that a new owner knows it. Requests
- * that arrive at a node which is not the owner, or has no quorum, are refused. */
+ * A claim is granted only after its command is committed, so that a new owner knows it. A node
+ * that is not the owner, or has no quorum, refuses claim requests. */
 #include "cell_host_types.h"
 
 #include "wickbridge/log.h"
@@ -56,7 +56,7 @@
     reply_refused(hosted->host, node, message->request, "the cell's owner has just changed");
 }
 
-/* Replies to a lookup: a request without a stream, which has nothing to execute. */
+/* Answers a lookup, that is, a claim request without a stream, which asks for no run. */
 static void claim_look_up(wb_cell_host_t *host, const char *node, uint64_t request,
                           const wb_claim_t *claim) {
     if (claim == NULL)
@@ -112,7 +112,7 @@
 void cell_claim_on_done(wb_cell_host_t *host, const wb_wire_claim_done *done) {
     hosted_cell_t *hosted = cell_host_find_model(host, done->model);
     if (hosted == NULL || hosted->cell == NULL)
-        return; /* a retry reads the response from the engine */
+        return; /* the response isn't recorded; a retry reads it from the engine */
     wb_wire_command command = {.kind = WB_WIRE_COMMAND_CLAIM_DONE};
     wb_wire_claim *claim = &command.wb_wire_command_u.claim_done;
     claim->model = done->model;
--- a/src/cell/cell_loads.c
+++ b/src/cell/cell_loads.c
@@ -32,13 +32,13 @@
     g_ptr_array_add(cell->loads, load);
 }
 
-static void speed_update(wb_cell_t *cell, const cell_load_t *load, int64_t now_ms) {
+static void load_time_update(wb_cell_t *cell, const cell_load_t *load, int64_t now_ms) {
     double gib = (double)load->bytes / GIB;
     if (gib <= 0.0)
         return;
     double measured = (double)(now_ms - load->started_ms) / gib;
-    double *speed = &cell->ms_per_gib[load->source];
-    *speed = (1.0 - MEASUREMENT_WEIGHT) * *speed + MEASUREMENT_WEIGHT * measured;
+    double *average = &cell->ms_per_gib[load->source];
+    *average = (1.0 - MEASUREMENT_WEIGHT) * *average + MEASUREMENT_WEIGHT * measured;
 }
 
 void cell_loads_observe(wb_cell_t *cell, const cell_engine_t *engine, int64_t now_ms) {
@@ -50,7 +50,7 @@
         if (held != NULL && held->state == WB_LOAD_LOADING)
             continue;
         if (held != NULL && held->state == WB_LOAD_LOADED)
-            speed_update(cell, load, now_ms);
+            load_time_update(cell, load, now_ms);
         g_ptr_array_remove_index_fast(cell->loads, i);
     }
 }
--- a/src/cell/cell_placement.c
+++ b/src/cell/cell_placement.c
@@ -1,6 +1,6 @@
 /* Chooses the engine for a new replica, and the idle models to evict when no engine has enough free
  * memory. Costs are in milliseconds, sizes in bytes. An engine that evicts models is reserved for
- * the new replica until its memory is free or RESERVATION_TIMEOUT_MS have passed. */
+ * the new replica until enough memory is free or RESERVATION_TIMEOUT_MS have passed. */
 #include "cell_types.h"
 
 #define GIB (1024.0 * 1024.0 * 1024.0)
@@ -140,6 +140,8 @@
     int64_t cost_ms;
 } candidate_t;
 
+/* Sets the candidate's cost and the models to evict. Returns FALSE if the engine can't take the
+ * model. */
 static gboolean candidate_evaluate(wb_cell_t *cell, cell_engine_t *engine, const wb_model_t *model,
                                    candidate_t *candidate) {
     if (!cell_engine_is_usable(engine) || engine->inventory->capacity_bytes < model->memory_bytes ||
--- a/src/cell/cell_step.c
+++ b/src/cell/cell_step.c
@@ -1,6 +1,6 @@
 /* One pass of a cell's decisions: fences engines, adds, loads and removes slots, unloads surplus
- * replicas, and sends changed routes. Decisions leave as commands and orders; one that can't be
- * made now is tried again in the next step. Times are in milliseconds. */
+ * replicas, and sends changed routes. Decisions are sent as commands and orders; a decision that
+ * can't be made now is tried again in the next step. Times are in milliseconds. */
 #include "cell_types.h"
 
 #define GATEWAY_EXPIRY_MS 15000
@@ -21,7 +21,8 @@
     }
 }
 
-/* The engine holds a model that has no slot, which is possible after a majority was lost. */
+/* Whether the engine holds the model without a slot, which is possible after a majority was lost.
+ */
 static gboolean engine_has_stray(const wb_cell_t *cell, const cell_engine_t *engine,
                                  const char *model) {
     return engine->machine != WB_MACHINE_REMOVED && cell_held_model(engine, model) != NULL &&
@@ -69,6 +70,7 @@
     }
 }
 
+/* Copies the names, which may belong to the slot: applying the command frees it. */
 static void slot_remove_propose(wb_cell_t *cell, const char *model, const char *engine) {
     char pair[CELL_PAIR_SIZE];
     cell_pair(pair, model, engine);
@@ -180,6 +182,7 @@
     return count;
 }
 
+/* Batch size of any engine whose inventory is known; 1 if there is none. */
 static int64_t typical_batch(const wb_cell_t *cell) {
     GHashTableIter iterator;
     gpointer value;
@@ -192,7 +195,7 @@
     return 1;
 }
 
-/* No request waits or runs, and none has within the keep-alive time. */
+/* No request waits or runs and, if the model has slots, none has within the keep-alive time. */
 static gboolean model_is_idle(wb_cell_t *cell, const wb_model_t *model, const cell_demand_t *demand,
                               int64_t now_ms) {
     if (demand->waiting + demand->running > 0)
@@ -256,7 +259,8 @@
 
 static void model_step(wb_cell_t *cell, const wb_model_t *model, cell_demand_t demand,
                        int64_t now_ms) {
-    /* A new owner has not received all demand yet: no model is idle before a keep-alive time. */
+    /* A new owner has not received all demand yet, so for a model with slots the keep-alive time
+     * starts no earlier than this owner did. */
     demand.used_ms = MAX(
         demand.used_ms, wb_record_slot_count(cell->record, model->name) > 0 ? cell->started_ms : 0);
     gboolean idle = model_is_idle(cell, model, &demand, now_ms);
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -1,6 +1,7 @@
-/* Types and functions that the files of a cell's decisions share. Not for other modules. Pure: no
- * clock, socket or lock inside. Times are milliseconds of the caller's monotonic clock, sizes are
- * bytes; lookups return NULL when there is no match. */
+/* Internal types and functions of a cell (cell.h), shared by cell.c, cell_step.c, cell_placement.c,
+ * cell_adapters.c, cell_loads.c, cell_route.c, cell_policy.c and cell_explain.c. Pure: no clock,
+ * socket or lock inside. Times are milliseconds of the caller's monotonic clock, sizes are bytes;
+ * lookups return NULL when there is no match. */
 #ifndef WICKBRIDGE_CELL_TYPES_H
 #define WICKBRIDGE_CELL_TYPES_H
 
@@ -31,7 +32,7 @@
     uint64_t last_fence;       /* highest fencing number sent */
     int64_t retry_at_ms;       /* no orders before this */
     wb_inventory_t *inventory; /* NULL until fenced */
-    char *reserved_for;        /* model that freed memory is kept for, or NULL */
+    char *reserved_for;        /* model for which memory is being freed, or NULL */
     int64_t reserved_since_ms;
 } cell_engine_t;
 
@@ -146,7 +147,7 @@
 /* cell_loads.c */
 void cell_load_record_start(wb_cell_t *cell, const cell_engine_t *engine, const char *model,
                             int64_t bytes, int64_t now_ms);
-/* Ends the loads that a new inventory shows as finished, and measures their speed. */
+/* Ends the loads that a new inventory shows as finished, and measures their load time per GiB. */
 void cell_loads_observe(wb_cell_t *cell, const cell_engine_t *engine, int64_t now_ms);
 /* Number of loads in progress from the weight store. */
 guint cell_remote_loads(const wb_cell_t *cell);
--- a/src/cell/group.c
+++ b/src/cell/group.c
@@ -6,6 +6,7 @@
 
 #include <string.h>
 
+/* Min heartbeats between full records to a member that has acknowledged nothing. */
 #define STATE_RESEND_HEARTBEATS 3
 
 /* Another member, as the owner knows it. */
@@ -35,7 +36,7 @@
     int64_t sent_ms;             /* last heartbeat or vote request */
     GHashTable *peers;           /* owner and candidate: name -> group_peer_t */
     GHashTable *voters;          /* candidate: nodes that granted a vote */
-    gboolean forced;             /* candidate: granted despite an active owner, which handed over */
+    gboolean forced;             /* candidate: after a hand-over; voters ignore the active owner */
     wb_record_t *best_record;    /* candidate: newest record among the votes */
     uint64_t best_epoch;
     uint64_t best_sequence;
