--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -73,7 +73,8 @@
     return request;
 }
 
-/* The key has run or is running already: reads that run's response from its engine. */
+/* A request with this key has run or is running already: reads that run's response from its engine.
+ */
 static void claim_attach(gw_request_t *request, const wb_wire_claim_response *response) {
     target_release(request, FALSE, FALSE, 0);
     g_free(request->engine);
@@ -92,7 +93,8 @@
     run_attach(request);
 }
 
-/* Answers with the response that the owner kept; if it kept none, reads it from the engine. */
+/* Answers with the response that the owner kept; if it kept none, or the client wants a stream,
+ * reads it from the engine. */
 static void claim_send_kept_response(gw_request_t *request,
                                      const wb_wire_claim_response *response) {
     if (*response->answer == '\0' || request->streaming) {
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -71,8 +71,8 @@
     STAGE_FINISHED
 } gw_stage_t;
 
-/* A client's request. It moves from thread to thread, with one at a time in charge of it; the lock
- * guards the members that others access meanwhile (stage, exchange, call, client_gone). */
+/* A client's request. At any time one thread processes it; the lock guards the members that other
+ * threads access meanwhile (stage, exchange, call, client_gone). */
 struct gw_request_t {
     int references;
     GMutex lock;
@@ -185,7 +185,7 @@
  * passes them to run_start_all after it unlocked the shard. */
 void target_dispatch(wb_gateway_t *gateway, gw_target_t *target, GQueue *starting, int64_t now_ms);
 /* Ends the request's use of its replica, if any, and starts queued requests. queue_full: the engine
- * refused it because its queue is full. down_ms > 0: use the replica no more for that time. Must
+ * refused it because its queue is full. down_ms > 0: the replica isn't used for that time. Must
  * be called without the shard's lock. */
 void target_release(gw_request_t *request, gboolean success, gboolean queue_full, int64_t down_ms);
 /* Records a loss of the cell's owner: lost is TRUE if demand couldn't be sent. Returns TRUE if
--- a/src/gateway/request.c
+++ b/src/gateway/request.c
@@ -1,5 +1,5 @@
-/* Parses and validates clients' requests: path, headers and JSON body. An invalid one is answered
- * with HTTP status 400 or 404. Deadlines are in milliseconds. */
+/* Parses and validates clients' requests: path, headers and JSON body. An invalid request is
+ * answered with HTTP status 400 or 404. Deadlines are in milliseconds. */
 #include "gateway_types.h"
 
 #include "wickbridge/json.h"
--- a/src/gateway/response.c
+++ b/src/gateway/response.c
@@ -1,4 +1,4 @@
-/* Finishes requests: sends the client's response or error, with a verdict on whether the request
+/* Finishes requests: sends the client a response or an error, with a verdict on whether the request
  * ran (not-run, may-have-run, completed), and keeps the last RECENT_MAX outcomes for explain.
  *
  * Retry times are in milliseconds and rounded up to seconds in Retry-After. */
--- a/src/gateway/run.c
+++ b/src/gateway/run.c
@@ -15,7 +15,8 @@
 
 #define RESUME_LIMIT 3
 #define RESUME_DELAY_MS 60
-#define RESUME_TIMEOUT_MS 1500 /* of a DELETE for a stream */
+#define DELETE_TIMEOUT_MS 1500 /* of a DELETE for a stream */
+/* Times for which a replica isn't used, by reason. */
 #define DOWN_UNREACHABLE_MS 1000
 #define DOWN_NOT_LOADED_MS 200
 #define DOWN_DRAINING_MS 5000
@@ -37,8 +38,8 @@
                            request->stream, query);
 }
 
-/* The stream to the client has ended; complete is FALSE if the client disconnected. On an HTTP
- * server thread. A run with a key goes on, for retries. */
+/* The stream to the client has ended; complete is FALSE if the client disconnected. A run
+ * with a key goes on, so that a retry can get its response. On an HTTP server thread. */
 static void stream_closed(gboolean complete, void *context) {
     gw_request_t *request = context;
     if (!complete && request->key == NULL) {
@@ -136,7 +137,7 @@
  * reference, which the next call or request_unref drops. */
 static void engine_call_start(gw_request_t *request, wb_http_request_t *call) {
     request->stage = STAGE_RUNNING;
-    /* The call may end, and drop its reference, before the handle is stored. */
+    /* run_done may drop the request's last reference before the handle is stored. */
     request_ref(request);
     call->keep_handle = TRUE;
     request_set_call(request, wb_http_client_call(http_client_for(request), call));
@@ -226,7 +227,7 @@
     g_autofree char *url = stream_url(request, "");
     wb_http_request_t call = {.method = "DELETE",
                               .url = url,
-                              .timeout_ms = RESUME_TIMEOUT_MS,
+                              .timeout_ms = DELETE_TIMEOUT_MS,
                               .on_done = cancel_done,
                               .context = request_ref(request)};
     wb_http_client_call(http_client_for(request), &call);
@@ -353,12 +354,12 @@
     json_decref(body);
 }
 
-/* The engine doesn't know the stream. Forbids it there, so that it is certain never to start. */
+/* The engine doesn't know the stream. Forbids it on the engine, so that it can never start. */
 static void run_forbid(gw_request_t *request) {
     g_autofree char *url = stream_url(request, "");
     wb_http_request_t call = {.method = "DELETE",
                               .url = url,
-                              .timeout_ms = RESUME_TIMEOUT_MS,
+                              .timeout_ms = DELETE_TIMEOUT_MS,
                               .on_done = forbid_done,
                               .context = request};
     engine_call_start(request, &call);
--- a/src/gateway/target.c
+++ b/src/gateway/target.c
@@ -129,7 +129,8 @@
     return NULL;
 }
 
-/* Removes replicas that have left the route, once this gateway's requests on them have ended. */
+/* Removes replicas that are no longer in the route, once this gateway's requests on them have
+ * ended. */
 static void replicas_sweep(gw_target_t *target) {
     for (guint i = target->replicas->len; i-- > 0;) {
         const gw_replica_t *replica = target->replicas->pdata[i];
@@ -241,7 +242,7 @@
     GQueue refused;
 } route_check_t;
 
-/* Whether the route update means that a queued request can't be served in time. */
+/* Whether the route update means that a queued request can't be served in time; collects those. */
 static gboolean request_is_refused(gpointer item, gpointer context) {
     gw_request_t *request = item;
     route_check_t *check = context;
--- a/src/gateway/target_demand.c
+++ b/src/gateway/target_demand.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define ACTIVE_INTERVAL_MS 1000 /* between messages while requests are queued or running */
-#define CHANGE_INTERVAL_MS 100  /* min between messages while the owner must act or demand ends */
+#define CHANGE_INTERVAL_MS 100  /* min while requests wait for a route, and when demand ends */
 #define TARGET_RETENTION_MS 300000
 #define RETRY_AFTER_MS 1000
 
