--- a/src/node/main.c
+++ b/src/node/main.c
@@ -135,7 +135,7 @@
     g_usleep(FLUSH_DELAY_MS * 1000);
 }
 
-/* Before any thread starts, so that only sigwait receives SIGTERM and SIGINT. */
+/* Call before any thread starts, so that only sigwait receives SIGTERM and SIGINT. */
 static void signals_block(sigset_t *set) {
     sigemptyset(set);
     sigaddset(set, SIGTERM);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -133,8 +133,8 @@
     wb_node_update_ready(context);
 }
 
-/* Returns a name unique to this start: a restarted node has lost its state, so it must not be taken
- * for the one before. */
+/* Returns a name unique to this start: a restarted node has lost its state, so it must not be
+ * mistaken for the previous process. */
 static char *incarnation_name_create(const char *id) {
     return g_strdup_printf("%s~%" G_GINT64_MODIFIER "x%04x", id,
                            (guint64)(g_get_real_time() / 1000), g_random_int() & 0xffff);
