--- a/src/ctl/commands_config.c
+++ b/src/ctl/commands_config.c
@@ -15,7 +15,7 @@
     uint64_t version; /* in force */
     json_t *set;
     json_t *remove;
-    json_t *before; /* in force */
+    json_t *before; /* objects in force */
 } difference_t;
 
 static void difference_clear(difference_t *difference) {
--- a/src/ctl/commands_policy.c
+++ b/src/ctl/commands_policy.c
@@ -48,10 +48,10 @@
     };
 }
 
-static json_t *result_describe(wb_policy_result_t answer, int64_t value, const wb_error_t *error) {
-    if (answer == WB_POLICY_OK)
+static json_t *result_describe(wb_policy_result_t outcome, int64_t value, const wb_error_t *error) {
+    if (outcome == WB_POLICY_OK)
         return json_integer((json_int_t)value);
-    return json_string(answer == WB_POLICY_UNDEFINED ? "built-in" : error->message);
+    return json_string(outcome == WB_POLICY_UNDEFINED ? "built-in" : error->message);
 }
 
 /* Runs one situation. Returns the policy's results as JSON; adds to failures. */
@@ -60,17 +60,17 @@
     wb_error_t error = {0};
     int64_t value = 0;
     gint64 started_us = g_get_monotonic_time();
-    wb_policy_result_t answer = wb_policy_keep_alive(program, &model, &value, &error);
-    *failures += answer == WB_POLICY_FAILED;
+    wb_policy_result_t outcome = wb_policy_keep_alive(program, &model, &value, &error);
+    *failures += outcome == WB_POLICY_FAILED;
     json_t *result = json_pack("{s:s, s:o}", "model", model.name, "keep_alive_ms",
-                               result_describe(answer, value, &error));
+                               result_describe(outcome, value, &error));
     const json_t *engine = json_object_get(entry, "engine");
     if (engine != NULL) {
         wb_policy_engine_t policy_engine = engine_read(engine);
-        answer = wb_policy_placement_cost(program, &model, &policy_engine, &value, &error);
-        *failures += answer == WB_POLICY_FAILED;
+        outcome = wb_policy_placement_cost(program, &model, &policy_engine, &value, &error);
+        *failures += outcome == WB_POLICY_FAILED;
         json_object_set_new(result, "engine", json_string(policy_engine.id));
-        json_object_set_new(result, "placement_cost_ms", result_describe(answer, value, &error));
+        json_object_set_new(result, "placement_cost_ms", result_describe(outcome, value, &error));
     }
     json_object_set_new(result, "took_us", json_integer(g_get_monotonic_time() - started_us));
     return result;
--- a/src/ctl/commands_trace.c
+++ b/src/ctl/commands_trace.c
@@ -1,5 +1,5 @@
-/* The command "trace": prints a request's JSON log lines from the log files of all nodes, in order
- * of time. */
+/* The command "trace": prints a request's JSON log lines from the log files of all nodes, sorted
+ * by time. */
 #include "ctl.h"
 
 #include "wickbridge/json.h"
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -45,7 +45,8 @@
 } ctl_declarations_t;
 
 /* Reads a file, or all *.yaml and *.yml files of a directory in order of their names. On an error,
- * APR_EINVAL with file and line; declarations then hold what was read so far. */
+ * APR_EINVAL with file and line; declarations then hold what was read so far. The caller clears
+ * them in both cases. */
 apr_status_t ctl_declarations_read(const char *path, ctl_declarations_t *declarations,
                                    wb_error_t *error);
 void ctl_declarations_clear(ctl_declarations_t *declarations);
@@ -60,7 +61,7 @@
 } ctl_answer_t;
 
 /* Calls the first node that accepts a connection. APR_SUCCESS for any HTTP status with a JSON
- * body; clear the answer. */
+ * body; the caller then clears the answer. */
 apr_status_t ctl_request(const ctl_options_t *options, const char *method, const char *path,
                          const json_t *body, ctl_answer_t *answer, wb_error_t *error);
 /* The same for one node. APR_ECONNREFUSED if no connection was made. */
--- a/src/ctl/declarations.c
+++ b/src/ctl/declarations.c
@@ -16,8 +16,8 @@
 
 static void line_record(const file_reader_t *reader, const char *key, const char *member,
                         const yaml_node_t *node) {
-    char *index = *member != '\0' ? g_strconcat(key, ".", member, NULL) : g_strdup(key);
-    g_hash_table_replace(reader->declarations->lines, index,
+    char *line_key = *member != '\0' ? g_strconcat(key, ".", member, NULL) : g_strdup(key);
+    g_hash_table_replace(reader->declarations->lines, line_key,
                          g_strdup_printf("%s:%zu", reader->file, node->start_mark.line + 1));
 }
 
@@ -162,8 +162,8 @@
 
 const char *ctl_declarations_locate(const ctl_declarations_t *declarations,
                                     const wb_config_fault_t *fault) {
-    g_autofree char *index = g_strconcat(fault->key, ".", fault->member, NULL);
-    const char *location = g_hash_table_lookup(declarations->lines, index);
+    g_autofree char *line_key = g_strconcat(fault->key, ".", fault->member, NULL);
+    const char *location = g_hash_table_lookup(declarations->lines, line_key);
     if (location == NULL)
         location = g_hash_table_lookup(declarations->lines, fault->key);
     return location != NULL ? location : "in force already";
--- a/src/ctl/request.c
+++ b/src/ctl/request.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 2000L
-#define ANSWER_TIMEOUT_MS 30000L
+#define RESPONSE_TIMEOUT_MS 30000L
 
 static size_t body_collect(char *data, size_t size, size_t count, void *context) {
     g_string_append_len(context, data, (gssize)(size * count));
@@ -39,7 +39,7 @@
     curl_easy_setopt(curl, CURLOPT_PROXY, "");
     curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
     curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, ANSWER_TIMEOUT_MS);
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, RESPONSE_TIMEOUT_MS);
     curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, body_collect);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, collected);
     if (text != NULL)
