--- a/src/cell/cell_bootstrap.c
+++ b/src/cell/cell_bootstrap.c
@@ -272,7 +272,7 @@
     if (hosted->row_call_pending || host->handing_over ||
         now_ms - hosted->ownerless_since_ms < delay_ms)
         return;
-    hosted->ownerless_since_ms = now_ms - delay_ms + POSITION_DELAY_MS; /* next attempt */
+    hosted->ownerless_since_ms = now_ms - delay_ms + POSITION_DELAY_MS; /* to retry after that */
     row_change_t *change = row_change_create(hosted);
     g_autofree char *key = row_key(hosted->name);
     wb_platform_read_row(host->parts.platform, key, bootstrap_on_row, change);
--- a/src/cell/cell_step.c
+++ b/src/cell/cell_step.c
@@ -21,8 +21,7 @@
     }
 }
 
-/* Whether the engine holds the model without a slot, which is possible after a majority was lost.
- */
+/* Whether the engine holds the model without a slot: possible after a majority was lost. */
 static gboolean engine_has_stray(const wb_cell_t *cell, const cell_engine_t *engine,
                                  const char *model) {
     return engine->machine != WB_MACHINE_REMOVED && cell_held_model(engine, model) != NULL &&
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -117,11 +117,14 @@
                                const char *except_model);
 guint cell_zone_replicas(const wb_cell_t *cell, const char *model, const char *zone);
 cell_source_t cell_source(const cell_engine_t *engine, const char *model);
+/* From the fastest source that the engine has. */
 int64_t cell_load_estimate_ms(const wb_cell_t *cell, const cell_engine_t *engine, const char *model,
                               int64_t bytes);
 /* Proposes a slot for the model, or starts evictions for one. Returns the reason when neither is
  * possible, a static string, or NULL. */
 const char *cell_place(wb_cell_t *cell, const wb_model_t *model, int64_t now_ms);
+/* Whether the model has no demand, and the engine neither runs requests of it nor loads or unloads
+ * it. */
 gboolean cell_model_is_idle_on(const wb_cell_t *cell, const cell_engine_t *engine,
                                const char *model);
 
--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -73,8 +73,7 @@
     return request;
 }
 
-/* A request with this key has run or is running already: reads that run's response from its engine.
- */
+/* A request with this key has run or is running: reads that run's response from its engine. */
 static void claim_attach(gw_request_t *request, const wb_wire_claim_response *response) {
     target_release(request, FALSE, FALSE, 0);
     g_free(request->engine);
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -76,7 +76,7 @@
     return cell;
 }
 
-/* Returns why a new request can't be served by its deadline, and when to retry, or NULL if it can.
+/* Returns why a new request is refused, and when to retry, or NULL if it is admitted.
  * The shard's lock must be held. */
 static const char *admission_check(const wb_gateway_t *gateway, const gw_target_t *target,
                                    const gw_request_t *request, int64_t *retry_after_ms) {
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -72,7 +72,8 @@
 } gw_stage_t;
 
 /* A client's request. At any time one thread processes it; the lock guards the members that other
- * threads access meanwhile (stage, exchange, call, client_gone). */
+ * threads access meanwhile (stage, exchange, call, client_gone). The queue, pending claim, engine
+ * call or timer that the request is in owns a reference. */
 struct gw_request_t {
     int references;
     GMutex lock;
