--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -24,7 +24,7 @@
 /** State of an engine's machine in the platform's machine list. */
 typedef enum wb_machine_state_t {
     WB_MACHINE_LIVE,
-    WB_MACHINE_DRAINING, /**< to be stopped: its engines get no new models */
+    WB_MACHINE_DRAINING, /**< about to be removed; its engines' models are unloaded */
     WB_MACHINE_REMOVED   /**< permanently removed */
 } wb_machine_state_t;
 
--- a/include/wickbridge/http_client.h
+++ b/include/wickbridge/http_client.h
@@ -39,7 +39,7 @@
     size_t body_length;
     int64_t retry_after_ms; /**< from Retry-After, -1 if absent */
     const char *reason;     /**< one line on why the call failed */
-    const char *seed;       /**< from Engine-Seed, NULL if absent */
+    const char *seed; /**< from Engine-Seed, NULL if absent; invalid after wb_http_client_fetch */
 } wb_http_result_t;
 
 typedef void (*wb_http_done_fn)(const wb_http_result_t *result, void *context);
--- a/include/wickbridge/http_pool.h
+++ b/include/wickbridge/http_pool.h
@@ -2,8 +2,9 @@
  * @file http_pool.h
  * @brief HTTP client for short calls to one address, over a small pool of keep-alive connections.
  *
- * Responses are collected in memory. Each connection carries one call at a time. Times are in
- * milliseconds. Failures are reported as a wb_http_outcome_t. Loop thread only.
+ * Responses are collected in memory; a body over 32 MiB is delivered incomplete, without an error.
+ * Each connection carries one call at a time. Times are in milliseconds. Failures are reported as a
+ * wb_http_outcome_t. Loop thread only.
  */
 #ifndef WICKBRIDGE_HTTP_POOL_H
 #define WICKBRIDGE_HTTP_POOL_H
--- a/include/wickbridge/http_server.h
+++ b/include/wickbridge/http_server.h
@@ -74,7 +74,7 @@
                                    const char *content_type, wb_http_close_fn on_close,
                                    void *context);
 
-/** Append data to a stream. @return bytes buffered and not yet sent to the client */
+/** Append data to a stream. @return bytes buffered and not yet taken by libmicrohttpd */
 size_t wb_http_exchange_stream_write(wb_http_exchange_t *exchange, const char *data, size_t length);
 
 /**
--- a/include/wickbridge/inventory.h
+++ b/include/wickbridge/inventory.h
@@ -44,7 +44,8 @@
     GHashTable *memory_copies; /**< set of models whose weights are cached in host memory */
 } wb_inventory_t;
 
-/** Parse an inventory. @return the inventory, or NULL if the JSON is malformed */
+/** Parse an inventory. @return the inventory, owned by the caller, or NULL if its id or fencing
+ * number is missing */
 wb_inventory_t *wb_inventory_parse(const json_t *body);
 wb_inventory_t *wb_inventory_create(const char *engine);
 void wb_inventory_free(wb_inventory_t *inventory);
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -6,7 +6,7 @@
  * Engines don't check fencing tokens, so the lease relies on time alone. The holder may send orders
  * until duration_ms after it *sent* its last successful renewal. Another node takes the lease over
  * once it has seen the row unchanged for duration_ms + margin_ms, or at once if the row is marked
- * as released. It may order engines that the last row names only handover_interval_ms later
+ * as released. It waits handover_interval_ms before it orders an engine that the last row names
  * (lease_grants.h), so at least handover_interval_ms passes between the orders of two holders to
  * one engine. The token increases with each takeover. A restarted process on the holder's machine
  * takes the lease over at once.
--- a/include/wickbridge/table_watch.h
+++ b/include/wickbridge/table_watch.h
@@ -50,7 +50,7 @@
 
 /** Create a watch and start the full read. @param table must outlive the watch */
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
-                                        const wb_table_watch_intervals_t *pace,
+                                        const wb_table_watch_intervals_t *intervals,
                                         const wb_table_watch_events_t *events);
 /** Set the row limit above which on_row_limit is called; 0: none. */
 void wb_table_watch_set_row_limit(wb_table_watch_t *watch, unsigned rows);
@@ -60,7 +60,8 @@
 /** After on_row_limit: forget all rows and don't read the table; rows come from
  * wb_table_watch_apply_row only. The watch counts as synced. */
 void wb_table_watch_follow_subset(wb_table_watch_t *watch);
-void wb_table_watch_set_intervals(wb_table_watch_t *watch, const wb_table_watch_intervals_t *pace);
+void wb_table_watch_set_intervals(wb_table_watch_t *watch,
+                                  const wb_table_watch_intervals_t *intervals);
 /** Apply a row that another node has read. Ignored if a newer version is known, or before the first
  * full read is complete. */
 void wb_table_watch_apply_row(wb_table_watch_t *watch, const wb_table_row_t *row);
--- a/src/catalog/catalog.c
+++ b/src/catalog/catalog.c
@@ -163,10 +163,10 @@
     route->split_point = fmod(route->split_point + GOLDEN_RATIO, 1.0);
     double remaining = route->split_point * total;
     for (guint i = 0; i < route->parts->len; i++) {
-        const wb_route_target_t *part = &g_array_index(route->parts, wb_route_target_t, i);
-        if (remaining < part->weight)
-            return part->service;
-        remaining -= part->weight;
+        const wb_route_target_t *target = &g_array_index(route->parts, wb_route_target_t, i);
+        if (remaining < target->weight)
+            return target->service;
+        remaining -= target->weight;
     }
     return g_array_index(route->parts, wb_route_target_t, route->parts->len - 1).service;
 }
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -10,7 +10,7 @@
 #define FOLLOW_RETRY_MS 250
 /* Consecutive failures after which an engine counts as unreachable. */
 #define UNREACHABLE_FAILURES 2
-/* Added to the long poll's wait for the timeout of the call. */
+/* Added to the duration of the long poll to get the timeout of the call. */
 #define RESPONSE_MARGIN_MS 1500
 
 /* An engine whose inventory is followed. */
@@ -54,7 +54,7 @@
     g_free(follow);
 }
 
-/* Frees a follow now, or once its call has ended. */
+/* Stops following an engine; frees its state now, or once the call or timer under way has ended. */
 static void follow_release(gpointer data) {
     follow_t *follow = data;
     follow->stopped = TRUE;
--- a/src/http/http_listener.c
+++ b/src/http/http_listener.c
@@ -70,7 +70,7 @@
     }
 }
 
-/* Frees the connection; while connection_advance runs, it is freed at the end of that. */
+/* Frees the connection; while connection_advance runs, leaves that to connection_advance. */
 static void connection_free(wb_http_connection_t *connection) {
     g_hash_table_remove(connection->listener->connections, connection);
     connection->closed = TRUE;
@@ -187,7 +187,7 @@
     connection->request = request;
 }
 
-/* Replies with an error status and closes the connection; the rest of its input isn't read. */
+/* Replies with an error status and closes the connection; the rest of its input is discarded. */
 static void connection_refuse(wb_http_connection_t *connection, unsigned status) {
     connection->keep_alive = FALSE;
     connection->running = TRUE;
@@ -249,8 +249,8 @@
     while (!connection->closed && !connection->running && connection->pending->len > 0) {
         if (connection->began_ms == 0)
             connection->began_ms = wb_clock_ms();
-        /* Moves the bytes out first: the request may be answered, and `pending` used again, inside
-         * this call. */
+        /* Takes the bytes out first: wb_http_reader_feed may run a request that is answered at
+         * once, and `pending` may be used again meanwhile. */
         GByteArray *input = connection->pending;
         connection->pending = g_byte_array_new();
         size_t used =
@@ -317,7 +317,7 @@
     g_hash_table_add(listener->connections, connection);
 }
 
-/* Closes a connection that is idle, or whose request head arrives too slowly. */
+/* Refuses a request whose head arrives too slowly, and closes an idle connection. */
 static void connection_check(wb_http_connection_t *connection, int64_t now_ms) {
     const wb_http_limits_t *limits = &connection->listener->limits;
     if (connection->running)
--- a/src/http/http_pool.c
+++ b/src/http/http_pool.c
@@ -229,8 +229,8 @@
     return text;
 }
 
-/* Takes the last used idle connection out of the pool, or returns NULL. Closes those that are
- * broken or were idle too long. */
+/* Takes the most recently used idle connection out of the pool, or returns NULL. Closes those that
+ * have ended or were idle for too long. */
 static wb_http_call_t *idle_take(wb_http_pool_t *pool) {
     while (pool->idle->len > 0) {
         wb_http_call_t *call = g_ptr_array_index(pool->idle, pool->idle->len - 1);
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -221,6 +221,8 @@
     return result;
 }
 
+/* Called by libmicrohttpd at the start of a request; the result is the initial value of `*request`
+ * in request_receive. */
 static void *request_log_uri(void *context, const char *uri, struct MHD_Connection *connection) {
     (void)context;
     (void)uri;
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -292,7 +292,8 @@
     }
 }
 
-/* Suspects unresponsive neighbours, and closes their links after twice that time. */
+/* Marks neighbours as suspected after suspect_after_ms without a message, and closes their links
+ * after twice that time. */
 static void neighbours_check(wb_membership_t *membership, const GPtrArray *overlay) {
     int64_t now_ms = wb_clock_ms();
     for (guint i = 0; i < overlay->len; i++) {
--- a/src/net/link.c
+++ b/src/net/link.c
@@ -276,7 +276,7 @@
         link_fail(link, "sending failed");
 }
 
-/* The connection is established, with TLS its handshake is complete. */
+/* The connection is established, and so is the TLS session if the link uses TLS. */
 static void link_opened(wb_link_t *link) {
     link->open = TRUE;
     if (link->connect_timer != NULL) {
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -1,4 +1,4 @@
-/* Event loop: each round runs posted tasks, then due timers, then waits for sockets. */
+/* Event loop: each iteration runs posted tasks, then due timers, then waits for sockets. */
 #include "wickbridge/loop.h"
 
 #include "wickbridge/log.h"
@@ -40,8 +40,9 @@
     GMutex lock; /* guards `tasks` and `stopping` */
     GQueue tasks;
     gboolean stopping;
-    GSequence *timers;  /* ordered by due time */
-    GPtrArray *removed; /* watches to free after the current round, which may still list them */
+    GSequence *timers; /* ordered by due time */
+    GPtrArray
+        *removed; /* watches to free after the iteration, whose poll results may refer to them */
 };
 
 /* CLOCK_BOOTTIME, as CLOCK_MONOTONIC stops while the machine is suspended: after a resume, an
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -20,11 +20,12 @@
 /** Create a non-blocking listening socket. @param address IP:PORT; port 0 picks a free port */
 apr_status_t wb_socket_listen(const char *address, apr_pool_t *pool, apr_socket_t **socket,
                               wb_error_t *error);
-/** End a connection whose peer acknowledges nothing for `limit_ms`, or, while nothing is sent,
- * doesn't answer keep-alive probes. */
+/** Make the system end a connection whose peer doesn't acknowledge sent bytes for `limit_ms`, or
+ * doesn't answer keep-alive probes while the connection is idle. */
 void wb_socket_set_silence_limit(apr_socket_t *socket, int64_t limit_ms);
 /** Get the result of a non-blocking connect. @param events as the loop reported them @return 0 when
- * connected, else an errno; ENOTCONN when the system has already reported the error */
+ * connected, else an errno; ENOTCONN when `events` show an error that the socket no longer reports
+ */
 int wb_socket_connect_failure(apr_socket_t *socket, int16_t events);
 /** @return the local port, or 0 when it can't be read */
 unsigned wb_socket_port(apr_socket_t *socket);
--- a/src/net/tcp_stream.c
+++ b/src/net/tcp_stream.c
@@ -77,7 +77,7 @@
 }
 
 /* Every callback runs between callback_enter and callback_leave. callback_leave returns FALSE when
- * the stream was closed; it may be freed then. */
+ * the stream was closed; it may have been freed. */
 static void callback_enter(wb_tcp_stream_t *stream) {
     stream->callbacks++;
 }
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -13,7 +13,7 @@
 struct wb_wire_hello {
     wb_wire_name cluster;
     wb_wire_name node;
-    unsigned hyper incarnation;
+    unsigned hyper incarnation; /* WB_WIRE_FORMAT_VERSION, from edge nodes only */
     wb_wire_name address;
     wb_wire_name zone;
     bool overlay; /* the sender asks for heartbeats on this link */
@@ -63,7 +63,7 @@
     wb_wire_text text;
 };
 
-/* A model's slot on an engine. */
+/* Permission to load a model on an engine. */
 struct wb_wire_slot {
     wb_wire_name model;
     wb_wire_name engine;
@@ -74,7 +74,7 @@
     wb_wire_name engine;
     wb_wire_name address;
     wb_wire_name zone;
-    unsigned int state; /* wb_machine_state_t; gone: remove the engine from the record */
+    unsigned int state; /* wb_machine_state_t; removed: delete the engine from the record */
 };
 
 enum wb_wire_claim_phase {
@@ -163,7 +163,7 @@
     wb_wire_name cell;
     unsigned hyper epoch;    /* the highest epoch promised */
     unsigned hyper sequence; /* of the last command received from that epoch's owner */
-    bool need_state;
+    bool need_state; /* commands are missing: the complete record is needed */
 };
 
 /* A candidate's request for a member's vote in an epoch. */
@@ -199,7 +199,7 @@
     unsigned int earliest_deadline_ms; /* shortest of the waiting requests; 0: none */
 };
 
-/* An engine that holds the model, as a gateway may use it. */
+/* An engine that holds the model, for use by gateways. */
 struct wb_wire_replica {
     wb_wire_name engine;
     wb_wire_name address;
@@ -227,7 +227,7 @@
 
 /* Requests a claim, the permission to run a non-repeatable request. */
 struct wb_wire_claim_request {
-    unsigned hyper request;
+    unsigned hyper request; /* number chosen by the gateway, returned in the response */
     wb_wire_name model;
     wb_wire_name key;
     wb_wire_name stream; /* empty: only look up the key's claim */
@@ -299,8 +299,8 @@
     unsigned int tokens;       /* prompt tokens sent there since the last message */
 };
 
-/* A gateway's running and waiting requests. `entries` replace those of its earlier messages;
- * `tenants` add to them. */
+/* A gateway's report to the placement controller. `entries` replace those of its earlier messages;
+ * amounts in `tenants` and `engines` add to earlier ones. */
 struct wb_wire_demand {
     wb_wire_name node;
     wb_wire_demand_entry entries<WB_WIRE_LIST_MAX>;
@@ -334,7 +334,7 @@
     bool has_grants;         /* the lists below are included: in the stored row, not in updates */
     bool grants_unlisted;          /* any engine may have had orders recently; the lists are empty */
     wb_wire_name granted<WB_WIRE_LIST_MAX>;   /* engines that may have had orders of this holder */
-    wb_wire_name inherited<WB_WIRE_LIST_MAX>; /* the same of earlier holders */
+    wb_wire_name inherited<WB_WIRE_LIST_MAX>; /* engines that may have had orders of earlier ones */
 };
 
 /* A row of one of the store's tables, as the sender read it. */
@@ -351,7 +351,7 @@
     unsigned int table;
     unsigned hyper newest;     /* highest row version in the copy; for the tables of engines and of
                                 * nodes' ids a digest of its rows */
-    unsigned int age_ms;       /* since the sender's last answered read of the table began */
+    unsigned int age_ms;       /* since the start of the sender's last successful read */
 };
 
 /* Rows that the placement controller has read from the store, so that gateways needn't do it. */
@@ -360,7 +360,7 @@
     wb_wire_lease lease;
     unsigned hyper lease_version;
     wb_wire_table_row rows<WB_WIRE_LIST_MAX>;
-    bool look; /* more rows have changed than fit in: read the store */
+    bool look; /* more rows have changed than fit into the message: read the store */
 };
 
 /* Estimate of when a model that is queued for the weight store will be loaded. */
@@ -414,7 +414,7 @@
     unsigned int backlog_ms;   /* time that it needs for the prefill of its backlog */
 };
 
-/* Only engines whose values have changed. */
+/* Sent to gateways; only engines whose values have changed. */
 struct wb_wire_engine_loads {
     wb_wire_engine_load engines<WB_WIRE_LIST_MAX>;
 };
