--- a/include/wickbridge/catalog.h
+++ b/include/wickbridge/catalog.h
@@ -59,11 +59,10 @@
 
 typedef struct wb_service_t {
     char *name;
-    int max_connections; /**< connections that an engine accepts from all nodes together; 0: unknown
-                          */
-    GHashTable *models;  /**< name -> wb_model_spec_t; empty for services without models */
-    double weights_mb;   /**< an engine's capacity for weights and adapters */
-    int adapter_slots;   /**< adapters that an engine can hold */
+    int max_connections;        /**< an engine's limit on connections from all nodes; 0: unknown */
+    GHashTable *models;         /**< name -> wb_model_spec_t; empty for services without models */
+    double weights_mb;          /**< an engine's capacity for weights and adapters */
+    int adapter_slots;          /**< adapters that an engine can hold */
     double cold_capacity_per_s; /**< requests per second that a cold engine sustains; 0: as a warm
                                    one */
     int64_t cold_start_ms;      /**< time for which an engine is cold after its start */
--- a/include/wickbridge/engine_client.h
+++ b/include/wickbridge/engine_client.h
@@ -16,7 +16,7 @@
 typedef struct wb_engine_client_t wb_engine_client_t;
 
 typedef struct wb_engine_client_events_t {
-    /** An order ended. @param inventory owned by the callee; NULL if the order is lost */
+    /** An order ended. @param inventory owned by the callee; NULL with WB_ORDER_NO_RESPONSE */
     void (*on_order_done)(const char *engine, uint64_t fence, wb_order_outcome_t outcome,
                           wb_inventory_t *inventory, void *context);
     /** An inventory was received. @param inventory owned by the callee */
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -25,7 +25,7 @@
 #define WB_PACE_MIN_PERCENT 10
 #define WB_PACE_MAX_PERCENT 1000
 /** Length of a window. The lowest value of the current and the previous window is the engine's
- * intrinsic pace; interference lasts much less long. */
+ * intrinsic pace; interference lasts much less than a window. */
 #define WB_PACE_WINDOW_MS 6000
 
 /** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
--- a/include/wickbridge/peers.h
+++ b/include/wickbridge/peers.h
@@ -28,7 +28,7 @@
     const char *(*find_address)(const char *node, void *context);
     /** The handshake with a node is done, or its link became an overlay link. */
     void (*on_up)(const char *node, gboolean overlay, void *context);
-    /** The last link to a node failed, was closed by the peer, or by wb_peers_disconnect. */
+    /** The last link to a node failed, or was closed by the peer or wb_peers_disconnect. */
     void (*on_down)(const char *node, const char *reason, void *context);
     void (*on_message)(const char *node, const wb_wire_message *message, void *context);
     /** `node` answered the handshake at the address of `expected`. */
@@ -68,8 +68,7 @@
 /** Close the links to a node, if any; on_down follows. */
 void wb_peers_disconnect(wb_peers_t *peers, const char *node, const char *reason);
 
-/** Close links, other than overlay links, that were not used for `idle_ms`. on_down isn't called.
- */
+/** Close links, other than overlay links, that were not used for `idle_ms`; without on_down. */
 void wb_peers_close_idle(wb_peers_t *peers, int64_t idle_ms);
 
 const wb_link_counters_t *wb_peers_counters(const wb_peers_t *peers);
--- a/include/wickbridge/policy.h
+++ b/include/wickbridge/policy.h
@@ -57,8 +57,8 @@
     WB_POLICY_FAILED     /**< error, limit exceeded, or invalid result */
 } wb_policy_result_t;
 
-/** Compile a program and test it once. @return APR_SUCCESS, or APR_EINVAL with the reason in
- * `error` */
+/** Compile a program and test it once. @return APR_SUCCESS, or the reason in `error`: APR_EINVAL
+ * for an invalid program, APR_ENOMEM if Lua can't start */
 apr_status_t wb_policy_compile(wb_policy_program_t **program, const char *name, const char *text,
                                wb_error_t *error);
 void wb_policy_free(wb_policy_program_t *program);
--- a/include/wickbridge/settings.h
+++ b/include/wickbridge/settings.h
@@ -46,7 +46,8 @@
 
 /**
  * Fill in `target` from the defaults, then the file named by --settings, then flags; later sources
- * override earlier ones. Strings live as long as the process.
+ * override earlier ones. Strings live as long as the process. An unknown flag, --help and
+ * --document-settings end the process.
  * @return APR_SUCCESS, or APR_EINVAL with one line in `error`
  */
 apr_status_t wb_settings_read(const wb_settings_table_t *table, int argc, char **argv, void *target,
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -40,9 +40,8 @@
     GMutex lock; /* guards `tasks` and `stopping` */
     GQueue tasks;
     gboolean stopping;
-    GSequence *timers; /* ordered by due time */
-    GPtrArray
-        *removed; /* watches to free after the iteration, whose poll results may refer to them */
+    GSequence *timers;  /* ordered by due time */
+    GPtrArray *removed; /* watches to free after the iteration: its poll may have returned them */
 };
 
 /* CLOCK_BOOTTIME, as CLOCK_MONOTONIC stops while the machine is suspended: after a resume, an
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -414,7 +414,7 @@
     unsigned int backlog_ms;   /* time that it needs for the prefill of its backlog */
 };
 
-/* Sent to gateways; only engines whose values have changed. */
+/* Sent to gateways: all engines on a new link, then those whose values have changed. */
 struct wb_wire_engine_loads {
     wb_wire_engine_load engines<WB_WIRE_LIST_MAX>;
 };
