--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -6,7 +6,7 @@
  * Engines don't check fencing tokens, so the lease relies on time alone. The holder may send orders
  * until duration_ms after it *sent* its last successful renewal. Another node takes the lease over
  * once it has seen the row unchanged for duration_ms + margin_ms, or at once if the row is marked
- * as released. It may order engines that the last row names only handover_interval_ms later
+ * as released. It waits handover_interval_ms before it orders an engine that the last row names
  * (lease_grants.h), so at least handover_interval_ms passes between the orders of two holders to
  * one engine. The token increases with each takeover. A restarted process on the holder's machine
  * takes the lease over at once.
@@ -53,12 +53,11 @@
 void wb_lease_row_copy(wb_lease_row_t *target, const wb_lease_row_t *source);
 
 typedef struct wb_lease_settings_t {
-    const char *machine; /**< this node's machine; must outlive the lease */
-    const char *address; /**< IP:PORT of this node; must outlive the lease */
-    int64_t duration_ms; /**< validity of a renewal, from when it was sent */
-    int64_t renew_ms;    /**< interval between renewals */
-    int64_t
-        handover_interval_ms; /**< handover interval: min time between the orders of two holders */
+    const char *machine;          /**< this node's machine; must outlive the lease */
+    const char *address;          /**< IP:PORT of this node; must outlive the lease */
+    int64_t duration_ms;          /**< validity of a renewal, from when it was sent */
+    int64_t renew_ms;             /**< interval between renewals */
+    int64_t handover_interval_ms; /**< min time between the orders of two holders to one engine */
     int64_t margin_ms;        /**< safety margin: added to waits, subtracted from the validity */
     int64_t write_timeout_ms; /**< timeout of a write, after which it is retried */
     int64_t spread_ms;        /**< max random delay before this node takes another's lease over, so
--- a/include/wickbridge/table_watch.h
+++ b/include/wickbridge/table_watch.h
@@ -21,13 +21,14 @@
 typedef struct wb_table_watch_events_t {
     /** A row was added, changed, or removed (its value is NULL). */
     void (*on_row)(const wb_table_row_t *row, void *context);
-    /** All rows of a response or update were passed to on_row. `whole` is TRUE after a full read.
+    /** All rows of a response or update were passed to on_row. `full_read` is TRUE after a full
+     * read.
      */
-    void (*on_batch)(gboolean whole, void *context);
-    /** A call ended, successfully (`good`) or not; for logs and counters. `age_ms` as in
+    void (*on_batch)(gboolean full_read, void *context);
+    /** A call ended, successfully or not; for logs and counters. `age_ms` as in
      * wb_table_watch_age_ms. May be NULL. */
-    void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean good, int64_t age_ms,
-                    void *context);
+    void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean succeeded,
+                    int64_t age_ms, void *context);
     void *context;
     /** The table has more rows than wb_table_watch_set_row_limit allows. The watch makes no calls
      * until wb_table_watch_read_all or wb_table_watch_follow_subset is called. */
@@ -49,7 +50,7 @@
 
 /** Create a watch and start the full read. @param table must outlive the watch */
 wb_table_watch_t *wb_table_watch_create(wb_loop_t *loop, wb_table_t *table, wb_table_name_t name,
-                                        const wb_table_watch_intervals_t *pace,
+                                        const wb_table_watch_intervals_t *intervals,
                                         const wb_table_watch_events_t *events);
 /** Set the row limit above which on_row_limit is called; 0: none. */
 void wb_table_watch_set_row_limit(wb_table_watch_t *watch, unsigned rows);
@@ -59,7 +60,8 @@
 /** After on_row_limit: forget all rows and don't read the table; rows come from
  * wb_table_watch_apply_row only. The watch counts as synced. */
 void wb_table_watch_follow_subset(wb_table_watch_t *watch);
-void wb_table_watch_set_intervals(wb_table_watch_t *watch, const wb_table_watch_intervals_t *pace);
+void wb_table_watch_set_intervals(wb_table_watch_t *watch,
+                                  const wb_table_watch_intervals_t *intervals);
 /** Apply a row that another node has read. Ignored if a newer version is known, or before the first
  * full read is complete. */
 void wb_table_watch_apply_row(wb_table_watch_t *watch, const wb_table_row_t *row);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -222,8 +222,8 @@
     }
 }
 
-/* Handles a neighbour's heartbeat. If its tables differ from ours for several heartbeats, sends it
- * our tables. */
+/* Handles a neighbour's heartbeat. If its digests differ from this node's for several heartbeats,
+ * sends it all members and owners. */
 static void heartbeat_apply(wb_membership_t *membership, const char *node,
                             const wb_wire_heartbeat *heartbeat) {
     const wb_member_t *member = wb_member_table_find(membership->table, node);
@@ -292,7 +292,8 @@
     }
 }
 
-/* Suspects unresponsive neighbours, and closes their links after twice that time. */
+/* Marks neighbours as suspected after suspect_after_ms without a message, and closes their links
+ * after twice that time. */
 static void neighbours_check(wb_membership_t *membership, const GPtrArray *overlay) {
     int64_t now_ms = wb_clock_ms();
     for (guint i = 0; i < overlay->len; i++) {
