--- a/standins/engine/answers.c
+++ b/standins/engine/answers.c
@@ -1,4 +1,4 @@
-/* Generates responses. Any part of one can be generated again from its seed and prompt. */
+/* Generates responses. Any part of a response can be generated again from its seed and prompt. */
 #include "engine.h"
 
 #include <string.h>
--- a/standins/estate/engine.c
+++ b/standins/estate/engine.c
@@ -225,7 +225,7 @@
     wb_estate_engine_crash(engine);
 }
 
-/* The request's headers as an object. The last one wins when a name is repeated. */
+/* The request's headers as an object. Of repeated headers the last one is kept. */
 static json_t *headers_json(const wb_http_head_t *head) {
     json_t *headers = json_object();
     for (guint i = 0; i < head->headers->len; i++) {
--- a/standins/estate/engine_internal.h
+++ b/standins/estate/engine_internal.h
@@ -23,11 +23,12 @@
     unsigned port;      /* 0: chosen by the system */
     wb_timer_t *crash;
     wb_timer_t *restart;
-    json_t *options; /* service, zone, models, slots, port, announce_port, beat_ms, back_ms,
-                        cold_ms, work_ms, streams (1: answers with events), event_ms, events,
-                        load_ms, unload_ms, weights_mb, model_mb, adapter_slots, same_id (1: it
-                        restarts under its id), quiet (1: it writes no row); set by functions: pace,
-                        pace_told, rest, state_lines */
+    json_t *options; /* service, zone, models, slots, port, announce_port,
+                        beat_ms (heartbeat interval), back_ms (from crash to restart), cold_ms,
+                        work_ms (until the response or its first event), streams (1: answers with
+                        events), event_ms, events, load_ms, unload_ms, weights_mb, model_mb,
+                        adapter_slots, same_id (1: it restarts under its id), quiet (1: it writes no
+                        row); set by functions: pace, pace_told, rest, state_lines */
     json_t *models;  /* [{name, version, adapters}] */
     int64_t sequence;
     int64_t heartbeats;
--- a/tests/bench/quota.c
+++ b/tests/bench/quota.c
@@ -1,4 +1,5 @@
-/* Compares ways to share tenants' limits among gateways: prints one table per number of nodes. */
+/* Compares strategies to share tenants' limits among gateways: prints one table per number of
+ * nodes. */
 #include "fuzz/quota_sim.h"
 
 #include <stdio.h>
--- a/tests/edge/test_budget.c
+++ b/tests/edge/test_budget.c
@@ -89,7 +89,7 @@
     return (int)count;
 }
 
-/* Without faults at the nodes. */
+/* The bound holds without faults at the nodes, while the engines reject every request. */
 static void test_undisturbed(void) {
     estate_t *estate = estate_start(3, FLAGS);
     shares_wait(estate);
--- a/tests/edge/test_callers.c
+++ b/tests/edge/test_callers.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-/* Sends raw bytes and expects a status. Nothing may run, and the node must serve other requests. */
+/* Sends raw bytes and expects a status. Nothing may run, the connection must be closed after any
+ * status but 404, and the node must serve other requests. */
 static void assert_refused(estate_t *estate, const char *bytes, int status) {
     int port = estate->nodes[0].clients_port;
     wire_t *wire = wire_open(port);
--- a/tests/edge/test_cut_off.c
+++ b/tests/edge/test_cut_off.c
@@ -1,5 +1,5 @@
-/* A node that is cut off from peers or the store refuses requests for models that aren't loaded at
- * once, so that clients try another node, and keeps serving loaded models. */
+/* A node that is cut off from peers or the store immediately refuses requests for models that
+ * aren't loaded, so that clients try another node, and keeps serving loaded models. */
 #include "edge.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 /* Longer than a takeover with LEASE_FLAGS, after which the cut-off node stops waiting for one. */
 #define TAKEOVER_US 3000000
 #define LEASE_FLAGS "--lease-quiet-ms=1000 --lease-duration-ms=800"
-/* Time of an immediate refusal on a busy machine. */
+/* Maximum time of an immediate refusal on a busy machine. */
 #define AT_ONCE_MS 250
 /* Retry-After must be short, because other nodes can serve the request. */
 #define COME_BACK_MOST_S 1.0
--- a/tests/edge/test_once.c
+++ b/tests/edge/test_once.c
@@ -109,7 +109,7 @@
     estate_stop(estate);
 }
 
-/* An unresponsive engine gets no more requests long before the pending ones time out. */
+/* Nodes stop sending requests to an unresponsive engine long before the pending ones time out. */
 static void test_quiet_engine_is_left_alone(void) {
     enum { REQUESTS = 24 };
     estate_t *estate = estate_start(1, NULL);
--- a/tests/edge/test_pace.c
+++ b/tests/edge/test_pace.c
@@ -90,7 +90,7 @@
     estate_stop(estate);
 }
 
-/* Malformed and out-of-range values are counted and otherwise ignored: both engines serve. */
+/* Malformed and out-of-range values are counted and otherwise ignored: requests are served. */
 static void test_figures_that_lie(void) {
     static const char *const invalid_values[] = {"0", "-50", "1000000000", "fast"};
     estate_t *estate = estate_start(1, NULL);
@@ -107,7 +107,7 @@
     estate_stop(estate);
 }
 
-/* With --engine-pace=0 a reported pace has no effect: the prompt's preferred engine gets all. */
+/* With --engine-pace=0 reported paces don't change which engine runs a prompt's requests. */
 static void test_switched_off(void) {
     estate_t *estate = estate_start(1, "--engine-pace=0");
     int before = asked_at_first(estate, 0, "before", ASKED);
--- a/tests/edge/test_poison.c
+++ b/tests/edge/test_poison.c
@@ -11,7 +11,7 @@
 /* Three crashes until the request is refused, and attempts that were running elsewhere by then. */
 #define CRASHES_MOST 5
 /* Time after the third crash from which no node may send the request. */
-#define KNOWN_MS 500
+#define DETECTION_MS 500
 /* Time until a crashed engine has restarted and loaded its model. */
 #define RESTART_US 2500000
 /* Retry interval of a client that ignores Retry-After. */
@@ -55,18 +55,18 @@
     return count;
 }
 
-/* Sends the request until three engines have crashed and all nodes must know it. */
-static void repeats_send_until_known(repeats_t *repeats) {
+/* Sends the request until three engines have crashed, then for DETECTION_MS more. */
+static void repeats_send_until_detected(repeats_t *repeats) {
     int64_t until_ms = harness_now_ms() + 15000;
     while (crashes_count(repeats->estate) < 3) {
         g_assert_cmpint(harness_now_ms(), <, until_ms);
         repeats_send_for(repeats, 200);
     }
-    repeats_send_for(repeats, KNOWN_MS);
+    repeats_send_for(repeats, DETECTION_MS);
 }
 
-/* Asserts the number of crashes, and that the request reached no engine after all nodes must know
- * it. */
+/* Asserts the number of crashes, and that the request reached no engine from DETECTION_MS after the
+ * third crash. */
 static void assert_stopped(const estate_t *estate) {
     json_t *seen = estate_records(estate);
     const json_t *crashes = json_object_get(seen, "crashes");
@@ -79,7 +79,7 @@
     json_array_foreach(json_object_get(seen, "runs"), i, run) {
         gboolean is_poison = strcmp(json_string_value(json_object_get(run, "body")), POISON) == 0;
         int64_t after_ms = json_integer_value(json_object_get(run, "at_ms")) - third_ms;
-        if (is_poison && after_ms > KNOWN_MS) {
+        if (is_poison && after_ms > DETECTION_MS) {
             late++;
             g_test_message("reached an engine %d ms after the third crash", (int)after_ms);
         }
@@ -123,7 +123,7 @@
     estate_t *estate = estate_start(NODES, NULL);
     repeats_t repeats = repeats_create(estate);
     estate_wait_controller(estate, 8000);
-    repeats_send_until_known(&repeats);
+    repeats_send_until_detected(&repeats);
     repeats_send_for(&repeats, 5000);
     assert_stopped(estate);
     for (int node = 0; node < NODES; node++) {
@@ -139,7 +139,7 @@
     estate_t *estate = estate_start(NODES, NULL);
     repeats_t repeats = repeats_create(estate);
     estate_wait_controller(estate, 8000);
-    repeats_send_until_known(&repeats);
+    repeats_send_until_detected(&repeats);
     repeats_send_for(&repeats, 1500);
     for (int node = 0; node < NODES; node++) {
         process_kill(&estate->nodes[node].process);
@@ -162,7 +162,7 @@
     estate_t *estate = estate_start(NODES, "--lease-quiet-ms=1000 --lease-duration-ms=800");
     repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_send_until_known(&repeats);
+    repeats_send_until_detected(&repeats);
     process_kill(&estate->nodes[controller].process);
     repeats_send_for(&repeats, 4000);
     estate_node_launch(estate, controller);
@@ -227,7 +227,7 @@
             g_usleep(10000);
         }
     }
-    repeats_send_for(&repeats, KNOWN_MS);
+    repeats_send_for(&repeats, DETECTION_MS);
     assert_stopped(estate);
     g_usleep(RESTART_US);
     assert_others_served(estate, "after");
@@ -241,7 +241,7 @@
     estate_t *estate = estate_start(NODES, "--poison-trial-s=1");
     repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_send_until_known(&repeats);
+    repeats_send_until_detected(&repeats);
     repeats_send_for(&repeats, 3500); /* includes the first trial but not the second */
     g_assert_true(estate_log_has(estate, controller, "\"event\":\"request-tried\""));
     g_test_message("%d crashes", crashes_count(estate));
@@ -281,7 +281,7 @@
     estate_t *estate = estate_start(2, NULL);
     repeats_t repeats = repeats_create(estate);
     int controller = estate_wait_controller(estate, 8000);
-    repeats_send_until_known(&repeats);
+    repeats_send_until_detected(&repeats);
     g_autofree char *refused = wickctl(estate, 1 - controller, "");
     g_assert_nonnull(strstr(refused, " refused   3 engines"));
     g_autofree char *digest = g_strndup(refused, strcspn(refused, " "));
--- a/tests/edge/test_store.c
+++ b/tests/edge/test_store.c
@@ -115,8 +115,8 @@
     estate_stop(estate);
 }
 
-/* With a store that is 60 times slower the lease is kept, models are loaded and configurations are
- * applied. */
+/* With a store that delays each transaction by 200 ms, behind connections that delay bytes by 120
+ * ms, the lease is kept, models are loaded and configurations are applied. */
 static void test_slow_store(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_store_fault(estate, 0, "delay", 120);
--- a/tests/edge/test_told.c
+++ b/tests/edge/test_told.c
@@ -14,7 +14,7 @@
 #define BACKOFF_GRACE_MS 500
 #define CLIENTS_PER_NODE 3
 #define CLIENT_INTERVAL_US 20000
-/* A node that has started uses its share of what all nodes divide after this time. */
+/* Time after its start from which a node uses its share of amounts that all nodes divide. */
 #define SHARES_SETTLE_MS 6000
 
 /* A response as received by a client. */
@@ -196,7 +196,7 @@
     limits_test("Server-Limit: 12\\r\\n", 12);
 }
 
-/* An engine with limit 0 gets almost no requests; nodes detect when it accepts requests again. */
+/* An engine with limit 0 gets almost no requests. */
 static void test_limit_of_none_ends(void) {
     limits_test("Server-Limit: 0\\r\\n", 0);
 }
@@ -246,7 +246,8 @@
     estate_stop(estate);
 }
 
-/* Counts requests that reached a draining engine too late. */
+/* Counts requests that reached a draining engine although their client sent them more than DRAIN_MS
+ * after the node had forwarded a response that reports draining. */
 typedef struct draining_check_t {
     const clients_t *clients;
     int64_t told_ms[ESTATE_NODES]; /* first response per node that reports draining; 0: none */
@@ -371,7 +372,7 @@
     estate_stop(estate);
 }
 
-/* What an engine reports must not be attributed to another engine that had its address before. */
+/* What an engine reports must not be attributed to another engine whose row names its address. */
 static void test_answer_of_another_engine(void) {
     estate_t *estate = estate_start(1, NULL);
     estate_command(estate, "{\"do\":\"engine-option\",\"engine\":\"lock-1\",\"name\":\"quiet\","
--- a/tests/edge/test_upgrade.c
+++ b/tests/edge/test_upgrade.c
@@ -8,7 +8,8 @@
 #define NODES 3
 /* Minimum time between orders of two lease holders to the same engine. */
 #define QUIET_MS 3000
-/* Requests may be refused, or the connection, while a node restarts or the lease changes hands. */
+/* Minimum share of requests that are served: requests or connections may be refused while a node
+ * restarts or the lease changes hands. */
 #define SERVED_SHARE 0.9
 
 typedef struct load_t {
@@ -109,8 +110,8 @@
     estate_stop(estate);
 }
 
-/* A node is upgraded and downgraded twice, with a lease holder of either build: the row with the
- * format version that its machine reads changes each time. */
+/* A node is upgraded and downgraded twice, with a lease holder of either build. Each time the row
+ * of its machine changes, which contains the format version that the node reads. */
 static void test_forth_and_back(void) {
     estate_t *estate = estate_start_builds(NODES, 2, NULL);
     load_t load = {.estate = estate};
--- a/tests/fuzz/quota_sim.c
+++ b/tests/fuzz/quota_sim.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 /* Demand: a few large tenants among many small ones; 47 in 100 requests are drafts, 24 questions
- * and 29 locks. Limits are LIMIT_FACTOR the baseline demand, with a burst of one second. A window
- * may exceed its limit by OVERAGE plus SLACK tokens. */
+ * and 29 locks. Limits are LIMIT_FACTOR times the baseline demand, with a burst of one second. A
+ * window may exceed its limit by OVERAGE plus SLACK tokens. */
 #define TENANTS 16
 #define REQUESTS_PER_S 368.0
 #define LIMIT_FACTOR 1.8
@@ -56,7 +56,7 @@
 typedef struct simulation_t {
     wb_tenants_t *tenants;
     tenant_state_t tenant_states[TENANTS];
-    quota_strategy_t *way;
+    quota_strategy_t *strategy;
     GRand *random;
     int nodes;
     quota_fault_t trouble;
@@ -140,7 +140,8 @@
     if (simulation->down) {
         return;
     }
-    gboolean admitted = simulation->way->admit(simulation->way, node, state->tenant, cost, now_ms);
+    gboolean admitted =
+        simulation->strategy->admit(simulation->strategy, node, state->tenant, cost, now_ms);
     if (oracle_admits) {
         state->oracle.level -= cost;
         state->oracle_sum += cost;
@@ -167,7 +168,7 @@
 static void nodes_set_connected(simulation_t *simulation, gboolean connected, int64_t now_ms) {
     int stride = simulation->trouble == QUOTA_HOT_CUT_MANY ? 3 : 6;
     for (int i = 0; i < simulation->nodes; i += stride) {
-        simulation->way->set_connected(simulation->way, i, connected, now_ms);
+        simulation->strategy->set_connected(simulation->strategy, i, connected, now_ms);
     }
 }
 
@@ -194,24 +195,24 @@
     case QUOTA_SPLIT:
     case QUOTA_HOT_SPLIT:
         if (begins || ends) {
-            simulation->way->split(simulation->way, begins, now_ms);
+            simulation->strategy->split(simulation->strategy, begins, now_ms);
         }
         break;
     case QUOTA_TAKE_OVER:
     case QUOTA_HOT_TAKE_OVER:
         if (after) {
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
         }
         for (int i = 0; i < simulation->nodes && (during || after); i++) {
-            simulation->way->set_connected(simulation->way, i, after, now_ms);
+            simulation->strategy->set_connected(simulation->strategy, i, after, now_ms);
         }
         break;
     case QUOTA_HOT_ALONE:
         if (ends) {
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
         }
         for (int i = 0; i < simulation->nodes && (begins || ends); i++) {
-            simulation->way->set_connected(simulation->way, i, ends, now_ms);
+            simulation->strategy->set_connected(simulation->strategy, i, ends, now_ms);
         }
         break;
     case QUOTA_HOT_RESTART:
@@ -220,9 +221,9 @@
         }
         if (now_s == FAULT_START_S + 3) {
             simulation->down = FALSE;
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
             for (int i = 0; i < simulation->nodes; i++) {
-                simulation->way->restart(simulation->way, i, now_ms);
+                simulation->strategy->restart(simulation->strategy, i, now_ms);
             }
         }
         break;
@@ -230,7 +231,7 @@
         if (begins) {
             simulation->tenant_states[0].tenant->rate_per_s /= 5;
             simulation->tenant_states[0].tenant->burst /= 5;
-            simulation->way->set_limits(simulation->way, simulation->tenants, now_ms);
+            simulation->strategy->set_limits(simulation->strategy, simulation->tenants, now_ms);
         }
         break;
     default:
@@ -281,7 +282,7 @@
         .nodes = nodes, .trouble = trouble, .random = g_rand_new_with_seed(seed)};
     g_random_set_seed(seed);
     tenants_create(&simulation);
-    simulation.way = create(nodes, simulation.tenants);
+    simulation.strategy = create(nodes, simulation.tenants);
     simulation.retries = g_array_new(FALSE, FALSE, sizeof(retry_t));
     for (int step = 0; step < RUN_S * STEPS_PER_S; step++) {
         int64_t now_ms = 1000000 + step * STEP_MS;
@@ -296,11 +297,11 @@
         }
         retries_send(&simulation, step);
         if (!simulation.down) {
-            simulation.way->tick(simulation.way, now_ms);
+            simulation.strategy->tick(simulation.strategy, now_ms);
         }
     }
     quota_result_t result = result_compute(&simulation);
-    simulation.way->destroy(simulation.way);
+    simulation.strategy->destroy(simulation.strategy);
     for (int i = 0; i < TENANTS; i++) {
         g_free(simulation.tenant_states[i].admitted);
     }
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -2,9 +2,9 @@
  * @file quota_sim.h
  * @brief Simulation of tenant limits shared by many gateways, on a virtual clock.
  *
- * Measures how closely a way of sharing keeps the limits, compared with one token bucket that sees
- * every request. Times are in milliseconds, costs in tokens. The node that decides for all is the
- * aggregator. Functions don't fail.
+ * Measures how closely a sharing strategy keeps the limits, compared with one token bucket that
+ * sees every request. Times are in milliseconds, costs in tokens. The node that decides for all is
+ * the aggregator. Functions don't fail.
  */
 #ifndef WICKBRIDGE_TEST_QUOTA_SIM_H
 #define WICKBRIDGE_TEST_QUOTA_SIM_H
@@ -13,22 +13,23 @@
 
 typedef struct quota_strategy_t quota_strategy_t;
 
-/** Interface of a way of sharing limits; first member of each implementation. */
+/** Interface of a sharing strategy; first member of each implementation. */
 struct quota_strategy_t {
     const char *name;
-    gboolean (*admit)(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
+    gboolean (*admit)(quota_strategy_t *strategy, int node, const wb_tenant_t *tenant, double cost,
                       int64_t now_ms);
-    void (*tick)(quota_strategy_t *way, int64_t now_ms); /**< each 10 ms */
-    void (*set_limits)(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms);
+    void (*tick)(quota_strategy_t *strategy, int64_t now_ms); /**< each 10 ms */
+    void (*set_limits)(quota_strategy_t *strategy, const wb_tenants_t *tenants, int64_t now_ms);
     /** A node connects to the aggregator or loses its connection. */
-    void (*set_connected)(quota_strategy_t *way, int node, gboolean connected, int64_t now_ms);
+    void (*set_connected)(quota_strategy_t *strategy, int node, gboolean connected, int64_t now_ms);
     /** The aggregator is lost; another one with empty state replaces it. */
-    void (*replace_aggregator)(quota_strategy_t *way, int64_t now_ms);
+    void (*replace_aggregator)(quota_strategy_t *strategy, int64_t now_ms);
     /** Begin: the aggregator is partitioned off with a third of the nodes and continues to serve
      * them; a second one serves the others. End: the second one serves all nodes. */
-    void (*split)(quota_strategy_t *way, gboolean begins, int64_t now_ms);
-    void (*restart)(quota_strategy_t *way, int node, int64_t now_ms); /**< a node loses its state */
-    void (*destroy)(quota_strategy_t *way);
+    void (*split)(quota_strategy_t *strategy, gboolean begins, int64_t now_ms);
+    void (*restart)(quota_strategy_t *strategy, int node,
+                    int64_t now_ms); /**< a node loses its state */
+    void (*destroy)(quota_strategy_t *strategy);
 };
 
 quota_strategy_t *quota_strategy_equal(int nodes, const wb_tenants_t *tenants);
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -1,4 +1,4 @@
-/* Three ways to share limits among gateways; only the last one is the server's. */
+/* Three strategies to share limits among gateways; only the last one is the server's. */
 #include "quota_sim.h"
 
 #include "quota/quota_ledger.h"
@@ -10,7 +10,7 @@
 /* Equal shares: each node has 1/n of rate and burst, independent of demand. */
 
 typedef struct equal_t {
-    quota_strategy_t way;
+    quota_strategy_t strategy;
     int nodes;
     GHashTable **buckets; /* by node: tenant -> wb_token_bucket_t */
 } equal_t;
@@ -50,45 +50,46 @@
     return TRUE;
 }
 
-static gboolean equal_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
-                            int64_t now_ms) {
-    equal_t *equal = (equal_t *)way;
+static gboolean equal_admit(quota_strategy_t *strategy, int node, const wb_tenant_t *tenant,
+                            double cost, int64_t now_ms) {
+    equal_t *equal = (equal_t *)strategy;
     double burst = tenant->burst / equal->nodes;
     return bucket_take(bucket_of(equal->buckets[node], tenant, burst, now_ms),
                        tenant->rate_per_s / equal->nodes, burst, cost, now_ms);
 }
 
-static void tick_ignore(quota_strategy_t *way, int64_t now_ms) {
-    (void)way;
+static void tick_ignore(quota_strategy_t *strategy, int64_t now_ms) {
+    (void)strategy;
     (void)now_ms;
 }
 
-static void limits_ignore(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
-    (void)way;
+static void limits_ignore(quota_strategy_t *strategy, const wb_tenants_t *tenants, int64_t now_ms) {
+    (void)strategy;
     (void)tenants;
     (void)now_ms;
 }
 
-static void connected_ignore(quota_strategy_t *way, int node, gboolean connected, int64_t now_ms) {
-    (void)way;
+static void connected_ignore(quota_strategy_t *strategy, int node, gboolean connected,
+                             int64_t now_ms) {
+    (void)strategy;
     (void)node;
     (void)connected;
     (void)now_ms;
 }
 
-static void split_ignore(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
-    (void)way;
+static void split_ignore(quota_strategy_t *strategy, gboolean begins, int64_t now_ms) {
+    (void)strategy;
     (void)begins;
     (void)now_ms;
 }
 
-static void equal_restart(quota_strategy_t *way, int node, int64_t now_ms) {
+static void equal_restart(quota_strategy_t *strategy, int node, int64_t now_ms) {
     (void)now_ms;
-    g_hash_table_remove_all(((equal_t *)way)->buckets[node]);
+    g_hash_table_remove_all(((equal_t *)strategy)->buckets[node]);
 }
 
-static void equal_destroy(quota_strategy_t *way) {
-    equal_t *equal = (equal_t *)way;
+static void equal_destroy(quota_strategy_t *strategy) {
+    equal_t *equal = (equal_t *)strategy;
     tables_free(equal->buckets, equal->nodes);
     g_free(equal);
 }
@@ -96,12 +97,12 @@
 quota_strategy_t *quota_strategy_equal(int nodes, const wb_tenants_t *tenants) {
     (void)tenants;
     equal_t *equal = g_new0(equal_t, 1);
-    equal->way = (quota_strategy_t){"equal",       equal_admit,      tick_ignore,
-                                    limits_ignore, connected_ignore, tick_ignore,
-                                    split_ignore,  equal_restart,    equal_destroy};
+    equal->strategy = (quota_strategy_t){"equal",       equal_admit,      tick_ignore,
+                                         limits_ignore, connected_ignore, tick_ignore,
+                                         split_ignore,  equal_restart,    equal_destroy};
     equal->nodes = nodes;
     equal->buckets = tables_create(nodes);
-    return &equal->way;
+    return &equal->strategy;
 }
 
 /* Lots: the aggregator has one bucket per tenant, from which a node withdraws the cost that its
@@ -111,7 +112,7 @@
 #define LOT_S 0.25
 
 typedef struct lots_t {
-    quota_strategy_t way;
+    quota_strategy_t strategy;
     int nodes;
     gboolean *connected;
     GHashTable *accounts;  /* tenant -> wb_token_bucket_t */
@@ -125,9 +126,9 @@
     return node % 3 == 0;
 }
 
-static gboolean lots_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant, double cost,
-                           int64_t now_ms) {
-    lots_t *lots = (lots_t *)way;
+static gboolean lots_admit(quota_strategy_t *strategy, int node, const wb_tenant_t *tenant,
+                           double cost, int64_t now_ms) {
+    lots_t *lots = (lots_t *)strategy;
     wb_token_bucket_t *balance = bucket_of(lots->balances[node], tenant, 0, now_ms);
     if (balance->level >= cost) {
         balance->level -= cost;
@@ -150,24 +151,24 @@
     return TRUE;
 }
 
-static void lots_set_connected(quota_strategy_t *way, int node, gboolean connected,
+static void lots_set_connected(quota_strategy_t *strategy, int node, gboolean connected,
                                int64_t now_ms) {
     (void)now_ms;
-    lots_t *lots = (lots_t *)way;
+    lots_t *lots = (lots_t *)strategy;
     lots->connected[node] = connected;
     g_hash_table_remove_all(lots->disconnected_buckets[node]);
 }
 
-static void lots_replace_aggregator(quota_strategy_t *way, int64_t now_ms) {
+static void lots_replace_aggregator(quota_strategy_t *strategy, int64_t now_ms) {
     (void)now_ms;
-    lots_t *lots = (lots_t *)way;
+    lots_t *lots = (lots_t *)strategy;
     lots->starts_empty = TRUE;
     g_hash_table_remove_all(lots->accounts);
 }
 
-static void lots_split(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
+static void lots_split(quota_strategy_t *strategy, gboolean begins, int64_t now_ms) {
     (void)now_ms;
-    lots_t *lots = (lots_t *)way;
+    lots_t *lots = (lots_t *)strategy;
     lots->starts_empty = TRUE;
     if (begins) {
         lots->second = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -178,13 +179,13 @@
     }
 }
 
-static void lots_restart(quota_strategy_t *way, int node, int64_t now_ms) {
+static void lots_restart(quota_strategy_t *strategy, int node, int64_t now_ms) {
     (void)now_ms;
-    g_hash_table_remove_all(((lots_t *)way)->balances[node]);
+    g_hash_table_remove_all(((lots_t *)strategy)->balances[node]);
 }
 
-static void lots_destroy(quota_strategy_t *way) {
-    lots_t *lots = (lots_t *)way;
+static void lots_destroy(quota_strategy_t *strategy) {
+    lots_t *lots = (lots_t *)strategy;
     tables_free(lots->balances, lots->nodes);
     tables_free(lots->disconnected_buckets, lots->nodes);
     g_hash_table_unref(lots->accounts);
@@ -195,9 +196,9 @@
 quota_strategy_t *quota_strategy_lots(int nodes, const wb_tenants_t *tenants) {
     (void)tenants;
     lots_t *lots = g_new0(lots_t, 1);
-    lots->way = (quota_strategy_t){"lots",        lots_admit,         tick_ignore,
-                                   limits_ignore, lots_set_connected, lots_replace_aggregator,
-                                   lots_split,    lots_restart,       lots_destroy};
+    lots->strategy = (quota_strategy_t){"lots",        lots_admit,         tick_ignore,
+                                        limits_ignore, lots_set_connected, lots_replace_aggregator,
+                                        lots_split,    lots_restart,       lots_destroy};
     lots->nodes = nodes;
     lots->connected = g_new0(gboolean, nodes);
     for (int i = 0; i < nodes; i++) {
@@ -206,7 +207,7 @@
     lots->accounts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     lots->balances = tables_create(nodes);
     lots->disconnected_buckets = tables_create(nodes);
-    return &lots->way;
+    return &lots->strategy;
 }
 
 /* The server's ledger and limiters: usage is reported each REPORT_MS; shares are sent when the
@@ -216,7 +217,7 @@
 #define LEDGER_TICK_MS 50
 
 typedef struct shares_t {
-    quota_strategy_t way;
+    quota_strategy_t strategy;
     int nodes;
     gboolean *connected;
     wb_quota_limiter_t **limiters;
@@ -240,9 +241,9 @@
     return wb_quota_class("models", cost < 4000 ? 0 : 1);
 }
 
-static gboolean shares_admit(quota_strategy_t *way, int node, const wb_tenant_t *tenant,
+static gboolean shares_admit(quota_strategy_t *strategy, int node, const wb_tenant_t *tenant,
                              double cost, int64_t now_ms) {
-    shares_t *shares = (shares_t *)way;
+    shares_t *shares = (shares_t *)strategy;
     return wb_quota_limiter_admit(shares->limiters[node], tenant, class_of(cost), cost,
                                   (unsigned)shares->nodes, now_ms)
         .admitted;
@@ -266,8 +267,8 @@
     g_array_append_vals(sent_shares, shares->data, shares->len);
 }
 
-static void shares_tick(quota_strategy_t *way, int64_t now_ms) {
-    shares_t *shares = (shares_t *)way;
+static void shares_tick(quota_strategy_t *strategy, int64_t now_ms) {
+    shares_t *shares = (shares_t *)strategy;
     for (int i = 0; i < shares->nodes; i++) {
         if (!shares->connected[i]) {
             continue;
@@ -294,13 +295,14 @@
     }
 }
 
-static void shares_set_limits(quota_strategy_t *way, const wb_tenants_t *tenants, int64_t now_ms) {
-    wb_quota_ledger_set_tenants(((shares_t *)way)->ledger, tenants, now_ms);
+static void shares_set_limits(quota_strategy_t *strategy, const wb_tenants_t *tenants,
+                              int64_t now_ms) {
+    wb_quota_ledger_set_tenants(((shares_t *)strategy)->ledger, tenants, now_ms);
 }
 
-static void shares_set_connected(quota_strategy_t *way, int node, gboolean connected,
+static void shares_set_connected(quota_strategy_t *strategy, int node, gboolean connected,
                                  int64_t now_ms) {
-    shares_t *shares = (shares_t *)way;
+    shares_t *shares = (shares_t *)strategy;
     g_autofree char *name = g_strdup_printf("node-%d", node);
     shares->connected[node] = connected;
     wb_quota_limiter_set_connected(shares->limiters[node], connected);
@@ -311,8 +313,8 @@
     }
 }
 
-static void shares_replace_aggregator(quota_strategy_t *way, int64_t now_ms) {
-    wb_quota_ledger_clear(((shares_t *)way)->ledger, now_ms);
+static void shares_replace_aggregator(quota_strategy_t *strategy, int64_t now_ms) {
+    wb_quota_ledger_clear(((shares_t *)strategy)->ledger, now_ms);
 }
 
 static void nodes_report_to_second(shares_t *shares, gboolean cut_off, int64_t now_ms) {
@@ -325,8 +327,8 @@
     }
 }
 
-static void shares_split(quota_strategy_t *way, gboolean begins, int64_t now_ms) {
-    shares_t *shares = (shares_t *)way;
+static void shares_split(quota_strategy_t *strategy, gboolean begins, int64_t now_ms) {
+    shares_t *shares = (shares_t *)strategy;
     if (!begins) {
         nodes_report_to_second(shares, TRUE, now_ms);
         wb_quota_ledger_free(shares->ledger);
@@ -344,16 +346,16 @@
     nodes_report_to_second(shares, FALSE, now_ms);
 }
 
-static void shares_restart(quota_strategy_t *way, int node, int64_t now_ms) {
+static void shares_restart(quota_strategy_t *strategy, int node, int64_t now_ms) {
     (void)now_ms;
-    shares_t *shares = (shares_t *)way;
+    shares_t *shares = (shares_t *)strategy;
     wb_quota_limiter_free(shares->limiters[node]);
     shares->limiters[node] = wb_quota_limiter_create();
     wb_quota_limiter_set_connected(shares->limiters[node], TRUE);
 }
 
-static void shares_destroy(quota_strategy_t *way) {
-    shares_t *shares = (shares_t *)way;
+static void shares_destroy(quota_strategy_t *strategy) {
+    shares_t *shares = (shares_t *)strategy;
     for (int i = 0; i < shares->nodes; i++) {
         wb_quota_limiter_free(shares->limiters[i]);
     }
@@ -367,7 +369,7 @@
 
 quota_strategy_t *quota_strategy_shares(int nodes, const wb_tenants_t *tenants) {
     shares_t *shares = g_new0(shares_t, 1);
-    shares->way =
+    shares->strategy =
         (quota_strategy_t){"shares",          shares_admit,         shares_tick,
                            shares_set_limits, shares_set_connected, shares_replace_aggregator,
                            shares_split,      shares_restart,       shares_destroy};
@@ -384,5 +386,5 @@
         shares->limiters[i] = wb_quota_limiter_create();
         wb_quota_limiter_set_connected(shares->limiters[i], TRUE);
     }
-    return &shares->way;
+    return &shares->strategy;
 }
--- a/tests/harness/budget_oracle.c
+++ b/tests/harness/budget_oracle.c
@@ -44,7 +44,7 @@
     return (left > right) - (left < right);
 }
 
-/* Returns how many of the sorted times are before one. */
+/* Returns how many of the sorted times are before `before_ms`. */
 static unsigned count_before(const GArray *times, int64_t before_ms) {
     guint low = 0;
     guint high = times->len;
--- a/tests/harness/budget_oracle.h
+++ b/tests/harness/budget_oracle.h
@@ -31,6 +31,7 @@
 /** Record the arrival of a request at an engine, even if it is rejected. The arrivals of one id
  * must be recorded in order. */
 void budget_oracle_arrival(budget_oracle_t *oracle, const char *id, int64_t at_ms);
+/** @return the worst window; its excess is -G_MAXDOUBLE if there were no retries */
 budget_window_t budget_oracle_worst_window(budget_oracle_t *oracle);
 
 #endif
--- a/tests/harness/estate.h
+++ b/tests/harness/estate.h
@@ -102,7 +102,7 @@
 /** A client's persistent connection. */
 typedef struct wire_t {
     int descriptor;
-    GString *unread;
+    GString *unread; /**< received bytes that no response has consumed yet */
 } wire_t;
 
 /** A response as received. */
@@ -120,10 +120,11 @@
 wire_t *wire_try_open(int port);
 void wire_close(wire_t *wire);
 void wire_send(wire_t *wire, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Read one response. @return what arrived within `timeout_ms`; free it with wire_response_free */
+/** Read one response. A body with neither a Content-Length nor chunks stays in `unread`. @return
+ * what arrived within `timeout_ms`; free it with wire_response_free */
 wire_response_t *wire_read(wire_t *wire, int timeout_ms);
 void wire_response_free(wire_response_t *answer);
-/** @return TRUE if the server closes within `timeout_ms` without sending any bytes */
+/** @return TRUE if the server closes within `timeout_ms` and no received bytes are unread */
 gboolean wire_is_closed(wire_t *wire, int timeout_ms);
 /** Send a POST with Content-Length. @param headers lines that end with CR LF */
 void wire_post(wire_t *wire, const char *path, const char *id, const char *headers,
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -41,7 +41,7 @@
     int proxy_port; /**< port that nodes connect to */
     char service[32];
     char zone[16];
-    gint64 killed_us; /**< 0: not killed */
+    gint64 killed_us; /**< monotonic time in microseconds; 0: not killed */
 } engine_t;
 
 /** Size and settings of a cluster. */
--- a/tests/harness/limit_oracle.h
+++ b/tests/harness/limit_oracle.h
@@ -3,8 +3,9 @@
  * @brief Checks that nodes respect an engine's reported limit, from arrivals at the engine and
  * responses to clients.
  *
- * The bound: from `contact_ms` after the engine first reported its limit, in every 4 s, at most 1.5
- * times the limit plus 5 requests arrive, over all nodes that forwarded a response reporting the
+ * The bound: in every window of 4 s, at most 1.5 times the number of requests that the limit
+ * allows, plus 5, arrive at the engine. An arrival counts if the engine first reported its limit at
+ * least `contact_ms` earlier, and the sending node first forwarded a response that reports the
  * limit at least 500 ms earlier. Windows start at every millisecond. Times are in ms, limits in
  * requests per second.
  */
--- a/tests/harness/wire.c
+++ b/tests/harness/wire.c
@@ -71,7 +71,8 @@
     return strstr(answer->head->str, text) != NULL;
 }
 
-/* Removes a chunk from the unread bytes. Returns its length, or -1 if it isn't complete. */
+/* Moves a chunk from the unread bytes to the body. Returns its length, or -1 if it isn't complete.
+ */
 static long chunk_take(wire_t *wire, GString *body) {
     char *line_end = strstr(wire->unread->str, "\r\n");
     if (line_end == NULL)
--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -16,7 +16,7 @@
 #define POISON_ENGINES 3
 #define POISON_DETECT_MS 3000
 #define POISON_LATE_MAX 3
-/* The same by all nodes, including those cut off, paused or just restarted. */
+/* The same limit for all nodes together, including those cut off, paused or just restarted. */
 #define POISON_LATE_MAX_TOTAL 12
 
 /* Maximum number of engines that may run a request, by its path. */
--- a/tests/soak/clients.c
+++ b/tests/soak/clients.c
@@ -36,7 +36,8 @@
     return g_strdup(text->str);
 }
 
-/* Events come once each, in order and of this request; a complete stream has all of them. */
+/* Each event must come once, in order and with the request's id; a complete stream has all events.
+ */
 static void stream_check(soak_t *soak, const soak_request_t *request,
                          const wire_response_t *answer) {
     g_autoptr(GString) wanted = g_string_new(NULL);
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -346,8 +346,8 @@
     {"configuration", config_begin, end_nothing, 10, 20, FALSE},
 };
 
-/* A process that isn't running can't be stopped, paused or reloaded; neither a kind nor a process
- * has two faults at once. */
+/* A process that isn't running can't be stopped, paused or reloaded. Active faults differ in
+ * kind and process, and all nodes are killed only while no other fault is active. */
 static gboolean can_begin(const soak_t *soak, const soak_fault_t *fault, const GArray *active) {
     gboolean is_all = fault->kind->begin == all_killed_begin;
     for (guint i = 0; i < active->len; i++) {
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -73,7 +73,8 @@
 /* Runs one seed. Returns TRUE when all checks passed. */
 static gboolean seed_run(guint32 seed, int seconds) {
     soak_t soak = {.seed = seed, .rand = g_rand_new_with_seed(seed)};
-    /* A short window, so that a killed node's share is available again within the run. */
+    /* With load shedding the window is short, so that a killed node's share is available again
+     * within the run. */
     soak.has_load_shedding = seed / 512 % 2 == 1;
     soak.retry_slack = soak.has_load_shedding ? 8 : 54;
     soak.retry_window_s = soak.has_load_shedding ? 3 : 10;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -111,7 +111,7 @@
                                   const char *name);
 
 /* clients.c */
-/** Start the clients' threads. @return them, owned by the caller; end with soak_clients_join */
+/** Start the clients. @return their threads, owned by the caller; end with soak_clients_join */
 GPtrArray *soak_clients_start(soak_t *soak);
 void soak_clients_join(GPtrArray *threads);
 /** Start clients that repeatedly send a request that crashes engines, if this seed has one. @return
--- a/tests/unit/test_demand_stats.c
+++ b/tests/unit/test_demand_stats.c
@@ -39,7 +39,7 @@
     wb_demand_stats_mark_served(stats, "llm", "m1", "");
     g_assert_cmpuint(model_use(stats)->waiting, ==, 0);
     g_assert_cmpuint(model_use(stats)->running, ==, 4);
-    report_demand(stats, "n1", 0, 0); /* a gateway's report replaces what was assumed of it */
+    report_demand(stats, "n1", 0, 0); /* a gateway's report replaces the assumption */
     g_assert_cmpuint(model_use(stats)->running, ==, 1);
     wb_demand_stats_free(stats);
 }
--- a/tests/unit/test_equal_share.c
+++ b/tests/unit/test_equal_share.c
@@ -69,8 +69,8 @@
     wb_equal_share_free(share);
 }
 
-/* The first process of the first machine has the whole amount at once; one that finds another node
- * listed waits. */
+/* The first process of the first machine has the whole amount at once; a process that finds another
+ * node listed waits. */
 static void test_begin_first(void) {
     wb_equal_share_t *share = wb_equal_share_create("own", WINDOW_MS);
     wb_equal_share_set_first_process(share, 1000);
@@ -208,8 +208,8 @@
     machine->listed = TRUE;
 }
 
-/* The process receives an earlier read from another node and takes it as current. One that is cut
- * off may still receive what was under way. */
+/* The process receives an earlier read from another node and takes it as current. A process that is
+ * cut off may still receive a read that was in transit. */
 static void process_receive(sim_t *sim, sim_machine_t *machine, int step) {
     int then = step - g_rand_int_range(sim->random, 0, WB_SHARE_DELAY_MS / STEP_MS);
     gboolean arrives = then >= 0 && (machine->cut_step == 0 || then < machine->cut_step);
@@ -257,7 +257,7 @@
         machine->cut_step = machine->cut_step == 0 ? step : 0;
         break;
     case 3:
-        if (others_listed(sim, machine)) { /* one of them removes it */
+        if (others_listed(sim, machine)) { /* one of them removes its row */
             machine->listed = FALSE;
         }
         break;
--- a/tests/unit/test_exchange_wait.c
+++ b/tests/unit/test_exchange_wait.c
@@ -178,8 +178,8 @@
     g_array_append_val(exchange->tried, tried);
 }
 
-/* A request that engines refused waits until one becomes available again; if none will, it is
- * refused at once. */
+/* A request that engines refused waits until an engine becomes available again; if none will, the
+ * request is refused at once. */
 static void test_engine_that_opens(void) {
     fixture_t fixture;
     fixture_init(&fixture, NULL, "");
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -77,7 +77,7 @@
     g_assert_false(wb_engine_is_usable(back, now_ms + 60000));
 }
 
-/* Placement updates of the controller override rows, but not one that is announced long after. */
+/* Placement updates of the controller override rows, except a row that is announced long after. */
 static void test_news_yield_to_later_rows(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -98,7 +98,7 @@
     store_row_write(&store, &row); /* written, but the answer was lost */
     wb_lease_on_write_unknown(lease, 900);
     g_assert_false(wb_lease_is_held(lease, 900));
-    /* On the same expected version. */
+    /* The retry expects the same version. */
     g_assert_true(wb_lease_next_write(lease, 900, &row, &expected));
     g_assert_cmpint(expected, ==, 0);
     wb_lease_on_not_written(lease, 905);
--- a/tests/unit/test_table_readers.c
+++ b/tests/unit/test_table_readers.c
@@ -1,4 +1,5 @@
-/* Guards against too many readers of the engine table, or nodes that disagree on who they are. */
+/* Guards against too many readers of the engine table, or nodes that disagree on which nodes
+ * are readers. */
 #include "unit.h"
 
 #include "directory/table_readers.h"
