--- a/tests/edge/test_control.c
+++ b/tests/edge/test_control.c
@@ -102,7 +102,7 @@
 }
 
 /* While no controller is reachable, a request that can't be served in time is refused at once with
- * a Retry-After, and its model is loaded by then. */
+ * a Retry-After, at the end of which its model is loaded. */
 static void test_refused_while_nobody_decides(void) {
     estate_t *estate = estate_start(2, "--lease-quiet-ms=2500 --lease-duration-ms=4000");
     int controller = estate_wait_controller(estate, 3000);
--- a/tests/edge/test_stops.c
+++ b/tests/edge/test_stops.c
@@ -26,8 +26,8 @@
     int64_t stopped_ms = harness_now_ms();
     g_assert_true(wire_is_closed(idle, 4000));
     int64_t elapsed_ms = harness_now_ms() - stopped_ms;
-    g_assert_cmpint(elapsed_ms, >=,
-                    2000); /* the load balancer must first see that the node is stopping */
+    /* The load balancer must first see that the node is stopping. */
+    g_assert_cmpint(elapsed_ms, >=, 2000);
     g_assert_cmpint(elapsed_ms, <=, 3300);
     wire_close(idle);
     wire_close(streaming);
--- a/tests/fuzz/fuzz_lease_check.c
+++ b/tests/fuzz/fuzz_lease_check.c
@@ -67,7 +67,7 @@
     } engines[ENGINES];
     int orders;
     int takeovers;
-    const char *fault;
+    const char *violation;
 } world_t;
 
 static const char *weakened_mechanism = "";
@@ -103,12 +103,12 @@
     int last_node = world->engines[engine].last_node;
     gboolean another_node = last_node >= 0 && last_node != index;
     if (token < world->engines[engine].last_token)
-        world->fault = "a lower token after a higher one";
+        world->violation = "a lower token after a higher one";
     else if (another_node && token == world->engines[engine].last_token)
-        world->fault = "two machines with one token";
+        world->violation = "two machines with one token";
     else if (another_node &&
              world->now_ms - world->engines[engine].last_order_ms < HANDOVER_INTERVAL_MS)
-        world->fault = "two machines order an engine too close to each other";
+        world->violation = "two machines order an engine too close to each other";
     world->takeovers += another_node;
     world->engines[engine].last_node = index;
     world->engines[engine].last_token = token;
@@ -271,7 +271,8 @@
         world.nodes[i].clock_offset_ms = random_between(&world, 0, 100000);
         node_start(&world, i);
     }
-    for (world.now_ms = 1; world.now_ms < RUN_MS && world.fault == NULL; world.now_ms += STEP_MS) {
+    for (world.now_ms = 1; world.now_ms < RUN_MS && world.violation == NULL;
+         world.now_ms += STEP_MS) {
         faults_step(&world);
         for (int i = 0; i < MAX_PENDING_WRITES; i++)
             pending_write_step(&world, &world.pending[i]);
@@ -280,29 +281,30 @@
     }
     *orders += world.orders;
     *takeovers += world.takeovers;
-    const char *fault = world.fault;
+    const char *violation = world.violation;
     world_free(&world);
-    return fault;
+    return violation;
 }
 
 int main(int argc, char **argv) {
-    int faults = 0;
+    int failed_seeds = 0;
     int orders = 0;
     int takeovers = 0;
     if (argc > 1 && g_str_has_prefix(argv[1], "--take-out="))
         weakened_mechanism = argv[1] + strlen("--take-out=");
     for (guint32 seed = 1; seed <= SEEDS; seed++) {
-        const char *fault = seed_run(seed, &orders, &takeovers);
-        if (fault == NULL)
+        const char *violation = seed_run(seed, &orders, &takeovers);
+        if (violation == NULL)
             continue;
-        faults++;
-        if (faults <= 5)
-            printf("seed %u: %s\n", seed, fault);
+        failed_seeds++;
+        if (failed_seeds <= 5)
+            printf("seed %u: %s\n", seed, violation);
     }
-    printf("%d seeds, %d acts, %d take-overs, %d with a fault\n", SEEDS, orders, takeovers, faults);
+    printf("%d seeds, %d acts, %d take-overs, %d with a fault\n", SEEDS, orders, takeovers,
+           failed_seeds);
     if (orders < SEEDS * 100 || takeovers < SEEDS) {
         printf("too little happened to show anything\n");
         return 1;
     }
-    return faults > 0;
+    return failed_seeds > 0;
 }
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -158,7 +158,8 @@
         faults[(fault->variant / 4) % (int)G_N_ELEMENTS(faults)], 1 + fault->variant % 3);
 }
 
-/* An additional engine for the lock service, which drains or crashes after a while. */
+/* Names a guest: an additional engine for the lock service, which drains or crashes after a while.
+ */
 static void guest_name(const soak_fault_t *fault, char name[32]) {
     g_snprintf(name, 32, "guest-%d", fault->variant);
 }
