--- a/standins/engine/engine.h
+++ b/standins/engine/engine.h
@@ -127,6 +127,7 @@
 
 /** Append the event with this index (0 to answer_events()-1) as a server-sent event. */
 void answer_append_event(GString *out, const answer_t *answer, int index);
+/** @return the number of events of the complete response */
 int answer_events(const answer_t *answer);
 /** @return the complete response as JSON, freed by the caller */
 char *answer_whole(const answer_t *answer);
--- a/tests/fuzz/fuzz_control_check.c
+++ b/tests/fuzz/fuzz_control_check.c
@@ -51,7 +51,7 @@
     int adapter_wanted[SIM_MODELS];       /* -1: none */
     GArray *loads; /* of int64_t: start times of loads from the weight store */
     uint64_t highest_token[SIM_WORKERS];
-    const char *fault;
+    const char *violation;
     unsigned long long orders;
 } simulation_t;
 
@@ -89,7 +89,7 @@
     simulation_t *simulation = context;
     simulation->orders++;
     if (token < simulation->highest_token[worker]) {
-        simulation->fault = "a token fell";
+        simulation->violation = "a token fell";
     }
     simulation->highest_token[worker] = token;
 }
@@ -102,7 +102,7 @@
         g_array_remove_index(simulation->loads, 0);
     }
     if (simulation->loads->len > MAX_LOADS_IN_WINDOW) {
-        simulation->fault = "too many loads from the weight store";
+        simulation->violation = "too many loads from the weight store";
     }
 }
 
@@ -258,17 +258,17 @@
         sim_worker_restart(g_rand_int_range(simulation->random, 0, SIM_WORKERS));
     }
     virtual_loop_run(wb_clock_ms() + STEP_MS);
-    for (int worker = 0; worker < SIM_WORKERS && simulation->fault == NULL; worker++) {
-        simulation->fault = sim_worker_capacity_violation(worker);
+    for (int worker = 0; worker < SIM_WORKERS && simulation->violation == NULL; worker++) {
+        simulation->violation = sim_worker_capacity_violation(worker);
     }
 }
 
 /* Fails if a client has waited for more than half of the fault-free phase. */
 static void waiting_check(simulation_t *simulation) {
-    for (int i = 0; i < SIM_MODELS && simulation->fault == NULL; i++) {
+    for (int i = 0; i < SIM_MODELS && simulation->violation == NULL; i++) {
         int64_t since_ms = simulation->waiting_since_ms[i];
         if (since_ms != 0 && wb_clock_ms() - since_ms > FAULT_FREE_MS / 2) {
-            simulation->fault = "a model is waited for and never loaded";
+            simulation->violation = "a model is waited for and never loaded";
         }
     }
 }
@@ -287,8 +287,8 @@
     sim_workers_start(simulation.random, simulation.service, &oracle);
     sim_workers_set_faults(&faults);
     nodes_create(&simulation);
-    for (int64_t step = 0; step < (FAULTS_MS + FAULT_FREE_MS) / STEP_MS && simulation.fault == NULL;
-         step++) {
+    for (int64_t step = 0;
+         step < (FAULTS_MS + FAULT_FREE_MS) / STEP_MS && simulation.violation == NULL; step++) {
         gboolean fault_free = step >= FAULTS_MS / STEP_MS;
         if (fault_free) {
             sim_workers_set_faults(&none);
@@ -303,21 +303,21 @@
     sim_workers_stop();
     g_array_unref(simulation.loads);
     g_rand_free(simulation.random);
-    return simulation.fault;
+    return simulation.violation;
 }
 
 int main(int argc, char **argv) {
     guint32 first = argc > 1 ? (guint32)atoi(argv[1]) : 1;
     guint32 count = argc > 2 ? (guint32)atoi(argv[2]) : SEEDS;
     unsigned long long orders = 0;
-    int faults = 0;
+    int failed_seeds = 0;
     for (guint32 seed = first; seed < first + count; seed++) {
-        const char *fault = seed_run(seed, &orders);
-        if (fault != NULL) {
-            printf("seed %u: %s\n", seed, fault);
-            faults++;
+        const char *violation = seed_run(seed, &orders);
+        if (violation != NULL) {
+            printf("seed %u: %s\n", seed, violation);
+            failed_seeds++;
         }
     }
-    printf("%u seeds, %llu orders, %d with a fault\n", count, orders, faults);
-    return faults == 0 ? 0 : 1;
+    printf("%u seeds, %llu orders, %d with a fault\n", count, orders, failed_seeds);
+    return failed_seeds == 0 ? 0 : 1;
 }
--- a/tests/fuzz/quota_sim.c
+++ b/tests/fuzz/quota_sim.c
@@ -39,8 +39,8 @@
                                                   "two deciding",
                                                   "take-over"};
 
-const char *quota_fault_name(quota_fault_t trouble) {
-    return names[trouble];
+const char *quota_fault_name(quota_fault_t fault) {
+    return names[fault];
 }
 
 typedef struct tenant_state_t {
@@ -59,7 +59,7 @@
     quota_strategy_t *strategy;
     GRand *random;
     int nodes;
-    quota_fault_t trouble;
+    quota_fault_t fault;
     gboolean down;      /* all nodes are killed */
     GArray *retries;    /* of retry_t, ordered by step */
     guint retries_sent; /* number of them already sent */
@@ -112,11 +112,11 @@
 }
 
 static gboolean is_hot(const simulation_t *simulation) {
-    return simulation->trouble >= QUOTA_HOT && simulation->trouble <= QUOTA_HOT_RESTART;
+    return simulation->fault >= QUOTA_HOT && simulation->fault <= QUOTA_HOT_RESTART;
 }
 
 static int hot_tenant(const simulation_t *simulation) {
-    return simulation->trouble == QUOTA_HOT_SMALL ? TENANTS - 1 : 1;
+    return simulation->fault == QUOTA_HOT_SMALL ? TENANTS - 1 : 1;
 }
 
 static double requests_per_s(const simulation_t *simulation, int tenant, double now_s) {
@@ -166,7 +166,7 @@
 }
 
 static void nodes_set_connected(simulation_t *simulation, gboolean connected, int64_t now_ms) {
-    int stride = simulation->trouble == QUOTA_HOT_CUT_MANY ? 3 : 6;
+    int stride = simulation->fault == QUOTA_HOT_CUT_MANY ? 3 : 6;
     for (int i = 0; i < simulation->nodes; i += stride) {
         simulation->strategy->set_connected(simulation->strategy, i, connected, now_ms);
     }
@@ -179,7 +179,7 @@
     gboolean during = now_s == FAULT_START_S + 2;
     gboolean after = now_s == FAULT_START_S + 5;
     gboolean ends = now_s == FAULT_END_S;
-    switch (simulation->trouble) {
+    switch (simulation->fault) {
     case QUOTA_CUT:
     case QUOTA_HOT_CUT:
     case QUOTA_HOT_CUT_MANY:
@@ -246,7 +246,7 @@
     double sum = 0;
     double max_sum = 0;
     int window = WINDOW_S * STEPS_PER_S;
-    int first = simulation->trouble == QUOTA_LOWERED ? (FAULT_START_S + 1) * STEPS_PER_S : 0;
+    int first = simulation->fault == QUOTA_LOWERED ? (FAULT_START_S + 1) * STEPS_PER_S : 0;
     for (int step = first; step < RUN_S * STEPS_PER_S; step++) {
         sum += state->admitted[step];
         if (step - first >= window) {
@@ -277,9 +277,9 @@
 }
 
 quota_result_t quota_sim_run(quota_strategy_t *(*create)(int nodes, const wb_tenants_t *tenants),
-                             int nodes, quota_fault_t trouble, unsigned seed) {
+                             int nodes, quota_fault_t fault, unsigned seed) {
     simulation_t simulation = {
-        .nodes = nodes, .trouble = trouble, .random = g_rand_new_with_seed(seed)};
+        .nodes = nodes, .fault = fault, .random = g_rand_new_with_seed(seed)};
     g_random_set_seed(seed);
     tenants_create(&simulation);
     simulation.strategy = create(nodes, simulation.tenants);
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -62,9 +62,9 @@
     double hot_served;   /**< admitted cost of the hot tenant / what one bucket admits */
 } quota_result_t;
 
-const char *quota_fault_name(quota_fault_t trouble);
+const char *quota_fault_name(quota_fault_t fault);
 /** Simulate 40 s. @param create one of the constructors above */
 quota_result_t quota_sim_run(quota_strategy_t *(*create)(int nodes, const wb_tenants_t *tenants),
-                             int nodes, quota_fault_t trouble, unsigned seed);
+                             int nodes, quota_fault_t fault, unsigned seed);
 
 #endif
--- a/tests/fuzz/quota_ways.c
+++ b/tests/fuzz/quota_ways.c
@@ -233,7 +233,7 @@
     return shares->second != NULL && !is_cut_off(node);
 }
 
-/* Traffic classes: calls to a ledger, chats, drafts. */
+/* Traffic class by cost, as drawn in quota_sim.c: locks, questions, drafts. */
 static wb_quota_class_t class_of(double cost) {
     if (cost <= 200) {
         return wb_quota_class("ledger", 2);
--- a/tests/fuzz/sim_worker.c
+++ b/tests/fuzz/sim_worker.c
@@ -415,7 +415,7 @@
     g_snprintf(response->body, sizeof(response->body), "%u", index);
 }
 
-/* Replacement for http_peer. */
+/* Replacement for wb_http_pool_t. */
 
 wb_http_pool_t *wb_http_pool_create(wb_loop_t *loop, const char *address,
                                     int64_t connect_timeout_ms, int64_t silence_limit_ms) {
--- a/tests/unit/test_cold_engine_share.c
+++ b/tests/unit/test_cold_engine_share.c
@@ -61,7 +61,8 @@
         shares +=
             wb_cold_engine_share(CAPACITY_PER_S, 87, wb_rendezvous_rank(engine, "edge-3", nodes));
     }
-    g_assert_cmpuint(shares, >, 10); /* 11 of 87 of them, 25 on average */
+    /* Each of the 200 incarnations gives 11 shares to 87 nodes: 25 per node on average. */
+    g_assert_cmpuint(shares, >, 10);
     g_assert_cmpuint(shares, <, 50);
 }
 
@@ -77,8 +78,8 @@
     g_assert_cmpuint(sum, <=, (unsigned)CAPACITY_PER_S);
 }
 
-/* Every node sends whenever allowed for five seconds, as after a load that all wait for: no second
- * exceeds the capacity. */
+/* Every node sends whenever allowed for five seconds, as when a model is loaded that requests at
+ * all nodes wait for: no second exceeds the capacity. */
 static void test_storm(void) {
     enum { NODES = 87, STEPS = 500, STEP_MS = 10 };
     g_autoptr(GHashTable) nodes = nodes_create(NODES);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -14,7 +14,8 @@
     return wb_fleet_announce(fleet, state);
 }
 
-/* A drain begins when the row was removed, at the earliest when the table was last known. */
+/* The grace time of a removed engine is counted from when the table was last known: its row may
+ * have been removed just after. */
 static void test_gone_since_last_known(void) {
     int64_t now_ms = 100000;
     g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
