--- a/tests/unit/test_quota_ledger.c
+++ b/tests/unit/test_quota_ledger.c
@@ -119,7 +119,7 @@
  * is all that the limit allows; refused is relative to what that bucket admits. */
 static void test_limits_hold_over_all_nodes(void) {
     static const struct {
-        quota_fault_t trouble;
+        quota_fault_t fault;
         double max_of_rule;
         double refused;
     } bounds[] = {
@@ -134,9 +134,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(bounds); i++) {
         for (unsigned seed = 1; seed <= SEEDS; seed++) {
             quota_result_t result =
-                quota_sim_run(quota_strategy_shares, NODES, bounds[i].trouble, seed);
+                quota_sim_run(quota_strategy_shares, NODES, bounds[i].fault, seed);
             g_test_message("%s, seed %u: %.3f of the rule, %.4f refused",
-                           quota_fault_name(bounds[i].trouble), seed, result.max_of_rule,
+                           quota_fault_name(bounds[i].fault), seed, result.max_of_rule,
                            result.refused);
             g_assert_cmpfloat(result.max_of_rule, <=, bounds[i].max_of_rule);
             g_assert_cmpfloat(result.refused, <=, bounds[i].refused);
