--- a/tests/unit/test_table_readers.c
+++ b/tests/unit/test_table_readers.c
@@ -28,8 +28,8 @@
     g_array_unref(nodes->readers);
 }
 
-/* Bounds the rows read at a start: readers are a thirty-second of the nodes, or the strong
- * machines, not all nodes. */
+/* Bounds the rows read at a start: readers are the nodes about as strong as the strongest one, and
+ * at least a thirty-second of all nodes. */
 static void test_count(void) {
     static const struct {
         guint strong;
