--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -443,7 +443,7 @@
     }
 }
 
-/* Whether a fault of one of these names was active at a node. */
+/* Whether the span of a fault with one of these names overlaps this time at a node. */
 static gboolean had_fault(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
                           const char *const *names) {
     gboolean found = FALSE;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -23,12 +23,12 @@
 #define SOAK_LEASE_HANDOVER_MS 1000
 #define SOAK_RETRY_RATIO 0.2
 
-/** Time during which a fault was active. */
+/** Time during which a fault was active or may have had effects. */
 typedef struct soak_span_t {
     char name[32];
     int node; /* the affected node; -1: several */
     int64_t from_ms;
-    int64_t to_ms;
+    int64_t to_ms; /* SOAK_DISTURBED_AFTER_MS after the fault's end */
 } soak_span_t;
 
 /** An engine that was set to draining. */
