--- a/standins/platform/machines.c
+++ b/standins/platform/machines.c
@@ -98,8 +98,7 @@
     machine->state = MACHINE_LIVE;
     json_object_del(body, "pid");
     machine->description = body;
-    /* A new machine is listed at once: the program that starts it would wait for the list anyway.
-     */
+    /* Listed at once: the program that starts a machine would wait for the list anyway. */
     machine->shown = TRUE;
     g_mutex_lock(&machines.lock);
     machines.version++;
