--- a/standins/platform/machines.c
+++ b/standins/platform/machines.c
@@ -1,4 +1,4 @@
-/* The list of live and draining machines. It shows changes after a lag. */
+/* The list of machines, each live, draining or removed. It shows changes after a lag. */
 #include "platform.h"
 
 #include "wickbridge/json.h"
@@ -98,7 +98,7 @@
     machine->state = MACHINE_LIVE;
     json_object_del(body, "pid");
     machine->description = body;
-    /* A new machine is listed at once, since whoever starts one waits for the list anyway. */
+    /* Listed at once: the program that starts a machine would wait for the list anyway. */
     machine->shown = TRUE;
     g_mutex_lock(&machines.lock);
     machines.version++;
--- a/tests/fuzz/quota_sim.c
+++ b/tests/fuzz/quota_sim.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 /* Demand: a few large tenants among many small ones; 47 in 100 requests are drafts, 24 questions
- * and 29 locks. Limits are LIMIT_FACTOR the baseline demand, with a burst of one second. A window
- * may exceed its limit by OVERAGE plus SLACK tokens. */
+ * and 29 locks. Limits are LIMIT_FACTOR times the baseline demand, with a burst of one second. A
+ * window may exceed its limit by OVERAGE plus SLACK tokens. */
 #define TENANTS 16
 #define REQUESTS_PER_S 368.0
 #define LIMIT_FACTOR 1.8
@@ -39,8 +39,8 @@
                                                   "two deciding",
                                                   "take-over"};
 
-const char *quota_fault_name(quota_fault_t trouble) {
-    return names[trouble];
+const char *quota_fault_name(quota_fault_t fault) {
+    return names[fault];
 }
 
 typedef struct tenant_state_t {
@@ -56,10 +56,10 @@
 typedef struct simulation_t {
     wb_tenants_t *tenants;
     tenant_state_t tenant_states[TENANTS];
-    quota_strategy_t *way;
+    quota_strategy_t *strategy;
     GRand *random;
     int nodes;
-    quota_fault_t trouble;
+    quota_fault_t fault;
     gboolean down;      /* all nodes are killed */
     GArray *retries;    /* of retry_t, ordered by step */
     guint retries_sent; /* number of them already sent */
@@ -112,11 +112,11 @@
 }
 
 static gboolean is_hot(const simulation_t *simulation) {
-    return simulation->trouble >= QUOTA_HOT && simulation->trouble <= QUOTA_HOT_RESTART;
+    return simulation->fault >= QUOTA_HOT && simulation->fault <= QUOTA_HOT_RESTART;
 }
 
 static int hot_tenant(const simulation_t *simulation) {
-    return simulation->trouble == QUOTA_HOT_SMALL ? TENANTS - 1 : 1;
+    return simulation->fault == QUOTA_HOT_SMALL ? TENANTS - 1 : 1;
 }
 
 static double requests_per_s(const simulation_t *simulation, int tenant, double now_s) {
@@ -140,7 +140,8 @@
     if (simulation->down) {
         return;
     }
-    gboolean admitted = simulation->way->admit(simulation->way, node, state->tenant, cost, now_ms);
+    gboolean admitted =
+        simulation->strategy->admit(simulation->strategy, node, state->tenant, cost, now_ms);
     if (oracle_admits) {
         state->oracle.level -= cost;
         state->oracle_sum += cost;
@@ -165,9 +166,9 @@
 }
 
 static void nodes_set_connected(simulation_t *simulation, gboolean connected, int64_t now_ms) {
-    int stride = simulation->trouble == QUOTA_HOT_CUT_MANY ? 3 : 6;
+    int stride = simulation->fault == QUOTA_HOT_CUT_MANY ? 3 : 6;
     for (int i = 0; i < simulation->nodes; i += stride) {
-        simulation->way->set_connected(simulation->way, i, connected, now_ms);
+        simulation->strategy->set_connected(simulation->strategy, i, connected, now_ms);
     }
 }
 
@@ -178,7 +179,7 @@
     gboolean during = now_s == FAULT_START_S + 2;
     gboolean after = now_s == FAULT_START_S + 5;
     gboolean ends = now_s == FAULT_END_S;
-    switch (simulation->trouble) {
+    switch (simulation->fault) {
     case QUOTA_CUT:
     case QUOTA_HOT_CUT:
     case QUOTA_HOT_CUT_MANY:
@@ -194,24 +195,24 @@
     case QUOTA_SPLIT:
     case QUOTA_HOT_SPLIT:
         if (begins || ends) {
-            simulation->way->split(simulation->way, begins, now_ms);
+            simulation->strategy->split(simulation->strategy, begins, now_ms);
         }
         break;
     case QUOTA_TAKE_OVER:
     case QUOTA_HOT_TAKE_OVER:
         if (after) {
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
         }
         for (int i = 0; i < simulation->nodes && (during || after); i++) {
-            simulation->way->set_connected(simulation->way, i, after, now_ms);
+            simulation->strategy->set_connected(simulation->strategy, i, after, now_ms);
         }
         break;
     case QUOTA_HOT_ALONE:
         if (ends) {
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
         }
         for (int i = 0; i < simulation->nodes && (begins || ends); i++) {
-            simulation->way->set_connected(simulation->way, i, ends, now_ms);
+            simulation->strategy->set_connected(simulation->strategy, i, ends, now_ms);
         }
         break;
     case QUOTA_HOT_RESTART:
@@ -220,9 +221,9 @@
         }
         if (now_s == FAULT_START_S + 3) {
             simulation->down = FALSE;
-            simulation->way->replace_aggregator(simulation->way, now_ms);
+            simulation->strategy->replace_aggregator(simulation->strategy, now_ms);
             for (int i = 0; i < simulation->nodes; i++) {
-                simulation->way->restart(simulation->way, i, now_ms);
+                simulation->strategy->restart(simulation->strategy, i, now_ms);
             }
         }
         break;
@@ -230,7 +231,7 @@
         if (begins) {
             simulation->tenant_states[0].tenant->rate_per_s /= 5;
             simulation->tenant_states[0].tenant->burst /= 5;
-            simulation->way->set_limits(simulation->way, simulation->tenants, now_ms);
+            simulation->strategy->set_limits(simulation->strategy, simulation->tenants, now_ms);
         }
         break;
     default:
@@ -245,7 +246,7 @@
     double sum = 0;
     double max_sum = 0;
     int window = WINDOW_S * STEPS_PER_S;
-    int first = simulation->trouble == QUOTA_LOWERED ? (FAULT_START_S + 1) * STEPS_PER_S : 0;
+    int first = simulation->fault == QUOTA_LOWERED ? (FAULT_START_S + 1) * STEPS_PER_S : 0;
     for (int step = first; step < RUN_S * STEPS_PER_S; step++) {
         sum += state->admitted[step];
         if (step - first >= window) {
@@ -276,12 +277,12 @@
 }
 
 quota_result_t quota_sim_run(quota_strategy_t *(*create)(int nodes, const wb_tenants_t *tenants),
-                             int nodes, quota_fault_t trouble, unsigned seed) {
+                             int nodes, quota_fault_t fault, unsigned seed) {
     simulation_t simulation = {
-        .nodes = nodes, .trouble = trouble, .random = g_rand_new_with_seed(seed)};
+        .nodes = nodes, .fault = fault, .random = g_rand_new_with_seed(seed)};
     g_random_set_seed(seed);
     tenants_create(&simulation);
-    simulation.way = create(nodes, simulation.tenants);
+    simulation.strategy = create(nodes, simulation.tenants);
     simulation.retries = g_array_new(FALSE, FALSE, sizeof(retry_t));
     for (int step = 0; step < RUN_S * STEPS_PER_S; step++) {
         int64_t now_ms = 1000000 + step * STEP_MS;
@@ -296,11 +297,11 @@
         }
         retries_send(&simulation, step);
         if (!simulation.down) {
-            simulation.way->tick(simulation.way, now_ms);
+            simulation.strategy->tick(simulation.strategy, now_ms);
         }
     }
     quota_result_t result = result_compute(&simulation);
-    simulation.way->destroy(simulation.way);
+    simulation.strategy->destroy(simulation.strategy);
     for (int i = 0; i < TENANTS; i++) {
         g_free(simulation.tenant_states[i].admitted);
     }
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -41,7 +41,7 @@
     int proxy_port; /**< port that nodes connect to */
     char service[32];
     char zone[16];
-    gint64 killed_us; /**< 0: not killed */
+    gint64 killed_us; /**< monotonic time in microseconds; 0: not killed */
 } engine_t;
 
 /** Size and settings of a cluster. */
@@ -102,7 +102,7 @@
 void partition_set(cluster_t *cluster, int first_count);
 /** Set the fault mode of the platform stand-in, such as {"table":"refuse"}. */
 void platform_faults(cluster_t *cluster, const char *json);
-/** Deregister a machine from the platform. */
+/** Mark a machine as draining in the platform's machine list. */
 void machine_deregister(cluster_t *cluster, const char *id);
 
 /** If set, calls use TLS with ca.pem, caller.pem and caller.key of this folder. */
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -158,7 +158,8 @@
         faults[(fault->variant / 4) % (int)G_N_ELEMENTS(faults)], 1 + fault->variant % 3);
 }
 
-/* An additional engine for the lock service, which drains or crashes after a while. */
+/* Names a guest: an additional engine for the lock service, which drains or crashes after a while.
+ */
 static void guest_name(const soak_fault_t *fault, char name[32]) {
     g_snprintf(name, 32, "guest-%d", fault->variant);
 }
@@ -346,8 +347,8 @@
     {"configuration", config_begin, end_nothing, 10, 20, FALSE},
 };
 
-/* A process that isn't running can't be stopped, paused or reloaded; neither a kind nor a process
- * has two faults at once. */
+/* A process that isn't running can't be stopped, paused or reloaded. Active faults differ in
+ * kind and process, and all nodes are killed only while no other fault is active. */
 static gboolean can_begin(const soak_t *soak, const soak_fault_t *fault, const GArray *active) {
     gboolean is_all = fault->kind->begin == all_killed_begin;
     for (guint i = 0; i < active->len; i++) {
@@ -442,7 +443,7 @@
     }
 }
 
-/* Whether a fault of one of these names was active at a node. */
+/* Whether the span of a fault with one of these names overlaps this time at a node. */
 static gboolean had_fault(soak_t *soak, int node, int64_t from_ms, int64_t to_ms,
                           const char *const *names) {
     gboolean found = FALSE;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -23,12 +23,12 @@
 #define SOAK_LEASE_HANDOVER_MS 1000
 #define SOAK_RETRY_RATIO 0.2
 
-/** Time during which a fault was active. */
+/** Time during which a fault was active or may have had effects. */
 typedef struct soak_span_t {
     char name[32];
     int node; /* the affected node; -1: several */
     int64_t from_ms;
-    int64_t to_ms;
+    int64_t to_ms; /* SOAK_DISTURBED_AFTER_MS after the fault's end */
 } soak_span_t;
 
 /** An engine that was set to draining. */
@@ -111,7 +111,7 @@
                                   const char *name);
 
 /* clients.c */
-/** Start the clients' threads. @return them, owned by the caller; end with soak_clients_join */
+/** Start the clients. @return their threads, owned by the caller; end with soak_clients_join */
 GPtrArray *soak_clients_start(soak_t *soak);
 void soak_clients_join(GPtrArray *threads);
 /** Start clients that repeatedly send a request that crashes engines, if this seed has one. @return
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -14,7 +14,8 @@
     return wb_fleet_announce(fleet, state);
 }
 
-/* A drain begins when the row was removed, at the earliest when the table was last known. */
+/* The grace time of a removed engine is counted from when the table was last known: its row may
+ * have been removed just after. */
 static void test_gone_since_last_known(void) {
     int64_t now_ms = 100000;
     g_assert_cmpint(wb_fleet_grace_until_ms(now_ms - 300, DRAIN_MS, now_ms), ==, now_ms + 1200);
@@ -77,7 +78,7 @@
     g_assert_false(wb_engine_is_usable(back, now_ms + 60000));
 }
 
-/* Placement updates of the controller override rows, but not one that is announced long after. */
+/* Placement updates of the controller override rows, except a row that is announced long after. */
 static void test_news_yield_to_later_rows(void) {
     wb_fleet_t *fleet = wb_fleet_create();
     wb_engine_t *engine = announce_engine(fleet, FALSE);
