--- a/include/wickbridge/edge_metrics.h
+++ b/include/wickbridge/edge_metrics.h
@@ -59,7 +59,7 @@
     uint64_t engine_drains;             /**< engines that reported draining in a response */
     uint64_t engine_backoffs;           /**< times that engines asked this node for a backoff */
     uint64_t late_answers;              /**< first events later than the route's target */
-    uint64_t long_pauses;               /**< streams with a longer gap than the route's target */
+    uint64_t long_gaps;                 /**< streams with a longer gap than the route's target */
     uint64_t load_updates;              /**< messages about engine load sent or received */
     wb_histogram_t prediction_error_ms; /**< absolute error of the predicted time to first event */
     wb_histogram_t answer_ms;           /**< arrival to the first bytes of the response */
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -94,10 +94,10 @@
     double total_tokens_per_s; /**< prompt tokens per second sent to it by all nodes */
     double total_backlog_ms;   /**< time it needs to prefill those, as of shared_received_ms */
     int64_t shared_received_ms;
-    unsigned failures;         /**< consecutive */
-    int64_t avoid_until_ms;    /**< it failed: until then used only if no other engine can be */
-    int64_t unheard_since_ms;  /**< when the first request after its last received byte was sent;
-                                  0: no response is pending */
+    unsigned failures;           /**< consecutive */
+    int64_t avoid_until_ms;      /**< it failed: until then used only if no other engine can be */
+    int64_t unanswered_since_ms; /**< when the first request after its last received byte was sent;
+                                 0: no response is pending */
     int64_t rejected_until_ms; /**< it rejected a request as it was full; assumed full until then */
     wb_engine_limit_t limit;   /**< request rate that it accepts from all nodes together */
     wb_share_rank_t limit_rank; /**< this node's position among the nodes that share the limit */
--- a/include/wickbridge/membership.h
+++ b/include/wickbridge/membership.h
@@ -44,17 +44,17 @@
 void wb_membership_stop(wb_membership_t *membership);
 
 /** Handle a message from a node. @return TRUE if it is a membership message */
-gboolean wb_membership_message(wb_membership_t *membership, const char *node,
-                               const wb_wire_message *message);
+gboolean wb_membership_handle_message(wb_membership_t *membership, const char *node,
+                                      const wb_wire_message *message);
 /** Handle wb_peers_events_t.on_up. */
-void wb_membership_link_up(wb_membership_t *membership, const char *node, gboolean overlay);
+void wb_membership_on_link_up(wb_membership_t *membership, const char *node, gboolean overlay);
 /** Handle wb_peers_events_t.on_down: a neighbour becomes suspected. */
-void wb_membership_link_down(wb_membership_t *membership, const char *node);
+void wb_membership_on_link_down(wb_membership_t *membership, const char *node);
 /** Handle wb_peers_events_t.on_address_reused: the process of `node` has ended. */
-void wb_membership_replaced(wb_membership_t *membership, const char *node);
+void wb_membership_on_address_reused(wb_membership_t *membership, const char *node);
 
 /** The platform has permanently removed a machine. */
-void wb_membership_machine_gone(wb_membership_t *membership, const char *machine_id);
+void wb_membership_on_machine_removed(wb_membership_t *membership, const char *machine_id);
 
 const wb_member_table_t *wb_membership_table(const wb_membership_t *membership);
 /** @return the node's address for links, or NULL if it is unknown or gone */
--- a/src/cell/cell_machines.c
+++ b/src/cell/cell_machines.c
@@ -47,7 +47,8 @@
     json_array_foreach(machines, index, machine) {
         const char *role = wb_json_text(machine, "role", "");
         if (strcmp(role, "node") == 0 && state_parse(machine) == WB_MACHINE_REMOVED)
-            wb_membership_machine_gone(host->parts.membership, wb_json_text(machine, "id", ""));
+            wb_membership_on_machine_removed(host->parts.membership,
+                                             wb_json_text(machine, "id", ""));
         else if (hosted->cell != NULL && strcmp(role, "engine") == 0 &&
                  engine_is_ours(hosted, config, machine))
             engine_apply(hosted, machine, now_ms);
--- a/src/ctl/commands_config.c
+++ b/src/ctl/commands_config.c
@@ -24,11 +24,11 @@
     json_decref(difference->before);
 }
 
-static apr_status_t config_get(const ctl_options_t *options, ctl_answer_t *answer,
+static apr_status_t config_get(const ctl_options_t *options, ctl_response_t *answer,
                                wb_error_t *error) {
     apr_status_t status = ctl_request(options, "GET", CONFIG_PATH, NULL, answer, error);
     if (status == APR_SUCCESS && answer->status != 200) {
-        ctl_answer_clear(answer);
+        ctl_response_clear(answer);
         return wb_error_set(error, APR_EGENERAL, "the node answered with status %ld",
                             answer->status);
     }
@@ -50,7 +50,7 @@
 
 static apr_status_t difference_find(const ctl_options_t *options, const json_t *declared,
                                     difference_t *difference, wb_error_t *error) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     apr_status_t status = config_get(options, &answer, error);
     if (status != APR_SUCCESS)
         return status;
@@ -59,7 +59,7 @@
     difference->set = json_object();
     difference->remove = json_array();
     difference_fill(difference, declared, options->prune);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return APR_SUCCESS;
 }
 
@@ -137,7 +137,7 @@
     return difference_check(difference, declarations);
 }
 
-static int apply_report(const ctl_options_t *options, const ctl_answer_t *answer,
+static int apply_report(const ctl_options_t *options, const ctl_response_t *answer,
                         const ctl_declarations_t *declarations) {
     const json_t *failure = json_object_get(answer->body, "error");
     const char *message = wb_json_text(failure, "message", "");
@@ -169,7 +169,7 @@
     json_t *body =
         json_pack("{s:I, s:O, s:O, s:s}", "base_version", (json_int_t)difference->version, "set",
                   difference->set, "remove", difference->remove, "author", options->author);
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     int result;
     if (ctl_request(options, "POST", CONFIG_PATH, body, &answer, &error) == APR_SUCCESS)
@@ -179,7 +179,7 @@
                 error.message);
         result = CTL_FAILED;
     }
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     json_decref(body);
     return result;
 }
@@ -225,7 +225,7 @@
 }
 
 int ctl_get(const ctl_options_t *options) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (config_get(options, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
@@ -246,7 +246,7 @@
             members_print(" ", object);
         }
     json_decref(matches);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return no_match ? ctl_print_error("nothing of that kind and name is in force") : CTL_OK;
 }
 
@@ -261,13 +261,13 @@
         printf("  removed %s\n", json_string_value(object));
 }
 
-static apr_status_t history_get(const ctl_options_t *options, ctl_answer_t *answer,
+static apr_status_t history_get(const ctl_options_t *options, ctl_response_t *answer,
                                 wb_error_t *error) {
     return ctl_request(options, "GET", "/operators/v1/history", NULL, answer, error);
 }
 
 int ctl_history(const ctl_options_t *options) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (history_get(options, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
@@ -278,7 +278,7 @@
     else
         json_array_foreach(json_object_get(answer.body, "changes"), index, change)
             change_print(change);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return CTL_OK;
 }
 
@@ -286,7 +286,7 @@
 int ctl_watch(const ctl_options_t *options) {
     int64_t seen = -1, printed = 0;
     while (options->count == 0 || printed < options->count) {
-        ctl_answer_t answer = {0};
+        ctl_response_t answer = {0};
         wb_error_t error;
         if (history_get(options, &answer, &error) != APR_SUCCESS)
             return ctl_print_error(error.message);
@@ -306,7 +306,7 @@
             fflush(stdout);
         }
         seen = MAX(seen, newest);
-        ctl_answer_clear(&answer);
+        ctl_response_clear(&answer);
         g_usleep(WATCH_INTERVAL_US);
     }
     return CTL_OK;
--- a/src/ctl/commands_node.c
+++ b/src/ctl/commands_node.c
@@ -32,7 +32,7 @@
 }
 
 int ctl_status(const ctl_options_t *options) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (ctl_request(options, "GET", "/operators/v1/status", NULL, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
@@ -43,12 +43,12 @@
         lease_print(json_object_get(answer.body, "lease"));
     }
     gboolean ready = wb_json_boolean(answer.body, "ready", 0);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return ready ? CTL_OK : CTL_FAILED;
 }
 
 int ctl_drain(const ctl_options_t *options) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (options->nodes[0] == NULL || options->nodes[1] != NULL) {
         ctl_print_error("drain takes exactly one --node");
@@ -62,7 +62,7 @@
         printf("%s drains: it refuses new requests, finishes what is open and hands its cells "
                "over\n",
                options->nodes[0]);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return CTL_OK;
 }
 
@@ -135,14 +135,14 @@
     json_t *found = json_array();
     wb_error_t error = {0};
     for (char **node = options->nodes; *node != NULL; node++) {
-        ctl_answer_t answer = {0};
+        ctl_response_t answer = {0};
         if (ctl_request_node(options, *node, "GET", path, NULL, &answer, &error) == APR_SUCCESS &&
             answer.status == 200)
             json_array_append(found, answer.body);
         else if (answer.body != NULL)
             wb_error_set(&error, APR_EGENERAL, "%s",
                          wb_json_text(json_object_get(answer.body, "error"), "message", "?"));
-        ctl_answer_clear(&answer);
+        ctl_response_clear(&answer);
     }
     size_t index, count = json_array_size(found);
     json_t *entry;
@@ -208,7 +208,7 @@
 /* Prints the list at a member of a node's response. */
 static int list_show(const ctl_options_t *options, const char *path, const char *list,
                      void (*print)(const json_t *entry)) {
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (ctl_request(options, "GET", path, NULL, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
@@ -218,7 +218,7 @@
         ctl_print_json(answer.body);
     else
         json_array_foreach(json_object_get(answer.body, list), index, entry) print(entry);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return CTL_OK;
 }
 
@@ -242,7 +242,7 @@
 static int poison_forgive(const ctl_options_t *options, const char *digest) {
     g_autofree char *escaped = g_uri_escape_string(digest, NULL, FALSE);
     g_autofree char *path = g_strconcat("/operators/v1/poison/forgive?digest=", escaped, NULL);
-    ctl_answer_t answer = {0};
+    ctl_response_t answer = {0};
     wb_error_t error;
     if (ctl_request(options, "POST", path, NULL, &answer, &error) != APR_SUCCESS)
         return ctl_print_error(error.message);
@@ -250,7 +250,7 @@
         ctl_print_json(answer.body);
     else
         printf("%s is served again by all nodes that this one reaches\n", digest);
-    ctl_answer_clear(&answer);
+    ctl_response_clear(&answer);
     return CTL_OK;
 }
 
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -55,20 +55,20 @@
                                     const wb_config_fault_t *fault);
 
 /* request.c: calls to the operators' HTTP interface. */
-typedef struct ctl_answer_t {
+typedef struct ctl_response_t {
     long status;
     json_t *body;
-} ctl_answer_t;
+} ctl_response_t;
 
 /* Calls the first node that accepts a connection. APR_SUCCESS for any HTTP status with a JSON
  * body; the caller then clears the answer. */
 apr_status_t ctl_request(const ctl_options_t *options, const char *method, const char *path,
-                         const json_t *body, ctl_answer_t *answer, wb_error_t *error);
+                         const json_t *body, ctl_response_t *answer, wb_error_t *error);
 /* The same for one node. APR_ECONNREFUSED if no connection was made. */
 apr_status_t ctl_request_node(const ctl_options_t *options, const char *node, const char *method,
-                              const char *path, const json_t *body, ctl_answer_t *answer,
+                              const char *path, const json_t *body, ctl_response_t *answer,
                               wb_error_t *error);
-void ctl_answer_clear(ctl_answer_t *answer);
+void ctl_response_clear(ctl_response_t *answer);
 
 /* Prints a JSON value, indented, with sorted keys. */
 void ctl_print_json(const json_t *value);
--- a/src/ctl/request.c
+++ b/src/ctl/request.c
@@ -28,7 +28,7 @@
 }
 
 apr_status_t ctl_request_node(const ctl_options_t *options, const char *node, const char *method,
-                              const char *path, const json_t *body, ctl_answer_t *answer,
+                              const char *path, const json_t *body, ctl_response_t *answer,
                               wb_error_t *error) {
     g_autoptr(GString) collected = g_string_new(NULL);
     g_autofree char *url =
@@ -59,7 +59,7 @@
 }
 
 apr_status_t ctl_request(const ctl_options_t *options, const char *method, const char *path,
-                         const json_t *body, ctl_answer_t *answer, wb_error_t *error) {
+                         const json_t *body, ctl_response_t *answer, wb_error_t *error) {
     apr_status_t status = wb_error_set(error, APR_EINVAL, "no node is given");
     for (char **node = options->nodes; *node != NULL; node++) {
         status = ctl_request_node(options, *node, method, path, body, answer, error);
@@ -71,7 +71,7 @@
     return status;
 }
 
-void ctl_answer_clear(ctl_answer_t *answer) {
+void ctl_response_clear(ctl_response_t *answer) {
     json_decref(answer->body);
     answer->body = NULL;
 }
--- a/src/edge/edge_metrics.c
+++ b/src/edge/edge_metrics.c
@@ -102,7 +102,7 @@
         {"late_answers_total", "First events later than their route's target.",
          metrics->late_answers},
         {"long_pauses_total", "Streams that paused longer than their route allows.",
-         metrics->long_pauses},
+         metrics->long_gaps},
         {"load_news_total", "Messages told or heard about what engines have.",
          metrics->load_updates},
     };
--- a/src/edge/edge_node.c
+++ b/src/edge/edge_node.c
@@ -192,7 +192,7 @@
     wb_quota_limiter_sweep(node->edge.quota, now_ms);
     wb_crash_watch_sweep(node->edge.crashes, now_ms);
     wb_poison_registry_sweep(node->edge.poison, now_ms);
-    wb_pace_aggregate_sweep(node->pace_book, now_ms);
+    wb_pace_aggregate_sweep(node->own_pace_aggregate, now_ms);
 }
 
 static void log_flush(void *context) {
@@ -252,9 +252,9 @@
     created->announcements = wb_edge_node_announcements_create();
     created->zones = wb_edge_node_zones_create();
     created->gateways = g_hash_table_new_full(NULL, NULL, NULL, wb_edge_node_gateway_free);
-    created->quota_book = wb_quota_ledger_create();
+    created->own_quota_ledger = wb_quota_ledger_create();
     created->quota_row = g_byte_array_new();
-    created->pace_book = wb_pace_aggregate_create(token_ms(settings));
+    created->own_pace_aggregate = wb_pace_aggregate_create(token_ms(settings));
     created->update_rows = g_array_new(FALSE, TRUE, sizeof(wb_wire_table_row));
     apr_status_t status = listeners_open(created, error);
     if (status != APR_SUCCESS)
@@ -295,7 +295,7 @@
     own->order_timeout_ms = settings->order_timeout_ms;
     own->adapter_load_ms = settings->adapter_load_ms;
     own->prefill_tokens_per_ms = settings->prefill_tokens_per_ms;
-    wb_pace_aggregate_set_token_ms(node->pace_book, token_ms(settings));
+    wb_pace_aggregate_set_token_ms(node->own_pace_aggregate, token_ms(settings));
     own->step_ms = settings->step_ms;
     own->read_piece_tokens = settings->read_piece_tokens;
     own->event_tokens = settings->event_tokens;
--- a/src/edge/edge_node_types.h
+++ b/src/edge/edge_node_types.h
@@ -97,7 +97,7 @@
     int64_t digest_polled_ms;  /* when a differing digest last made this node poll the store */
     int64_t share_ticked_ms;   /* time of the previous tick; 0: none */
     unsigned share_nodes;      /* nodes that the retry slack is divided among; 0: no share now */
-    wb_quota_ledger_t *quota_book;
+    wb_quota_ledger_t *own_quota_ledger;
     uint64_t quota_token;  /* of the lease under which this node is the aggregator; 0: it isn't */
     GByteArray *quota_row; /* the shares last sent, as encoded for the lease row */
     int64_t quota_row_until_ms; /* when shares read from the lease row expire; 0: none in force */
@@ -105,7 +105,7 @@
     int64_t quota_logged_ms;
     int64_t quota_received_ms; /* when shares were last received */
     int64_t quota_reported_ms; /* when usage was last reported, to this or another node */
-    wb_pace_aggregate_t *pace_book;
+    wb_pace_aggregate_t *own_pace_aggregate;
     gboolean pace_aggregator; /* as of the last tick */
     int64_t pace_logged_ms;
     int64_t pace_sent_ms;         /* when this node last sent engine loads */
--- a/src/edge/edge_operators.c
+++ b/src/edge/edge_operators.c
@@ -181,7 +181,7 @@
                   tenant->rate_per_s, "burst", tenant->burst);
     wb_quota_state_t state;
     if (node->quota_token == 0 ||
-        !wb_quota_ledger_state(node->quota_book, tenant->name, wb_clock_ms(), &state))
+        !wb_quota_ledger_state(node->own_quota_ledger, tenant->name, wb_clock_ms(), &state))
         return json;
     json_object_set_new(json, "use",
                         json_pack("{s:f, s:f, s:f, s:f, s:f}", "asked_per_s", state.asked_per_s,
--- a/src/edge/node_engines.c
+++ b/src/edge/node_engines.c
@@ -92,7 +92,7 @@
     wb_upstreams_close_idle(engine);
     wb_controller_engine_restarted(node->controller, state->id);
     engine_remove(node, engine, 0);
-    wb_pace_aggregate_remove(node->pace_book, state->id);
+    wb_pace_aggregate_remove(node->own_pace_aggregate, state->id);
     wb_exchanges_engine_ended(&node->edge, engine);
     wb_engine_unref(engine);
 }
--- a/src/edge/node_pace.c
+++ b/src/edge/node_pace.c
@@ -68,7 +68,7 @@
         const wb_wire_engine_usage *usage = &demand->engines.engines_val[i];
         reports[i] = (wb_pace_report_t){usage->engine, usage->pace_percent, usage->tokens};
     }
-    wb_pace_aggregate_report(node->pace_book, reports, count, wb_clock_ms());
+    wb_pace_aggregate_report(node->own_pace_aggregate, reports, count, wb_clock_ms());
 }
 
 void wb_edge_node_pace_take_loads(wb_edge_node_t *node, const wb_wire_engine_loads *loads) {
@@ -118,7 +118,7 @@
 }
 
 void wb_edge_node_pace_gateway_open(wb_edge_node_t *node, wb_link_t *link) {
-    g_autoptr(GArray) loads = wb_pace_aggregate_snapshot(node->pace_book);
+    g_autoptr(GArray) loads = wb_pace_aggregate_snapshot(node->own_pace_aggregate);
     if (wb_edge_node_is_aggregator(node) && loads->len > 0) {
         loads_send(node, link, loads);
     }
@@ -138,21 +138,22 @@
         return;
     }
     double backlog_ms;
-    const char *engine = wb_pace_aggregate_max_backlog(node->pace_book, now_ms, &backlog_ms);
+    const char *engine =
+        wb_pace_aggregate_max_backlog(node->own_pace_aggregate, now_ms, &backlog_ms);
     if (engine == NULL || backlog_ms < BACKLOG_LOG_MS) {
         return;
     }
     node->pace_logged_ms = now_ms;
     wb_event("engine-behind", ",\"engine\":\"%s\",\"backlog_ms\":%.0f,\"pace_percent\":%u",
              wb_event_escape(engine), backlog_ms,
-             wb_pace_aggregate_pace(node->pace_book, engine, now_ms));
+             wb_pace_aggregate_pace(node->own_pace_aggregate, engine, now_ms));
 }
 
 void wb_edge_node_tick_pace(wb_edge_node_t *node, int64_t now_ms) {
     const wb_edge_settings_t *settings = &node->edge.settings;
     gboolean aggregator = wb_edge_node_is_aggregator(node);
     if (aggregator && !node->pace_aggregator) {
-        wb_pace_aggregate_resend_all(node->pace_book);
+        wb_pace_aggregate_resend_all(node->own_pace_aggregate);
         wb_edge_node_pace_link_open(node);
     }
     node->pace_aggregator = aggregator;
@@ -166,8 +167,8 @@
     double bytes = (double)settings->load_news_bytes_per_s * (double)settings->load_news_ms / 1000;
     size_t gateways = MAX(g_hash_table_size(node->gateways), 1);
     size_t max_engines = MAX((size_t)(bytes / ENTRY_BYTES) / gateways, 1);
-    g_autoptr(GArray) loads =
-        wb_pace_aggregate_changes(node->pace_book, MIN(max_engines, WB_WIRE_LIST_MAX), now_ms);
+    g_autoptr(GArray) loads = wb_pace_aggregate_changes(node->own_pace_aggregate,
+                                                        MIN(max_engines, WB_WIRE_LIST_MAX), now_ms);
     if (loads->len > 0) {
         loads_send(node, NULL, loads);
     }
--- a/src/edge/node_quota.c
+++ b/src/edge/node_quota.c
@@ -30,7 +30,7 @@
 }
 
 void wb_edge_node_quota_set_limits(wb_edge_node_t *node) {
-    wb_quota_ledger_set_tenants(node->quota_book, node->edge.catalog->tenants, wb_clock_ms());
+    wb_quota_ledger_set_tenants(node->own_quota_ledger, node->edge.catalog->tenants, wb_clock_ms());
 }
 
 void wb_edge_node_quota_report(wb_edge_node_t *node, wb_wire_demand *demand) {
@@ -48,18 +48,18 @@
 
 void wb_edge_node_quota_take_report(wb_edge_node_t *node, const wb_wire_demand *demand) {
     int64_t now_ms = wb_clock_ms();
-    wb_quota_ledger_node_connected(node->quota_book, demand->node);
+    wb_quota_ledger_node_connected(node->own_quota_ledger, demand->node);
     for (guint i = 0; i < demand->tenants.tenants_len; i++) {
         const wb_wire_tenant_usage *wire = &demand->tenants.tenants_val[i];
         wb_quota_usage_t usage = {wire->tenant, wire->kind, (double)wire->asked,
                                   (double)wire->requests, (double)wire->admitted};
-        wb_quota_ledger_report(node->quota_book, demand->node, &usage, now_ms);
+        wb_quota_ledger_report(node->own_quota_ledger, demand->node, &usage, now_ms);
     }
 }
 
 void wb_edge_node_quota_gateway_lost(wb_edge_node_t *node, const wb_gateway_t *gateway) {
     if (gateway != NULL && gateway->name != NULL) {
-        wb_quota_ledger_node_lost(node->quota_book, gateway->name, wb_clock_ms());
+        wb_quota_ledger_node_lost(node->own_quota_ledger, gateway->name, wb_clock_ms());
     }
 }
 
@@ -106,7 +106,7 @@
     for (guint i = 0; i < shares->len; i++) {
         const wb_quota_share_t *share = &g_array_index(shares, wb_quota_share_t, i);
         wb_quota_state_t state = {0};
-        wb_quota_ledger_state(node->quota_book, share->tenant, now_ms, &state);
+        wb_quota_ledger_state(node->own_quota_ledger, share->tenant, now_ms, &state);
         node->quota_logged_ms = now_ms;
         wb_event("quota-share",
                  ",\"tenant\":\"%s\",\"kind\":\"%08x\",\"share\":%.3f,\"level\":%.0f,\"asked_per_"
@@ -202,10 +202,10 @@
 static void ledger_reset(wb_edge_node_t *node, int64_t now_ms) {
     GHashTableIter iter;
     gpointer id;
-    wb_quota_ledger_clear(node->quota_book, now_ms);
+    wb_quota_ledger_clear(node->own_quota_ledger, now_ms);
     g_hash_table_iter_init(&iter, node->nodes);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        wb_quota_ledger_expect_node(node->quota_book, id, now_ms);
+        wb_quota_ledger_expect_node(node->own_quota_ledger, id, now_ms);
     }
 }
 
@@ -221,9 +221,9 @@
         return;
     }
     unresponsive_check(node, now_ms);
-    wb_quota_ledger_set_sole(node->quota_book, node->lease_held);
+    wb_quota_ledger_set_sole(node->own_quota_ledger, node->lease_held);
     gboolean changed;
-    const GArray *shares = wb_quota_ledger_shares(node->quota_book, now_ms, &changed);
+    const GArray *shares = wb_quota_ledger_shares(node->own_quota_ledger, now_ms, &changed);
     /* A lease holder need not send unchanged shares: its store updates show that it is reachable.
      */
     gboolean due = !node->lease_held && now_ms - node->quota_sent_ms >= SEND_INTERVAL_MAX_MS;
--- a/src/gateway/claim.c
+++ b/src/gateway/claim.c
@@ -104,7 +104,7 @@
     g_free(request->engine);
     request->engine = g_strdup(response->engine);
     request_set_reason(request, "the first run's answer");
-    answer_whole(request, response->status, response->answer, strlen(response->answer));
+    response_send_complete(request, response->status, response->answer, strlen(response->answer));
     request_unref(request);
 }
 
--- a/src/gateway/gateway_types.h
+++ b/src/gateway/gateway_types.h
@@ -163,7 +163,8 @@
 void response_send_not_run(gw_request_t *request, int64_t retry_after_ms, const char *code,
                            const char *message);
 void response_send_may_have_run(gw_request_t *request, const char *message);
-void answer_whole(gw_request_t *request, unsigned status, const char *body, size_t length);
+void response_send_complete(gw_request_t *request, unsigned status, const char *body,
+                            size_t length);
 void response_end_stream(gw_request_t *request);
 void response_end_client_gone(gw_request_t *request);
 /* An error for an HTTP exchange that has no gw_request_t, or whose request is invalid. */
--- a/src/gateway/response.c
+++ b/src/gateway/response.c
@@ -133,7 +133,8 @@
                         1000, message);
 }
 
-void answer_whole(gw_request_t *request, unsigned status, const char *body, size_t length) {
+void response_send_complete(gw_request_t *request, unsigned status, const char *body,
+                            size_t length) {
     if (request->exchange != NULL)
         response_add_headers(request, wb_verdict_name(WB_VERDICT_COMPLETED));
     wb_http_exchange_t *exchange = request_finish(request, "completed");
--- a/src/gateway/run.c
+++ b/src/gateway/run.c
@@ -281,7 +281,7 @@
         response_end_stream(request);
     } else {
         claim_report_completed(request, 200, result->body, result->body_length);
-        answer_whole(request, 200, result->body, result->body_length);
+        response_send_complete(request, 200, result->body, result->body_length);
     }
     request_release(request);
 }
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -244,8 +244,8 @@
                                          membership->events.context);
 }
 
-gboolean wb_membership_message(wb_membership_t *membership, const char *node,
-                               const wb_wire_message *message) {
+gboolean wb_membership_handle_message(wb_membership_t *membership, const char *node,
+                                      const wb_wire_message *message) {
     switch (message->kind) {
     case WB_WIRE_HEARTBEAT:
         heartbeat_apply(membership, node, &message->wb_wire_message_u.heartbeat);
@@ -261,14 +261,14 @@
     }
 }
 
-void wb_membership_link_up(wb_membership_t *membership, const char *node, gboolean overlay) {
+void wb_membership_on_link_up(wb_membership_t *membership, const char *node, gboolean overlay) {
     if (!wb_member_table_is_up(membership->table, node))
         gossip_send_all(membership, node);
     else if (overlay) /* older changes have reached all nodes, or the digests will differ */
         gossip_send_since(membership, node, wb_clock_ms() - RECENT_MS);
 }
 
-void wb_membership_link_down(wb_membership_t *membership, const char *node) {
+void wb_membership_on_link_down(wb_membership_t *membership, const char *node) {
     g_autoptr(GPtrArray) neighbours =
         wb_member_table_neighbours(membership->table, membership->self.node);
     if (!g_ptr_array_find_with_equal_func(neighbours, node, g_str_equal, NULL))
@@ -276,11 +276,11 @@
     member_set_state(membership, node, WB_MEMBER_SUSPECT);
 }
 
-void wb_membership_replaced(wb_membership_t *membership, const char *node) {
+void wb_membership_on_address_reused(wb_membership_t *membership, const char *node) {
     member_set_state(membership, node, WB_MEMBER_GONE);
 }
 
-void wb_membership_machine_gone(wb_membership_t *membership, const char *machine_id) {
+void wb_membership_on_machine_removed(wb_membership_t *membership, const char *machine_id) {
     g_autoptr(GPtrArray) list = wb_member_table_list(membership->table);
     for (guint i = 0; i < list->len; i++) {
         const wb_member_t *member = list->pdata[i];
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -31,7 +31,7 @@
 } self_message_t;
 
 static void message_deliver(wb_node_t *node, const char *from, const wb_wire_message *message) {
-    if (wb_membership_message(node->membership, from, message) ||
+    if (wb_membership_handle_message(node->membership, from, message) ||
         wb_config_store_handle_message(node->config_store, from, message) ||
         wb_cell_host_on_message(node->cell_host, from, message) ||
         wb_gateway_on_message(node->gateway, from, message))
@@ -87,12 +87,12 @@
 }
 
 static void peer_up(const char *name, gboolean overlay, void *context) {
-    wb_membership_link_up(((wb_node_t *)context)->membership, name, overlay);
+    wb_membership_on_link_up(((wb_node_t *)context)->membership, name, overlay);
 }
 
 static void peer_down(const char *name, const char *reason, void *context) {
     wb_log_info(WB_LOG_LINK, "Link to %s closed: %s.", name, reason);
-    wb_membership_link_down(((wb_node_t *)context)->membership, name);
+    wb_membership_on_link_down(((wb_node_t *)context)->membership, name);
 }
 
 static void peer_message(const char *name, const wb_wire_message *message, void *context) {
@@ -101,7 +101,7 @@
 
 static void peer_address_reused(const char *expected, const char *name, void *context) {
     (void)name;
-    wb_membership_replaced(((wb_node_t *)context)->membership, expected);
+    wb_membership_on_address_reused(((wb_node_t *)context)->membership, expected);
 }
 
 static void member_changed(const wb_member_t *member, void *context) {
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -225,7 +225,7 @@
 static void stream_data(wb_tcp_stream_t *stream, const char *data, size_t length, void *context) {
     (void)stream;
     wb_upstream_t *upstream = context;
-    upstream->engine->unheard_since_ms = 0;
+    upstream->engine->unanswered_since_ms = 0;
     if (upstream->attempt == NULL)
         idle_close(upstream); /* a late response to an earlier request */
     else
@@ -270,8 +270,8 @@
 static void request_write(wb_attempt_t *attempt) {
     attempt->sent = TRUE;
     attempt->exchange->written_ms = wb_clock_ms();
-    if (attempt->upstream->engine->unheard_since_ms == 0)
-        attempt->upstream->engine->unheard_since_ms = wb_clock_ms();
+    if (attempt->upstream->engine->unanswered_since_ms == 0)
+        attempt->upstream->engine->unanswered_since_ms = wb_clock_ms();
     wb_tcp_stream_write(attempt->upstream->stream, attempt->output->str, attempt->output->len);
     g_string_free(attempt->output, TRUE);
     attempt->output = NULL;
--- a/src/request/balancer.c
+++ b/src/request/balancer.c
@@ -113,11 +113,11 @@
 /* Whether the engine has sent no byte for UNRESPONSIVE_MS and twice the estimated time to prefill
  * its pending requests. */
 static gboolean is_unresponsive(const wb_edge_t *edge, const wb_engine_t *engine, int64_t now_ms) {
-    if (engine->unheard_since_ms == 0)
+    if (engine->unanswered_since_ms == 0)
         return FALSE;
     double allowed_ms =
         UNRESPONSIVE_MS + 2 * (double)engine->prefill_tokens / edge->settings.prefill_tokens_per_ms;
-    return (double)(now_ms - engine->unheard_since_ms) > allowed_ms;
+    return (double)(now_ms - engine->unanswered_since_ms) > allowed_ms;
 }
 
 /* Cost of an engine's state other than its load. */
--- a/src/request/exchange.c
+++ b/src/request/exchange.c
@@ -72,7 +72,7 @@
     exchange->running_counted = FALSE;
     exchange->engine->running--;
     if (exchange->engine->running == 0)
-        exchange->engine->unheard_since_ms = 0;
+        exchange->engine->unanswered_since_ms = 0;
     wb_demand_set_running(exchange->edge->demand, exchange, FALSE);
 }
 
@@ -179,7 +179,7 @@
 static gboolean engine_is_silent(const wb_exchange_t *exchange) {
     const wb_engine_t *engine = exchange->engine;
     return exchange->attempt != NULL && !exchange->first_event_seen &&
-           engine->unheard_since_ms != 0 && engine->unheard_since_ms <= exchange->sent_ms &&
+           engine->unanswered_since_ms != 0 && engine->unanswered_since_ms <= exchange->sent_ms &&
            wb_clock_ms() - exchange->sent_ms > SILENT_ENGINE_MS;
 }
 
--- a/src/request/exchange_answer.c
+++ b/src/request/exchange_answer.c
@@ -106,7 +106,7 @@
 static void gap_note(wb_exchange_t *exchange) {
     int64_t now_ms = wb_clock_ms();
     if (exchange->last_event_ms != 0)
-        exchange->max_pause_ms = MAX(exchange->max_pause_ms, now_ms - exchange->last_event_ms);
+        exchange->longest_gap_ms = MAX(exchange->longest_gap_ms, now_ms - exchange->last_event_ms);
     exchange->last_event_ms = now_ms;
 }
 
--- a/src/request/exchange_outcome.c
+++ b/src/request/exchange_outcome.c
@@ -41,8 +41,8 @@
     }
     ended_remember(exchange, outcome, status, engine);
     edge->metrics.requests_by_outcome[outcome]++;
-    edge->metrics.long_pauses += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
-                                 exchange->max_pause_ms > exchange->route->target_gap_ms;
+    edge->metrics.long_gaps += exchange->route != NULL && exchange->route->target_gap_ms > 0 &&
+                               exchange->longest_gap_ms > exchange->route->target_gap_ms;
     wb_histogram_add(&edge->metrics.whole_ms, now_ms - exchange->began_ms);
     wb_event(
         "request-ended",
@@ -58,7 +58,7 @@
         wb_event_escape(exchange->adapter), engine, exchange->sends, exchange->runs,
         exchange->rejections, (long long)(now_ms - exchange->began_ms),
         (long long)exchange->waited_ms, (long long)exchange->first_event_ms,
-        (long long)exchange->max_pause_ms, (long long)(exchange->deadline_ms - now_ms),
+        (long long)exchange->longest_gap_ms, (long long)(exchange->deadline_ms - now_ms),
         exchange->catalog != NULL ? (long long)exchange->catalog->version : 0LL,
         exchange->answer_begun ? "true" : "false",
         exchange->tenant != NULL ? wb_event_escape(exchange->tenant->name) : "",
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -244,7 +244,7 @@
     gboolean first_event_seen;
     int64_t first_event_ms; /* duration from its arrival */
     int64_t last_event_ms;  /* 0: no event yet */
-    int64_t max_pause_ms;   /* duration: longest time between two events */
+    int64_t longest_gap_ms; /* duration: longest time between two events */
     unsigned events;        /* reads from the engine that completed at least one event */
 };
 
--- a/tests/bench/bench.c
+++ b/tests/bench/bench.c
@@ -378,7 +378,7 @@
         answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 2, NULL, NULL);
         g_autofree char *leaving = g_strdup(answer->engine);
         answer_free(answer);
-        machine_deregister(cluster, leaving);
+        machine_drain(cluster, leaving);
         int64_t marked_ms = harness_now_ms(), last_ms = marked_ms;
         while (harness_now_ms() - marked_ms < 4000) {
             int64_t requested_ms = harness_now_ms();
--- a/tests/bench/quota.c
+++ b/tests/bench/quota.c
@@ -35,7 +35,7 @@
     for (size_t s = 0; s < G_N_ELEMENTS(sizes); s++) {
         printf("%d nodes, %d seeds\n%-24s %-8s %10s %10s %10s %10s\n", sizes[s], SEEDS, "trouble",
                "way", "of limit", "of rule", "refused", "hot served");
-        for (int fault = 0; fault < QUOTA_TROUBLES; fault++) {
+        for (int fault = 0; fault < QUOTA_FAULTS; fault++) {
             for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
                 row_print(ways[i].create, ways[i].name, sizes[s], (quota_fault_t)fault);
             }
--- a/tests/fuzz/quota_sim.c
+++ b/tests/fuzz/quota_sim.c
@@ -24,20 +24,20 @@
 #define FAULT_END_S 22
 #define STEPS_PER_S (1000 / STEP_MS)
 
-static const char *const names[QUOTA_TROUBLES] = {"calm",
-                                                  "hot",
-                                                  "hot small",
-                                                  "hot, a sixth cut before",
-                                                  "hot, a sixth cut after",
-                                                  "hot, a third cut before",
-                                                  "hot, two deciding",
-                                                  "hot, take-over",
-                                                  "hot, all alone",
-                                                  "hot, all restarted",
-                                                  "limit lowered",
-                                                  "a sixth cut",
-                                                  "two deciding",
-                                                  "take-over"};
+static const char *const names[QUOTA_FAULTS] = {"calm",
+                                                "hot",
+                                                "hot small",
+                                                "hot, a sixth cut before",
+                                                "hot, a sixth cut after",
+                                                "hot, a third cut before",
+                                                "hot, two deciding",
+                                                "hot, take-over",
+                                                "hot, all alone",
+                                                "hot, all restarted",
+                                                "limit lowered",
+                                                "a sixth cut",
+                                                "two deciding",
+                                                "take-over"};
 
 const char *quota_fault_name(quota_fault_t fault) {
     return names[fault];
--- a/tests/fuzz/quota_sim.h
+++ b/tests/fuzz/quota_sim.h
@@ -52,7 +52,7 @@
     QUOTA_CUT,           /**< a sixth of the nodes cut off; baseline demand */
     QUOTA_SPLIT,         /**< a second aggregator for two thirds of the nodes; baseline demand */
     QUOTA_TAKE_OVER,     /**< no aggregator for 3 s; baseline demand */
-    QUOTA_TROUBLES
+    QUOTA_FAULTS
 } quota_fault_t;
 
 typedef struct quota_result_t {
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -266,7 +266,7 @@
     answer_free(answer);
 }
 
-void machine_deregister(cluster_t *cluster, const char *id) {
+void machine_drain(cluster_t *cluster, const char *id) {
     g_autofree char *body = g_strdup_printf("{\"id\":\"%s\"}", id);
     answer_free(call("POST", cluster->platform_port, "/standin/v1/leave", NULL, body, 5000));
 }
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -103,7 +103,7 @@
 /** Set the fault mode of the platform stand-in, such as {"table":"refuse"}. */
 void platform_faults(cluster_t *cluster, const char *json);
 /** Mark a machine as draining in the platform's machine list. */
-void machine_deregister(cluster_t *cluster, const char *id);
+void machine_drain(cluster_t *cluster, const char *id);
 
 /** If set, calls use TLS with ca.pem, caller.pem and caller.key of this folder. */
 extern const char *harness_tls_folder;
--- a/tests/integration/crowd.c
+++ b/tests/integration/crowd.c
@@ -44,7 +44,7 @@
     g_free(crowd);
 }
 
-int crowd_whole(const crowd_t *crowd, int tokens) {
+int crowd_complete(const crowd_t *crowd, int tokens) {
     int count = 0;
     for (guint i = 0; i < crowd->answers->len; i++)
         if (answer_is_complete(crowd->answers->pdata[i], tokens))
--- a/tests/integration/integration.h
+++ b/tests/integration/integration.h
@@ -24,7 +24,7 @@
 void crowd_join(crowd_t *crowd);
 void crowd_free(crowd_t *crowd);
 /* Returns the number of complete answers with `tokens` tokens; prints the others. */
-int crowd_whole(const crowd_t *crowd, int tokens);
+int crowd_complete(const crowd_t *crowd, int tokens);
 /* Returns the number of 503 refusals with verdict "not-run" and a Retry-After. */
 int crowd_refused(const crowd_t *crowd);
 
--- a/tests/integration/test_outages.c
+++ b/tests/integration/test_outages.c
@@ -68,7 +68,7 @@
         calls[i] = (crowd_call_t){cluster->nodes[i % 3].clients_port, models[i / 3 % 3], 4, NULL};
     crowd_t *crowd = crowd_start(calls, 18);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, 18);
+    g_assert_cmpint(crowd_complete(crowd, 4) + crowd_refused(crowd), ==, 18);
     for (int i = 0; i < 3; i++)
         g_assert_cmpint(loads_started(cluster, models[i]), ==, 1);
     crowd_free(crowd);
--- a/tests/integration/test_partitions.c
+++ b/tests/integration/test_partitions.c
@@ -29,7 +29,7 @@
         calls[i] = (crowd_call_t){cluster->nodes[i % NODES].clients_port, models[i % 6], 4, NULL};
     crowd_t *crowd = crowd_start(calls, 16);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, 16);
+    g_assert_cmpint(crowd_complete(crowd, 4) + crowd_refused(crowd), ==, 16);
     crowd_free(crowd);
     /* loaded models are served on both sides */
     for (int i = 0; i < NODES; i += NODES - 1) {
--- a/tests/integration/test_path.c
+++ b/tests/integration/test_path.c
@@ -33,7 +33,7 @@
                                   i % 2 == 0 ? ",\"stream\":true" : NULL};
     crowd_t *crowd = crowd_start(calls, CALLERS);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 8), ==, CALLERS);
+    g_assert_cmpint(crowd_complete(crowd, 8), ==, CALLERS);
     g_assert_cmpint(loads_started(cluster, "m1"), ==, 1);
     crowd_free(crowd);
     cluster_stop(cluster);
--- a/tests/integration/test_refusals.c
+++ b/tests/integration/test_refusals.c
@@ -155,9 +155,9 @@
         calls[i] = (crowd_call_t){cluster->nodes[i % 3].clients_port, "m2", 4, NULL};
     crowd_t *crowd = crowd_start(calls, CALLERS);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 4) + crowd_refused(crowd), ==, CALLERS);
+    g_assert_cmpint(crowd_complete(crowd, 4) + crowd_refused(crowd), ==, CALLERS);
     crowd_join(busy);
-    g_assert_cmpint(crowd_whole(busy, 400), ==, 1);
+    g_assert_cmpint(crowd_complete(busy, 400), ==, 1);
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
     crowd_free(crowd);
     crowd_free(busy);
--- a/tests/integration/test_replicas.c
+++ b/tests/integration/test_replicas.c
@@ -23,7 +23,7 @@
     g_assert_cmpint(loads_started(cluster, "m1"), ==, 1);
     process_kill(&cluster->nodes[owner].process);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 8), ==, 2);
+    g_assert_cmpint(crowd_complete(crowd, 8), ==, 2);
     g_assert_cmpint(peak_replicas(cluster, "m1"), ==, 1);
     g_assert_cmpint(loads_started(cluster, "m1"), ==, 1);
     crowd_free(crowd);
@@ -48,7 +48,7 @@
     process_signal(&cluster->nodes[owner].process, SIGCONT);
     crowd_t *crowd = crowd_start(calls, 3);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 8), ==, 3);
+    g_assert_cmpint(crowd_complete(crowd, 8), ==, 3);
     g_assert_cmpint(peak_replicas(cluster, "m1"), ==, 1);
     g_assert_cmpint(peak_replicas(cluster, "m2"), ==, 1);
     g_assert_cmpint(peak_replicas(cluster, "m3"), ==, 1);
@@ -76,7 +76,7 @@
     if (second != gateway) /* the clients' node must stay up */
         process_kill(&cluster->nodes[second].process);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 6) + crowd_refused(crowd), ==, 6);
+    g_assert_cmpint(crowd_complete(crowd, 6) + crowd_refused(crowd), ==, 6);
     for (int i = 0; i < 6; i++)
         g_assert_cmpint(peak_replicas(cluster, calls[i].model), <=, 1);
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
@@ -141,7 +141,7 @@
     g_usleep(700000);
     process_kill(&cluster->nodes[owner].process);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 5) + crowd_refused(crowd), ==, 27);
+    g_assert_cmpint(crowd_complete(crowd, 5) + crowd_refused(crowd), ==, 27);
     g_assert_cmpint(memory_attempts(cluster), ==, 0);
     for (int i = 0; i < 9; i++)
         g_assert_cmpint(peak_replicas(cluster, models[i]), <=, 2);
--- a/tests/integration/test_stops.c
+++ b/tests/integration/test_stops.c
@@ -19,7 +19,7 @@
     answer_t *answer = chat(cluster->nodes[0].clients_port, "m1", 4, NULL, NULL);
     int leaving = engine_index(cluster, answer->engine);
     answer_free(answer);
-    machine_deregister(cluster, cluster->engines[leaving].process.name);
+    machine_drain(cluster, cluster->engines[leaving].process.name);
     int64_t marked_ms = harness_now_ms();
     int64_t last_ms = marked_ms;
     while (harness_now_ms() - marked_ms < 8000) {
@@ -53,7 +53,7 @@
     g_usleep(400000);
     int status = process_stop(&cluster->nodes[victim].process, 60000);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 120), ==, 24);
+    g_assert_cmpint(crowd_complete(crowd, 120), ==, 24);
     g_assert_cmpint(status, ==, 0);
     crowd_free(crowd);
     cluster_stop(cluster);
@@ -79,8 +79,8 @@
     crowd_t *later = crowd_start(calls, 16);
     crowd_join(crowd);
     crowd_join(later);
-    g_assert_cmpint(crowd_whole(crowd, 150), ==, 16);
-    g_assert_cmpint(crowd_whole(later, 150), ==, 16);
+    g_assert_cmpint(crowd_complete(crowd, 150), ==, 16);
+    g_assert_cmpint(crowd_complete(later, 150), ==, 16);
     g_assert_cmpint(status, ==, 0);
     g_assert_cmpint(peak_replicas(cluster, "m1"), ==, 1);
     crowd_free(crowd);
@@ -103,7 +103,7 @@
         g_usleep(200000);
         g_assert_cmpint(process_stop(&cluster->nodes[i].process, 60000), ==, 0);
         crowd_join(crowd);
-        g_assert_cmpint(crowd_whole(crowd, 60), ==, 12);
+        g_assert_cmpint(crowd_complete(crowd, 60), ==, 12);
         crowd_free(crowd);
         node_start(cluster, i);
         wait_ready(cluster);
--- a/tests/integration/test_streams.c
+++ b/tests/integration/test_streams.c
@@ -40,7 +40,7 @@
         if (g_str_equal(cluster->engines[i].process.name, first->engine))
             engine_kill(cluster, i);
     crowd_join(crowd);
-    g_assert_cmpint(crowd_whole(crowd, 150), ==, 20);
+    g_assert_cmpint(crowd_complete(crowd, 150), ==, 20);
     answer_free(first);
     crowd_free(crowd);
     cluster_stop(cluster);
