--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -138,10 +138,11 @@
 /** Remove the demand of a gateway whose node has stopped or counts as dead. */
 void wb_cell_remove_gateway(wb_cell_t *cell, const char *node);
 
-/** Make due decisions. Call after events and about every 100 ms. */
+/** Make due decisions. Call after events and periodically. */
 void wb_cell_step(wb_cell_t *cell, int64_t now_ms);
 
-/** @return a model's route, slots, engines and demand as JSON, for the explain command */
+/** @return a model's slots, demand, estimated time until it is ready, and the cell's engines as
+ * JSON, for the explain command */
 json_t *wb_cell_explain(const wb_cell_t *cell, const char *model, int64_t now_ms);
 
 /** Call a function for each engine whose machine was not removed. */
--- a/include/wickbridge/cell_host.h
+++ b/include/wickbridge/cell_host.h
@@ -25,8 +25,10 @@
     int64_t election_timeout_ms;
     int64_t orphan_after_ms; /**< time without an owner after which a cell is bootstrapped again */
     int64_t claim_retention_ms; /**< retention of claims */
-    int64_t machine_poll_ms;    /**< interval at which an owner reads the machine list */
-    int64_t weight_loads_at_once;
+    int64_t machine_poll_ms; /**< interval at which the machine list is read: by a cell's owner, or
+                                by the members of its group while it has no owner */
+    int64_t weight_loads_at_once; /**< max concurrent loads from the weight store; divided evenly
+                                      among the cells, at least one each */
     int64_t order_timeout_ms;
     int64_t inventory_wait_ms;
 } wb_cell_host_options_t;
--- a/include/wickbridge/gateway.h
+++ b/include/wickbridge/gateway.h
@@ -85,7 +85,8 @@
 /** @return number of unfinished requests */
 gint wb_gateway_open_requests(const wb_gateway_t *gateway);
 
-/** @return this gateway's state of a model as JSON, for the explain command, or NULL */
+/** @return this gateway's targets of a model (with or without adapters) as a JSON array, which may
+ * be empty, for the explain command */
 json_t *wb_gateway_explain(wb_gateway_t *gateway, const char *model);
 
 /** @return a recently ended request by its id as JSON (a new reference), for the explain command,
--- a/include/wickbridge/record.h
+++ b/include/wickbridge/record.h
@@ -20,11 +20,12 @@
     char *engine_address;
     char *node;
     uint64_t attempt;
-    uint64_t digest;  /**< of the request's body */
+    uint64_t digest;  /**< of the request's body, kind and path */
     gboolean done;    /**< the run has ended */
     unsigned status;  /**< of the response, once done */
     char *answer;     /**< the response's body, once done */
-    int64_t taken_ms; /**< when this member applied the claim; 0: unknown */
+    int64_t taken_ms; /**< when this member applied the claim; in a received record, computed from
+                         the claim's age */
 } wb_claim_t;
 
 /** Permission to load a model on an engine; a model is loaded only where it has a slot. */
