--- a/src/edge/store_calls.c
+++ b/src/edge/store_calls.c
@@ -35,7 +35,7 @@
     g_autoptr(GString) text = g_string_new(NULL);
     for (size_t table = 0; table < WB_STORE_TABLES; table++) {
         for (size_t cause = 0; cause < WB_STORE_CAUSE_COUNT; cause++) {
-            uint64_t made = calls->made[table][cause] - calls->told[table][cause];
+            uint64_t made = calls->made[table][cause] - calls->logged[table][cause];
             if (made > 0) {
                 g_string_append_printf(text, ",\"%s-%s\":%llu", table_names[table],
                                        cause_names[cause], (unsigned long long)made);
@@ -48,7 +48,7 @@
     }
     wb_event("store-calls", ",\"for_ms\":%lld,\"failed\":%llu%s", (long long)elapsed_ms,
              (unsigned long long)(calls->failed - calls->failed_logged), text->str);
-    memcpy(calls->told, calls->made, sizeof(calls->told));
+    memcpy(calls->logged, calls->made, sizeof(calls->logged));
     calls->failed_logged = calls->failed;
 }
 
