--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -32,7 +32,7 @@
     double per_s;              /**< requests per second */
     int64_t limit_reported_ms; /**< when a response to any node last reported it */
     int64_t ended_ms; /**< when the request was sent whose response showed its end; 0: never */
-    wb_send_limiter_t gate; /**< requests that this node has sent to the engine */
+    wb_send_limiter_t limiter; /**< requests that this node has sent to the engine */
 } wb_engine_limit_t;
 
 /** Position of this node among those that share an engine's limit. */
@@ -56,7 +56,7 @@
  * @param ahead number of this node's requests that wait for the engine and will be sent first
  * @return time from which this node may send; now_ms: at once; G_MAXINT64: unknown
  */
-int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *place,
+int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *rank,
                                 unsigned ahead, int64_t now_ms);
 /** Record that this node sends a request to the engine. */
 void wb_engine_limit_record(wb_engine_limit_t *limit, int64_t now_ms);
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -31,7 +31,7 @@
 /** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
 typedef struct wb_engine_pace_t {
     unsigned last_percent;         /* last value received here; 0: none */
-    int64_t told_ms;               /* when it was received */
+    int64_t last_ms;               /* when it was received */
     unsigned current_min_percent;  /* lowest of the current window; 0: none */
     unsigned previous_min_percent; /* lowest of the previous window; 0: none */
     int64_t window_began_ms;
--- a/include/wickbridge/store_calls.h
+++ b/include/wickbridge/store_calls.h
@@ -31,7 +31,7 @@
     uint64_t failed;
     uint64_t logged[WB_STORE_TABLES][WB_STORE_CAUSE_COUNT]; /**< `made` as of the last log line */
     uint64_t failed_logged;                                 /**< `failed` as of the last log line */
-    int64_t told_ms;                                        /**< when logging was last due */
+    int64_t logged_ms;                                      /**< when logging was last due */
 } wb_store_calls_t;
 
 /** Count a call. */
--- a/src/control/placement.h
+++ b/src/control/placement.h
@@ -55,8 +55,7 @@
 } wb_engine_capacity_t;
 
 /** Engines evaluated for one placement. In a larger fleet a placement evaluates this many from a
- * random one on, to bound the time of a decision; the best of 512 is among the best 0.6 % of all
- * with a probability of 95 %. */
+ * random one on, to bound the time of a decision. */
 #define WB_PLACEMENT_MAX_CANDIDATES 512
 
 /** @return TRUE when an engine is loading a model or has been ordered to */
--- a/src/dispatch/engine_limit.c
+++ b/src/dispatch/engine_limit.c
@@ -65,7 +65,7 @@
     int64_t next_slot = slot - slot % slots + own_slot;
     next_slot += next_slot < slot ? slots : 0;
     int64_t slot_ms = first_slot_ms + next_slot * PROBE_SLOT_MS;
-    int64_t limiter_ms = wb_send_limiter_next_ms(&limit->gate, 1, PROBE_SLOT_MS, 0, now_ms);
+    int64_t limiter_ms = wb_send_limiter_next_ms(&limit->limiter, 1, PROBE_SLOT_MS, 0, now_ms);
     int64_t next_ms = MAX(slot_ms, limiter_ms);
     return next_ms < slot_ms + PROBE_SLOT_MS ? next_ms : slot_ms + slots * PROBE_SLOT_MS;
 }
@@ -81,18 +81,18 @@
     wb_limit_units_t units = limit_units(limit->per_s);
     unsigned share = wb_rendezvous_share(units.count, place->nodes, place->rank);
     if (share > 0) {
-        return wb_send_limiter_next_ms(&limit->gate, share, units.window_ms, ahead, now_ms);
+        return wb_send_limiter_next_ms(&limit->limiter, share, units.window_ms, ahead, now_ms);
     }
     return ahead == 0 ? probe_next_ms(limit, place, units.count, now_ms) : G_MAXINT64;
 }
 
 void wb_engine_limit_record(wb_engine_limit_t *limit, int64_t now_ms) {
     if (limit->named) {
-        wb_send_limiter_record(&limit->gate,
+        wb_send_limiter_record(&limit->limiter,
                                MAX(limit_units(limit->per_s).window_ms, PROBE_SLOT_MS), now_ms);
     }
 }
 
 void wb_engine_limit_clear(wb_engine_limit_t *limit) {
-    wb_send_limiter_clear(&limit->gate);
+    wb_send_limiter_clear(&limit->limiter);
 }
--- a/src/edge/store_calls.c
+++ b/src/edge/store_calls.c
@@ -28,10 +28,10 @@
 }
 
 void wb_store_calls_log(wb_store_calls_t *calls, int64_t interval_ms, int64_t now_ms) {
-    if (now_ms - calls->told_ms < interval_ms) {
+    if (now_ms - calls->logged_ms < interval_ms) {
         return;
     }
-    int64_t elapsed_ms = calls->told_ms == 0 ? 0 : now_ms - calls->told_ms;
+    int64_t elapsed_ms = calls->logged_ms == 0 ? 0 : now_ms - calls->logged_ms;
     g_autoptr(GString) text = g_string_new(NULL);
     for (size_t table = 0; table < WB_STORE_TABLES; table++) {
         for (size_t cause = 0; cause < WB_STORE_CAUSE_COUNT; cause++) {
@@ -42,7 +42,7 @@
             }
         }
     }
-    calls->told_ms = now_ms;
+    calls->logged_ms = now_ms;
     if (text->len == 0) {
         return;
     }
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -102,7 +102,7 @@
         g_queue_push_tail(&fleet->reported_order, key);
     }
     *saved = (wb_reported_state_t){engine->drain_reported, engine->limit, engine->backoff_until_ms};
-    saved->limit.gate = (wb_send_limiter_t){NULL};
+    saved->limit.limiter = (wb_send_limiter_t){NULL};
 }
 
 static void reported_state_restore(const wb_fleet_t *fleet, wb_engine_t *engine) {
--- a/src/pace/engine_pace.c
+++ b/src/pace/engine_pace.c
@@ -34,7 +34,7 @@
     }
     window_advance(pace, now_ms);
     pace->last_percent = percent;
-    pace->told_ms = now_ms;
+    pace->last_ms = now_ms;
     if (pace->current_min_percent == 0 || percent < pace->current_min_percent) {
         pace->current_min_percent = percent;
     }
@@ -45,7 +45,7 @@
 }
 
 unsigned wb_engine_pace_recent_min(const wb_engine_pace_t *pace, int64_t now_ms) {
-    if (pace->last_percent == 0 || now_ms - pace->told_ms >= 2 * WB_PACE_WINDOW_MS) {
+    if (pace->last_percent == 0 || now_ms - pace->last_ms >= 2 * WB_PACE_WINDOW_MS) {
         return 0;
     }
     unsigned min_percent = pace->current_min_percent;
@@ -76,5 +76,5 @@
     }
     double interference = MAX(pace->last_percent / 100.0 - intrinsic, 0);
     return intrinsic +
-           interference * exp(-(double)(now_ms - pace->told_ms) / INTERFERENCE_DECAY_MS);
+           interference * exp(-(double)(now_ms - pace->last_ms) / INTERFERENCE_DECAY_MS);
 }
--- a/src/quota/quota_limiter.c
+++ b/src/quota/quota_limiter.c
@@ -37,7 +37,7 @@
 struct wb_quota_limiter_t {
     GHashTable *entries; /* tenant -> wb_limiter_entry_t */
     gboolean reached;
-    int64_t told_ms;
+    int64_t shares_received_ms;
 };
 
 static void entry_free(gpointer data) {
@@ -143,8 +143,10 @@
 wb_quota_decision_t wb_quota_limiter_admit(wb_quota_limiter_t *limiter, const wb_tenant_t *tenant,
                                            wb_quota_class_t kind, double cost, unsigned nodes,
                                            int64_t now_ms) {
-    wb_quota_decision_t decision = {
-        .admitted = TRUE, .share = 1, .reached = limiter->reached, .told_ms = limiter->told_ms};
+    wb_quota_decision_t decision = {.admitted = TRUE,
+                                    .share = 1,
+                                    .reached = limiter->reached,
+                                    .shares_received_ms = limiter->shares_received_ms};
     if (tenant->rate_per_s <= 0) {
         return decision;
     }
@@ -228,7 +230,7 @@
                                  size_t count, int64_t now_ms) {
     GHashTableIter iter;
     gpointer value;
-    limiter->told_ms = now_ms;
+    limiter->shares_received_ms = now_ms;
     g_hash_table_iter_init(&iter, limiter->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wb_limiter_entry_t *entry = value;
--- a/src/quota/quota_limiter.h
+++ b/src/quota/quota_limiter.h
@@ -32,7 +32,7 @@
                        * the recent demand */
     double share;     /**< share in force for the request's traffic class; 1: not throttled */
     gboolean reached; /**< the ledger is reachable */
-    int64_t told_ms;  /**< when the shares were received; 0: never */
+    int64_t shares_received_ms; /**< when the shares were received; 0: never */
 } wb_quota_decision_t;
 
 wb_quota_limiter_t *wb_quota_limiter_create(void);
--- a/src/request/exchange_tenant.c
+++ b/src/request/exchange_tenant.c
@@ -48,7 +48,8 @@
 
 static void over_quota_log(const wb_exchange_t *exchange, double cost,
                            const wb_quota_decision_t *decision) {
-    int64_t age_ms = decision->told_ms != 0 ? wb_clock_ms() - decision->told_ms : -1;
+    int64_t age_ms =
+        decision->shares_received_ms != 0 ? wb_clock_ms() - decision->shares_received_ms : -1;
     wb_event("quota-spent",
              ",\"id\":\"%s\",\"tenant\":\"%s\",\"cost\":%.0f,\"limit_per_s\":%.0f,"
              "\"share\":%.3f,\"book_reached\":%s,\"share_age_ms\":%lld,\"retry_ms\":%lld",
--- a/tests/unit/test_engine_limit.c
+++ b/tests/unit/test_engine_limit.c
@@ -99,7 +99,7 @@
             g_assert_cmpfloat(max_sent, <=, MAX(floor(limits[j] * 4), 1) + 2);
             g_assert_cmpfloat(max_sent, <=, 1.5 * limits[j] * 4 + 5);
             for (unsigned node = 0; node < sizes[i]; node++) {
-                g_assert_nonnull(set.limits[node].gate.sent_ms);
+                g_assert_nonnull(set.limits[node].limiter.sent_ms);
             }
             node_set_clear(&set);
         }
