--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -56,7 +56,7 @@
  * @param ahead number of this node's requests that wait for the engine and will be sent first
  * @return time from which this node may send; now_ms: at once; G_MAXINT64: unknown
  */
-int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *rank,
+int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *position,
                                 unsigned ahead, int64_t now_ms);
 /** Record that this node sends a request to the engine. */
 void wb_engine_limit_record(wb_engine_limit_t *limit, int64_t now_ms);
--- a/src/dispatch/engine_limit.c
+++ b/src/dispatch/engine_limit.c
@@ -56,10 +56,10 @@
 }
 
 /* Returns when a node without a share may send its next probe. */
-static int64_t probe_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *place,
+static int64_t probe_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *position,
                              unsigned units, int64_t now_ms) {
-    int64_t slots = place->nodes - units;
-    int64_t own_slot = (place->rank - units) % slots;
+    int64_t slots = position->nodes - units;
+    int64_t own_slot = (position->rank - units) % slots;
     int64_t first_slot_ms = limit->limit_reported_ms + PROBE_AFTER_MS;
     int64_t slot = now_ms > first_slot_ms ? (now_ms - first_slot_ms) / PROBE_SLOT_MS : 0;
     int64_t next_slot = slot - slot % slots + own_slot;
@@ -70,20 +70,20 @@
     return next_ms < slot_ms + PROBE_SLOT_MS ? next_ms : slot_ms + slots * PROBE_SLOT_MS;
 }
 
-int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *place,
+int64_t wb_engine_limit_next_ms(const wb_engine_limit_t *limit, const wb_share_rank_t *position,
                                 unsigned ahead, int64_t now_ms) {
     if (!limit->named) {
         return now_ms;
     }
-    if (place->nodes == 0) {
+    if (position->nodes == 0) {
         return G_MAXINT64;
     }
     wb_limit_units_t units = limit_units(limit->per_s);
-    unsigned share = wb_rendezvous_share(units.count, place->nodes, place->rank);
+    unsigned share = wb_rendezvous_share(units.count, position->nodes, position->rank);
     if (share > 0) {
         return wb_send_limiter_next_ms(&limit->limiter, share, units.window_ms, ahead, now_ms);
     }
-    return ahead == 0 ? probe_next_ms(limit, place, units.count, now_ms) : G_MAXINT64;
+    return ahead == 0 ? probe_next_ms(limit, position, units.count, now_ms) : G_MAXINT64;
 }
 
 void wb_engine_limit_record(wb_engine_limit_t *limit, int64_t now_ms) {
