--- a/src/edge/node_links.c
+++ b/src/edge/node_links.c
@@ -37,7 +37,7 @@
         return;
     }
     if (entry->held)
-        wb_exchanges_model_loaded(edge, engine->state->service, entry->model);
+        wb_exchanges_clear_expected(edge, engine->state->service, entry->model);
     wb_engine_apply_placement(engine, entry->model, entry->adapter, entry->held, wb_clock_ms(),
                               row_after_ms,
                               row_after_ms + (int64_t)(edge->settings.store_look_s * 1000));
--- a/src/request/exchange_wait.c
+++ b/src/request/exchange_wait.c
@@ -349,7 +349,7 @@
     waiting_each(edge, key_check);
 }
 
-void wb_exchanges_model_loaded(wb_edge_t *edge, const char *service, const char *model) {
+void wb_exchanges_clear_expected(wb_edge_t *edge, const char *service, const char *model) {
     g_autofree char *key = expected_key(service, model);
     g_hash_table_remove(edge->expected, key);
 }
--- a/src/request/request_types.h
+++ b/src/request/request_types.h
@@ -306,7 +306,7 @@
  * those for which waiting is useless. */
 void wb_exchanges_update_waits(wb_edge_t *edge);
 /** A model is loaded: drop the expected time of its load. */
-void wb_exchanges_model_loaded(wb_edge_t *edge, const char *service, const char *model);
+void wb_exchanges_clear_expected(wb_edge_t *edge, const char *service, const char *model);
 /** Refuse requests that are known poison, also those that wait or are at an engine that hasn't
  * begun to answer. */
 void wb_exchanges_refuse_poison(wb_edge_t *edge);
