--- a/include/wickbridge/catalog.h
+++ b/include/wickbridge/catalog.h
@@ -40,7 +40,7 @@
     int64_t target_gap_ms;     /**< target for the gap between two events of a stream; 0: none */
     int rank;                  /**< priority; 0 is the most urgent */
     int max_attempts;          /**< max number of engines that may run one request */
-    char **allowed_regions;    /**< in which its requests may be served; NULL: all */
+    char **allowed_regions;    /**< regions in which its requests may be served; NULL: all */
     gboolean is_public;        /**< requests need no API key */
     GArray *parts;             /**< of wb_route_target_t: the split targets */
     double split_point;        /**< private: state of wb_route_pick_service */
@@ -59,10 +59,11 @@
 
 typedef struct wb_service_t {
     char *name;
-    int max_connections;        /**< that an engine accepts from all nodes together; 0: unknown */
-    GHashTable *models;         /**< name -> wb_model_spec_t; empty for services without models */
-    double weights_mb;          /**< an engine's capacity for weights and adapters */
-    int adapter_slots;          /**< adapters that an engine can hold */
+    int max_connections; /**< connections that an engine accepts from all nodes together; 0: unknown
+                          */
+    GHashTable *models;  /**< name -> wb_model_spec_t; empty for services without models */
+    double weights_mb;   /**< an engine's capacity for weights and adapters */
+    int adapter_slots;   /**< adapters that an engine can hold */
     double cold_capacity_per_s; /**< requests per second that a cold engine sustains; 0: as a warm
                                    one */
     int64_t cold_start_ms;      /**< time for which an engine is cold after its start */
@@ -104,7 +105,7 @@
 /** Add a model; it replaces one of the same name. @return the model, to be filled in; owned by the
  * service */
 wb_model_spec_t *wb_service_add_model(wb_service_t *service, const char *name);
-/** Complete a catalog: sorts the routes and computes derived members. Call once, before the first
+/** Complete a catalog: sort the routes and compute derived members. Call once, before the first
  * lookup. */
 void wb_catalog_seal(wb_catalog_t *catalog);
 
--- a/include/wickbridge/cell.h
+++ b/include/wickbridge/cell.h
@@ -6,7 +6,7 @@
  * A model may be loaded on an engine only while the cell's record holds a slot for the two, and a
  * model never has more slots than its declared replicas. A slot is removed only when the engine is
  * known not to hold the model and can't accept an older order any more (fencing), or when its
- * machine is gone.
+ * machine was removed.
  *
  * Pure: no clock, socket or lock. Actions are requested through callbacks, and their results are
  * passed in by calls; the same code runs in a node, in tests and under the fuzzer. Times are
@@ -24,7 +24,7 @@
 /** State of an engine's machine in the platform's machine list. */
 typedef enum wb_machine_state_t {
     WB_MACHINE_LIVE,
-    WB_MACHINE_DRAINING, /**< draining */
+    WB_MACHINE_DRAINING, /**< to be stopped: its engines get no new models */
     WB_MACHINE_REMOVED   /**< permanently removed */
 } wb_machine_state_t;
 
@@ -44,7 +44,7 @@
 
 /** Outcome of an order. Except for WB_ORDER_NO_RESPONSE, the engine's inventory was returned. */
 typedef enum wb_order_outcome_t {
-    WB_ORDER_ACCEPTED,   /**< accepted */
+    WB_ORDER_ACCEPTED,
     WB_ORDER_REFUSED,    /**< the engine recorded the fencing number but refused the order */
     WB_ORDER_STALE,      /**< the engine has seen a higher fencing number */
     WB_ORDER_NO_RESPONSE /**< no response: the order may still arrive */
@@ -122,7 +122,7 @@
 /** All commands up to this sequence number are committed. */
 void wb_cell_set_committed(wb_cell_t *cell, uint64_t sequence);
 
-/** An order ended. @param inventory taken over; NULL if lost */
+/** An order ended. @param inventory taken over; NULL with WB_ORDER_NO_RESPONSE */
 void wb_cell_order_done(wb_cell_t *cell, const char *engine, uint64_t fence,
                         wb_order_outcome_t outcome, wb_inventory_t *inventory, int64_t now_ms);
 
@@ -135,7 +135,7 @@
 /** Update a gateway's demand; the current route is sent to it. */
 void wb_cell_update_demand(wb_cell_t *cell, const wb_demand_t *demand, int64_t now_ms);
 
-/** Remove the demand of a gateway that is gone. */
+/** Remove the demand of a gateway whose node has stopped or counts as dead. */
 void wb_cell_remove_gateway(wb_cell_t *cell, const char *node);
 
 /** Make due decisions. Call after events and about every 100 ms. */
@@ -144,7 +144,7 @@
 /** @return a model's route, slots, engines and demand as JSON, for the explain command */
 json_t *wb_cell_explain(const wb_cell_t *cell, const char *model, int64_t now_ms);
 
-/** Call a function for each engine whose machine is not gone. */
+/** Call a function for each engine whose machine was not removed. */
 void wb_cell_each_engine(const wb_cell_t *cell,
                          void (*visit)(const char *engine, const char *address, void *context),
                          void *context);
--- a/include/wickbridge/edge_metrics.h
+++ b/include/wickbridge/edge_metrics.h
@@ -33,7 +33,7 @@
     uint64_t rejections;          /**< attempts that engines rejected without running them */
     uint64_t failed_attempts;     /**< attempts without a complete response */
     uint64_t attempts_withdrawn;  /**< attempts cancelled before the first byte was sent, as the
-                                  engine  had meanwhile reported a limit, draining or a backoff */
+                                  engine had meanwhile reported a limit, draining or a backoff */
     uint64_t engine_checks;       /**< connections made to find out whether an engine has crashed */
     uint64_t engine_crashes;      /**< engines found to have crashed while running requests */
     uint64_t engine_restarts;     /**< new incarnations of known engine ids */
@@ -48,7 +48,7 @@
     wb_store_calls_t store_calls;
     uint64_t lease_takeovers;           /**< times that this node took the lease over */
     uint64_t updates_of_other_starts;   /**< placement updates for another incarnation of an engine
-                                        than   the known one */
+                                        than the known one */
     uint64_t orders;                    /**< orders sent to engines */
     uint64_t orders_unknown;            /**< orders without a response */
     uint64_t store_loads;               /**< loads ordered from the weight store */
--- a/include/wickbridge/engine_limit.h
+++ b/include/wickbridge/engine_limit.h
@@ -26,13 +26,13 @@
 /** Window in which a node's requests are counted, for limits of at least one request in 4 s. */
 #define WB_LIMIT_WINDOW_MS 4500
 
-/** An engine's limit; zeroed: it has none. */
+/** An engine's limit; zeroed: no limit. */
 typedef struct wb_engine_limit_t {
-    gboolean named;            /**< it is in force */
+    gboolean named;            /**< the limit is in force */
     double per_s;              /**< requests per second */
     int64_t limit_reported_ms; /**< when a response to any node last reported it */
     int64_t ended_ms; /**< when the request was sent whose response showed its end; 0: never */
-    wb_send_limiter_t gate; /**< requests that this node has sent since */
+    wb_send_limiter_t gate; /**< requests that this node has sent to the engine */
 } wb_engine_limit_t;
 
 /** Position of this node among those that share an engine's limit. */
--- a/include/wickbridge/engine_pace.h
+++ b/include/wickbridge/engine_pace.h
@@ -6,8 +6,8 @@
  * Engines on shared machines report their current pace in each response. It has two parts: the
  * engine's intrinsic pace, which is constant (engines of one service differ by more than a factor
  * of two), and interference by co-located workloads, which only slows the engine down and lasts
- * less than a second. The lowest value of some seconds is taken as the intrinsic pace; a value of
- * the last few hundred ms indicates current interference.
+ * less than a second. The lowest value of the last 6 to 12 s (WB_PACE_WINDOW_MS) is taken as the
+ * intrinsic pace; a value of the last few hundred ms indicates current interference.
  *
  * A single gateway receives too few responses from each engine, so the values of all gateways are
  * aggregated (pace_aggregate.h), and the aggregate is set with wb_engine_pace_set_shared.
@@ -25,13 +25,13 @@
 #define WB_PACE_MIN_PERCENT 10
 #define WB_PACE_MAX_PERCENT 1000
 /** Length of a window. The lowest value of the current and the previous window is the engine's
- * intrinsic pace; interference lasts much shorter. */
+ * intrinsic pace; interference lasts much less long. */
 #define WB_PACE_WINDOW_MS 6000
 
 /** An engine's pace as known to this node; zeroed: unknown, and assumed to be the baseline. */
 typedef struct wb_engine_pace_t {
-    unsigned last_percent; /* last value received here; 0: none */
-    int64_t told_ms;
+    unsigned last_percent;         /* last value received here; 0: none */
+    int64_t told_ms;               /* when it was received */
     unsigned current_min_percent;  /* lowest of the current window; 0: none */
     unsigned previous_min_percent; /* lowest of the previous window; 0: none */
     int64_t window_began_ms;
--- a/include/wickbridge/fleet.h
+++ b/include/wickbridge/fleet.h
@@ -70,12 +70,12 @@
     gboolean gone;             /**< its announcement was removed */
     int64_t draining_since_ms; /**< since when it has been draining or removed; 0: neither */
     gboolean drain_reported;   /**< a response reported draining; announcements of the same
-                                incarnation   don't reset it */
+                                incarnation don't reset it */
     int64_t grace_until_ms; /**< it was removed, or reported draining in a response only: end of the
                              grace period in which it gets requests that no other engine can
                              serve */
     int64_t evacuated_from_ms;      /**< time from which it gets no new requests because its zone is
-                                    being      evacuated; 0: the zone is in service */
+                                    being evacuated; 0: the zone is in service */
     int64_t cold_until_ms;          /**< end of its warm-up, with reduced capacity; 0: it is warm */
     wb_send_limiter_t cold_limiter; /**< requests that this node sent to it during the warm-up */
     unsigned cold_share; /**< requests per second that this node may send during the warm-up */
--- a/include/wickbridge/lease.h
+++ b/include/wickbridge/lease.h
@@ -53,12 +53,11 @@
 void wb_lease_row_copy(wb_lease_row_t *target, const wb_lease_row_t *source);
 
 typedef struct wb_lease_settings_t {
-    const char *machine; /**< this node's machine; must outlive the lease */
-    const char *address; /**< IP:PORT of this node; must outlive the lease */
-    int64_t duration_ms; /**< validity of a renewal, from when it was sent */
-    int64_t renew_ms;    /**< interval between renewals */
-    int64_t
-        handover_interval_ms; /**< handover interval: min time between the orders of two holders */
+    const char *machine;          /**< this node's machine; must outlive the lease */
+    const char *address;          /**< IP:PORT of this node; must outlive the lease */
+    int64_t duration_ms;          /**< validity of a renewal, from when it was sent */
+    int64_t renew_ms;             /**< interval between renewals */
+    int64_t handover_interval_ms; /**< min time between the orders of two holders to one engine */
     int64_t margin_ms;        /**< safety margin: added to waits, subtracted from the validity */
     int64_t write_timeout_ms; /**< timeout of a write, after which it is retried */
     int64_t spread_ms;        /**< max random delay before this node takes another's lease over, so
--- a/include/wickbridge/send_limiter.h
+++ b/include/wickbridge/send_limiter.h
@@ -24,12 +24,12 @@
  * @param ahead     number of requests that will be sent before this one
  * @return time from which the request may be sent; now_ms: at once; G_MAXINT64: never (no share)
  */
-int64_t wb_send_limiter_next_ms(const wb_send_limiter_t *gate, unsigned share, int64_t window_ms,
+int64_t wb_send_limiter_next_ms(const wb_send_limiter_t *limiter, unsigned share, int64_t window_ms,
                                 unsigned ahead, int64_t now_ms);
 /** Record that a request is sent now. Times older than `window_ms` are dropped. */
-void wb_send_limiter_record(wb_send_limiter_t *gate, int64_t window_ms, int64_t now_ms);
+void wb_send_limiter_record(wb_send_limiter_t *limiter, int64_t window_ms, int64_t now_ms);
 /** Free the recorded times. */
-void wb_send_limiter_clear(wb_send_limiter_t *gate);
+void wb_send_limiter_clear(wb_send_limiter_t *limiter);
 
 /**
  * Divide whole units evenly among nodes; nodes of lower rank get the remainder.
--- a/include/wickbridge/table_watch.h
+++ b/include/wickbridge/table_watch.h
@@ -21,13 +21,14 @@
 typedef struct wb_table_watch_events_t {
     /** A row was added, changed, or removed (its value is NULL). */
     void (*on_row)(const wb_table_row_t *row, void *context);
-    /** All rows of a response or update were passed to on_row. `whole` is TRUE after a full read.
+    /** All rows of a response or update were passed to on_row. `full_read` is TRUE after a full
+     * read.
      */
-    void (*on_batch)(gboolean whole, void *context);
-    /** A call ended, successfully (`good`) or not; for logs and counters. `age_ms` as in
+    void (*on_batch)(gboolean full_read, void *context);
+    /** A call ended, successfully or not; for logs and counters. `age_ms` as in
      * wb_table_watch_age_ms. May be NULL. */
-    void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean good, int64_t age_ms,
-                    void *context);
+    void (*on_call)(wb_table_name_t table, wb_store_cause_t cause, gboolean succeeded,
+                    int64_t age_ms, void *context);
     void *context;
     /** The table has more rows than wb_table_watch_set_row_limit allows. The watch makes no calls
      * until wb_table_watch_read_all or wb_table_watch_follow_subset is called. */
--- a/include/wickbridge/tenant.h
+++ b/include/wickbridge/tenant.h
@@ -42,7 +42,7 @@
     double default_tokens;  /**< cost of a request that states no token counts */
     double rate_per_s;      /**< units per second over all nodes; 0: no limit */
     double burst;           /**< units allowed beyond the rate */
-    char **allowed_regions; /**< in which its requests may be served; NULL: all */
+    char **allowed_regions; /**< regions in which its requests may be served; NULL: all */
 } wb_tenant_t;
 
 typedef struct wb_tenants_t wb_tenants_t;
--- a/src/catalog/catalog.c
+++ b/src/catalog/catalog.c
@@ -7,7 +7,7 @@
 
 #define GOLDEN_RATIO 0.6180339887498949
 
-static void part_clear(gpointer data) {
+static void target_clear(gpointer data) {
     g_free(((wb_route_target_t *)data)->service);
 }
 
@@ -67,7 +67,7 @@
     route->max_attempts = 1;
     route->parts = g_array_new(FALSE, FALSE, sizeof(wb_route_target_t));
     route->split_point = g_random_double();
-    g_array_set_clear_func(route->parts, part_clear);
+    g_array_set_clear_func(route->parts, target_clear);
     GPtrArray *routes = g_hash_table_lookup(catalog->hosts, route->host);
     if (routes == NULL) {
         routes = g_ptr_array_new_with_free_func(route_free);
@@ -79,8 +79,8 @@
 }
 
 void wb_route_add_target(wb_route_t *route, const char *service, double weight) {
-    wb_route_target_t part = {g_strdup(service), weight};
-    g_array_append_val(route->parts, part);
+    wb_route_target_t target = {g_strdup(service), weight};
+    g_array_append_val(route->parts, target);
 }
 
 wb_service_t *wb_catalog_add_service(wb_catalog_t *catalog, const char *name) {
--- a/src/config/config_store_internal.h
+++ b/src/config/config_store_internal.h
@@ -1,8 +1,8 @@
 /* Private declarations of the configuration store, shared by config_store.c, config_apply.c and
  * config_catch_up.c. Times are in milliseconds of wb_clock_ms. Everything runs on the loop's
  * thread. */
-#ifndef WICKBRIDGE_CONFIG_APPLY_H
-#define WICKBRIDGE_CONFIG_APPLY_H
+#ifndef WICKBRIDGE_CONFIG_STORE_INTERNAL_H
+#define WICKBRIDGE_CONFIG_STORE_INTERNAL_H
 
 #include "wickbridge/config_store.h"
 
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -222,8 +222,8 @@
     }
 }
 
-/* Handles a neighbour's heartbeat. If its tables differ from ours for several heartbeats, sends it
- * our tables. */
+/* Handles a neighbour's heartbeat. If its digests differ from this node's for several heartbeats,
+ * sends it all members and owners. */
 static void heartbeat_apply(wb_membership_t *membership, const char *node,
                             const wb_wire_heartbeat *heartbeat) {
     const wb_member_t *member = wb_member_table_find(membership->table, node);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -12,9 +12,9 @@
     wb_link_t *link;
     char *node; /* for a link opened by address: NULL until the peer's handshake */
     char *address;
-    gboolean handshake_received; /* the peer's handshake was received */
-    gboolean overlay_wanted;     /* this node asks for heartbeats */
-    gboolean overlay_requested;  /* the peer asks for heartbeats */
+    gboolean handshake_received;
+    gboolean overlay_wanted;    /* this node asks for heartbeats */
+    gboolean overlay_requested; /* the peer asks for heartbeats */
     gboolean announced;
     int64_t last_received_ms;
     int64_t last_used_ms; /* last message that is neither a handshake nor a heartbeat */
@@ -32,7 +32,7 @@
     wb_link_listener_t *listener;
     wb_link_counters_t counters;
     GPtrArray *all;      /* every wb_peer_t */
-    GHashTable *by_node; /* the link used for sending */
+    GHashTable *by_node; /* node -> wb_peer_t whose link is used for sending */
 };
 
 static void handshake_send(wb_peer_t *peer) {
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -35,8 +35,8 @@
     luaL_error(lua, "it takes more than %d instructions", WB_POLICY_INSTRUCTION_LIMIT);
 }
 
-/* Opens the libraries for computing, without functions that load code, print, or make the result
- * differ between runs. */
+/* Opens the base, table, string and math libraries, without functions that load code, print, or
+ * make the result differ between runs. */
 static void sandbox_open(lua_State *lua) {
     static const char *const forbidden[] = {"load",    "loadfile", "dofile",        "print",
                                             "require", "warn",     "collectgarbage"};
@@ -96,8 +96,8 @@
     field_integer(lua, "load_ms", engine->load_ms);
 }
 
-/* Arguments and result of a protected call. Its tables are built inside the call too, as that may
- * run out of memory. */
+/* Arguments and result of a protected call. The tables are built inside the call, as that may
+ * exceed the memory limit. */
 typedef struct policy_call_t {
     const char *function;
     const wb_policy_model_t *model;
--- a/src/protocol/messages.x
+++ b/src/protocol/messages.x
@@ -170,7 +170,7 @@
 struct wb_wire_group_vote {
     wb_wire_name cell;
     unsigned hyper epoch;
-    bool forced; /* the owner has handed over, so its being alive doesn't prevent the vote */
+    bool forced; /* the owner has handed over, so members vote although it is alive */
 };
 
 /* Response to a vote request. */
@@ -220,7 +220,7 @@
     wb_wire_name model;
     wb_wire_name adapter;
     wb_wire_route_state state;
-    unsigned int estimate_ms; /* waking: time until ready; refused: time to wait before a retry */
+    unsigned int estimate_ms; /* loading: time until ready; else: time to wait before a retry */
     wb_wire_name reason;
     wb_wire_replica replicas<WB_WIRE_LIST_MAX>;
 };
